--- a/cmd/gannethook/day.go
+++ b/cmd/gannethook/day.go
@@ -11,7 +11,7 @@
 
 	"github.com/spf13/cobra"
 
-	"gannethook/internal/day"
+	"gannethook/internal/scenario"
 )
 
 // errRules makes the exit status tell that a rule broke.
@@ -29,9 +29,9 @@
 			"the exit status is not 0 if one broke.",
 		Args: cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			script := func() (*day.Script, error) { return day.Parse("bad.gann", day.Bad) }
+			script := func() (*scenario.Script, error) { return scenario.Parse("bad.gann", scenario.Bad) }
 			if len(args) > 0 {
-				script = func() (*day.Script, error) { return day.Load(args[0]) }
+				script = func() (*scenario.Script, error) { return scenario.Load(args[0]) }
 			}
 			if dir == "" {
 				var err error
@@ -53,8 +53,8 @@
 }
 
 // days plays a script with each policy and seed.
-func days(cmd *cobra.Command, load func() (*day.Script, error), policies []string, seeds []uint, times float64, dir, chart, ops string) error {
-	var list []*day.Result
+func days(cmd *cobra.Command, load func() (*scenario.Script, error), policies []string, seeds []uint, times float64, dir, chart, ops string) error {
+	var list []*scenario.Result
 	ok := true
 	first, err := load()
 	if err != nil {
@@ -75,7 +75,7 @@
 			if err := os.MkdirAll(at, 0o755); err != nil {
 				return err
 			}
-			r, err := day.Run(cmd.Context(), s, policy, at, command)
+			r, err := scenario.Run(cmd.Context(), s, policy, at, command)
 			if err != nil {
 				return err
 			}
@@ -86,7 +86,7 @@
 		}
 	}
 	if len(list) > 1 {
-		day.Compare(cmd.OutOrStdout(), list)
+		scenario.Compare(cmd.OutOrStdout(), list)
 	}
 	if ops != "" {
 		if err := list[len(list)-1].ChartOperations(ops); err != nil {
@@ -94,7 +94,7 @@
 		}
 	}
 	if chart != "" {
-		if err := day.Chart(chart, list); err != nil {
+		if err := scenario.Chart(chart, list); err != nil {
 			return err
 		}
 	}
--- a/cmd/gannethook/load.go
+++ b/cmd/gannethook/load.go
@@ -7,7 +7,7 @@
 
 	"github.com/spf13/cobra"
 
-	"gannethook/internal/day"
+	"gannethook/internal/scenario"
 )
 
 func loadCommand() *cobra.Command {
@@ -22,9 +22,9 @@
 			"the embedded day of overload.",
 		Args: cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			script := func() (*day.Script, error) { return day.Parse("overload.gann", day.OverloadDay) }
+			script := func() (*scenario.Script, error) { return scenario.Parse("overload.gann", scenario.OverloadDay) }
 			if len(args) > 0 {
-				script = func() (*day.Script, error) { return day.Load(args[0]) }
+				script = func() (*scenario.Script, error) { return scenario.Load(args[0]) }
 			}
 			if dir == "" {
 				var err error
@@ -36,7 +36,7 @@
 			if off {
 				limits = append(limits, false)
 			}
-			var list []*day.Result
+			var list []*scenario.Result
 			play := func(times float64, on bool, without string) error {
 				s, err := script()
 				if err != nil {
@@ -49,7 +49,7 @@
 				if err := os.MkdirAll(at, 0o755); err != nil {
 					return err
 				}
-				r, err := day.Run(cmd.Context(), s, policy, at, command)
+				r, err := scenario.Run(cmd.Context(), s, policy, at, command)
 				if err != nil {
 					return err
 				}
@@ -71,9 +71,9 @@
 					return err
 				}
 			}
-			day.CompareLoads(cmd.OutOrStdout(), list)
+			scenario.CompareLoads(cmd.OutOrStdout(), list)
 			if chart != "" {
-				if err := day.ChartLoads(chart, list); err != nil {
+				if err := scenario.ChartLoads(chart, list); err != nil {
 					return err
 				}
 			}
--- a/cmd/gannethook/main_test.go
+++ b/cmd/gannethook/main_test.go
@@ -15,8 +15,8 @@
 
 	"go.uber.org/goleak"
 
-	"gannethook/internal/day"
 	"gannethook/internal/fleet"
+	"gannethook/internal/scenario"
 	"gannethook/internal/settings"
 )
 
@@ -69,7 +69,7 @@
 	if testing.Short() {
 		t.Skip("takes half a minute")
 	}
-	shortDay(t, func() (*day.Script, error) { return day.Parse("bad.gann", day.Bad) }, 0.25)
+	shortDay(t, func() (*scenario.Script, error) { return scenario.Parse("bad.gann", scenario.Bad) }, 0.25)
 }
 
 // The day of all troubles, shortened.
@@ -77,7 +77,7 @@
 	if testing.Short() {
 		t.Skip("takes half a minute")
 	}
-	shortDay(t, func() (*day.Script, error) { return day.Load("../../internal/day/all.gann") }, 0.25)
+	shortDay(t, func() (*scenario.Script, error) { return scenario.Load("../../internal/scenario/all.gann") }, 0.25)
 }
 
 // Three fronts before one fleet, shortened: sessions, chat over HTTP, batches;
@@ -86,7 +86,7 @@
 	if testing.Short() {
 		t.Skip("takes a quarter of a minute")
 	}
-	r := shortDay(t, func() (*day.Script, error) { return day.Load("../../internal/day/fronts.gann") }, 0.25)
+	r := shortDay(t, func() (*scenario.Script, error) { return scenario.Load("../../internal/scenario/fronts.gann") }, 0.25)
 	for i, c := range r.Script.Classes {
 		if r.Class[i].Served == 0 {
 			t.Errorf("nothing of class %s was served", c.Name)
@@ -101,20 +101,20 @@
 	if testing.Short() {
 		t.Skip("takes most of a minute")
 	}
-	r := shortDay(t, func() (*day.Script, error) { return day.Load("../../internal/day/roll.gann") }, 0.2)
+	r := shortDay(t, func() (*scenario.Script, error) { return scenario.Load("../../internal/scenario/roll.gann") }, 0.2)
 	if r.Ops.Runs < 30 || r.Ops.Codes[fleet.ExitUnknown] < 3 {
 		t.Errorf("%d runs of the tool, by exit status %v: three kills and a hang are due", r.Ops.Runs, r.Ops.Codes)
 	}
 }
 
-func shortDay(t *testing.T, load func() (*day.Script, error), times float64) *day.Result {
+func shortDay(t *testing.T, load func() (*scenario.Script, error), times float64) *scenario.Result {
 	t.Helper()
 	s, err := load()
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.Stretch(times)
-	r, err := day.Run(context.Background(), s, "module", t.TempDir(), command)
+	r, err := scenario.Run(context.Background(), s, "module", t.TempDir(), command)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/gannethook/serve.go
+++ b/cmd/gannethook/serve.go
@@ -15,7 +15,7 @@
 
 	"gannethook/internal/daemon"
 	"gannethook/internal/handover"
-	"gannethook/internal/life"
+	"gannethook/internal/lifecycle"
 	"gannethook/internal/settings"
 )
 
@@ -112,14 +112,14 @@
 // obey turns signals into commands until the router's life has ended.
 func obey(d *daemon.Daemon, stops, signals <-chan os.Signal) {
 	for n := 1; ; n++ {
-		c := life.Command{ID: fmt.Sprintf("signal %d of process %d", n, os.Getpid())}
+		c := lifecycle.Command{ID: fmt.Sprintf("signal %d of process %d", n, os.Getpid())}
 		select {
 		case <-stops:
-			c.Op = life.Stop
+			c.Op = lifecycle.Stop
 		case s := <-signals:
-			c.Op = life.Reload
+			c.Op = lifecycle.Reload
 			if s == syscall.SIGUSR2 {
-				c.Op = life.Restart
+				c.Op = lifecycle.Restart
 			}
 		case <-d.Ended():
 			return
--- a/internal/intake/intake.go
+++ b/internal/admission/controller.go
@@ -1,7 +1,7 @@
-// Package intake stands between the fronts and the driver: it has package limits
+// Package admission stands between the fronts and the driver: it has package limits
 // decide on each request, hands on what passes, and tells limits how it went.
 // Nothing here decides.
-package intake
+package admission
 
 import (
 	"sync"
@@ -26,8 +26,8 @@
 	Begun  bool   // other parts have run
 }
 
-// Intake hands requests to one driver. It is safe for concurrent use.
-type Intake struct {
+// Controller hands requests to one driver. It is safe for concurrent use.
+type Controller struct {
 	core  Core
 	done  func(driver.Summary) // told of what never came to the driver
 	start time.Time
@@ -41,25 +41,25 @@
 	over    bool          // nothing more is taken
 }
 
-// New returns an intake; Stop ends it.
-func New(core Core, set limits.Settings, done func(driver.Summary)) *Intake {
-	in := &Intake{core: core, done: done, start: time.Now(), lim: limits.New(set), tickets: map[uint64]*Ticket{}}
+// New returns a controller; Stop ends it.
+func New(core Core, set limits.Settings, done func(driver.Summary)) *Controller {
+	in := &Controller{core: core, done: done, start: time.Now(), lim: limits.New(set), tickets: map[uint64]*Ticket{}}
 	in.alarm = time.AfterFunc(time.Hour, in.tick)
 	in.alarm.Stop()
 	return in
 }
 
-func (in *Intake) now() time.Duration { return time.Since(in.start) }
+func (in *Controller) now() time.Duration { return time.Since(in.start) }
 
 // Ticket is a request on its way. It is the driver's sink for it.
 type Ticket struct {
-	in   *Intake
+	in   *Controller
 	id   uint64
 	job  Job
 	sink driver.Sink
 	came time.Time
 
-	// Under the intake's mu:
+	// Under the controller's mu:
 	handed bool
 	gone   bool // its client left before the driver had it
 	begun  bool
@@ -68,48 +68,48 @@
 }
 
 // ask is the request as limits see it.
-func (in *Intake) ask(id uint64, j *Job) limits.Ask {
+func (in *Controller) ask(id uint64, j *Job) limits.Request {
 	tokens := j.PromptSize + float64(j.MaxTokens)
-	return limits.Ask{ID: id, Tenant: j.Tenant, Class: j.Class, Client: j.Client, Retry: j.Retry, Paid: j.Paid, Begun: j.Begun,
-		Prompt: j.PromptSize, Tokens: tokens, Left: j.GiveUp,
+	return limits.Request{ID: id, Tenant: j.Tenant, Class: j.Class, Client: j.Client, Retry: j.Retry, Charged: j.Paid, PartsRun: j.Begun,
+		Prompt: j.PromptSize, Tokens: tokens, TimeLeft: j.Timeout,
 		Price: gannethook.Price(j.PromptSize) + gannethook.Price(float64(j.MaxTokens))}
 }
 
 // Submit takes a request in. Its sink gets exactly one final answer, at once or
 // later, also from this very call.
-func (in *Intake) Submit(job Job, sink driver.Sink) *Ticket {
+func (in *Controller) Submit(job Job, sink driver.Sink) *Ticket {
 	t := &Ticket{in: in, job: job, sink: sink, came: time.Now()}
 	in.mu.Lock()
 	if in.over {
 		in.mu.Unlock()
-		t.turnAway(driver.Answer{Kind: driver.Refused, Reason: driver.ErrStopped.Error()})
+		t.turnAway(driver.Answer{Outcome: driver.Refused, Reason: driver.ErrStopped.Error()})
 		return t
 	}
 	in.serial++
 	t.id = in.serial
 	in.tickets[t.id] = t
-	list := in.lim.Ask(in.now(), in.ask(t.id, &t.job))
+	list := in.lim.Admit(in.now(), in.ask(t.id, &t.job))
 	in.unlock(list)
 	return t
 }
 
 // Charge takes the budgets of a batch, whose parts are then Paid. A refusal says why.
-func (in *Intake) Charge(job Job) (ok bool, a driver.Answer) {
+func (in *Controller) Charge(job Job) (ok bool, a driver.Answer) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	v := in.lim.Charge(in.now(), in.ask(0, &job))
-	return v.Pass, refusal(v)
+	return v.Admitted, refusal(v)
 }
 
 // Refund gives back what Charge took for a batch of which nothing ran.
-func (in *Intake) Refund(job Job) {
+func (in *Controller) Refund(job Job) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	in.lim.Refund(in.ask(0, &job))
 }
 
 // unlock ends a call of the limiter's: verdicts are carried out without the lock.
-func (in *Intake) unlock(list []limits.Verdict) {
+func (in *Controller) unlock(list []limits.Verdict) {
 	for {
 		type step struct {
 			t *Ticket
@@ -121,7 +121,7 @@
 			if t == nil {
 				continue
 			}
-			if t.handed = v.Pass; !v.Pass {
+			if t.handed = v.Admitted; !v.Admitted {
 				t.over = true
 				delete(in.tickets, v.ID)
 			}
@@ -131,7 +131,7 @@
 		in.mu.Unlock()
 		var failed []*Ticket
 		for _, s := range steps {
-			if !s.v.Pass {
+			if !s.v.Admitted {
 				s.t.turnAway(refusal(s.v))
 			} else if !s.t.handOn() {
 				failed = append(failed, s.t)
@@ -152,14 +152,14 @@
 // handOn gives a request to the driver; where that is full, it is refused.
 func (t *Ticket) handOn() bool {
 	job := t.job.Job
-	job.Waited = time.Since(t.came)
+	job.QueuedFor = time.Since(t.came)
 	call, err := t.in.core.Submit(job, t)
 	t.in.mu.Lock()
 	t.call = call
 	gone := t.gone
 	t.in.mu.Unlock()
 	if err != nil {
-		t.turnAway(driver.Answer{Kind: driver.Refused, Reason: err.Error(), RetryAfter: time.Second})
+		t.turnAway(driver.Answer{Outcome: driver.Refused, Reason: err.Error(), RetryAfter: time.Second})
 		return false
 	}
 	if gone && call != nil {
@@ -169,7 +169,7 @@
 }
 
 // arm sets the alarm to when the limiter has something to do.
-func (in *Intake) arm() {
+func (in *Controller) arm() {
 	at, some := in.lim.Due()
 	switch {
 	case !some || in.over:
@@ -181,7 +181,7 @@
 	}
 }
 
-func (in *Intake) tick() {
+func (in *Controller) tick() {
 	in.mu.Lock()
 	in.due = 0
 	in.unlock(in.lim.Tick(in.now()))
@@ -191,14 +191,14 @@
 func (t *Ticket) turnAway(a driver.Answer) {
 	t.sink.Final(a)
 	if t.in.done != nil {
-		t.in.done(driver.Summary{Session: t.job.SessionID, Class: t.job.ClassName, Outcome: a.Kind, Reason: a.Reason,
-			RetryAfter: a.RetryAfter, PromptSize: t.job.PromptSize, Whole: time.Since(t.came)})
+		t.in.done(driver.Summary{Session: t.job.SessionID, Class: t.job.ClassName, Outcome: a.Outcome, Reason: a.Reason,
+			RetryAfter: a.RetryAfter, PromptSize: t.job.PromptSize, Total: time.Since(t.came)})
 	}
 }
 
 // refusal words a verdict that turns a request away.
 func refusal(v limits.Verdict) driver.Answer {
-	return driver.Answer{Kind: driver.Refused, RetryAfter: v.After, Reason: "limits: " + v.Why.String(), Why: v.Why}
+	return driver.Answer{Outcome: driver.Refused, RetryAfter: v.RetryAfter, Reason: "limits: " + v.Reason.String(), LimitReason: v.Reason}
 }
 
 // Token passes a token on; the first one takes the request out of hand.
@@ -209,13 +209,13 @@
 		in.mu.Unlock()
 	} else {
 		t.begun = true
-		in.unlock(in.lim.Begun(in.now(), t.id))
+		in.unlock(in.lim.FirstToken(in.now(), t.id))
 	}
 	return t.sink.Token(text)
 }
 
-var ends = map[driver.Kind]limits.End{driver.Served: limits.Served, driver.Refused: limits.Refused,
-	driver.Failed: limits.Failed, driver.Cancelled: limits.Gone}
+var ends = map[driver.Outcome]limits.End{driver.Served: limits.Served, driver.Refused: limits.Refused,
+	driver.Failed: limits.Failed, driver.Cancelled: limits.ClientGone}
 
 // Final takes the driver's answer.
 func (t *Ticket) Final(a driver.Answer) {
@@ -224,7 +224,7 @@
 	in.mu.Lock()
 	t.over = true
 	delete(in.tickets, t.id)
-	in.unlock(in.lim.Ended(in.now(), t.id, ends[a.Kind]))
+	in.unlock(in.lim.Ended(in.now(), t.id, ends[a.Outcome]))
 }
 
 // Abandon tells that the client took the request back or left.
@@ -243,47 +243,47 @@
 	default:
 		t.over = true
 		delete(in.tickets, t.id)
-		in.unlock(in.lim.Ended(in.now(), t.id, limits.Gone))
-		t.turnAway(driver.Answer{Kind: driver.Cancelled})
+		in.unlock(in.lim.Ended(in.now(), t.id, limits.ClientGone))
+		t.turnAway(driver.Answer{Outcome: driver.Cancelled})
 	}
 }
 
 // Reload takes new settings while requests wait.
-func (in *Intake) Reload(set limits.Settings) {
+func (in *Controller) Reload(set limits.Settings) {
 	in.mu.Lock()
 	in.unlock(in.lim.Reload(in.now(), set))
 }
 
-// Fleet tells how many routers there are.
-func (in *Intake) Fleet(routers int) {
+// SetRouters tells how many routers there are.
+func (in *Controller) SetRouters(routers int) {
 	in.mu.Lock()
-	in.lim.Fleet(in.now(), routers)
+	in.lim.SetRouters(in.now(), routers)
 	in.arm()
 	in.mu.Unlock()
 }
 
 // Revoke turns away what waits for a client whose key was taken back.
-func (in *Intake) Revoke(client uint64) {
+func (in *Controller) Revoke(client uint64) {
 	in.mu.Lock()
 	in.unlock(in.lim.Revoke(in.now(), client))
 }
 
 // Remaining tells what a tenant may still ask for.
-func (in *Intake) Remaining(tenant, class int) (requests, tokens limits.Left) {
+func (in *Controller) Remaining(tenant, class int) (requests, tokens limits.Allowance) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	return in.lim.Remaining(in.now(), tenant, class)
 }
 
 // View shows the limiter.
-func (in *Intake) View() limits.View {
+func (in *Controller) View() limits.View {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	return in.lim.View()
 }
 
 // Stop takes nothing more; what waits is refused.
-func (in *Intake) Stop() {
+func (in *Controller) Stop() {
 	in.mu.Lock()
 	in.over = true
 	in.alarm.Stop()
@@ -292,19 +292,19 @@
 }
 
 // Refuse refuses what waits, as when the time of a stop is over.
-func (in *Intake) Refuse() {
+func (in *Controller) Refuse() {
 	in.mu.Lock()
 	var list []*Ticket
 	for id, t := range in.tickets {
 		if !t.handed {
 			t.over = true
 			delete(in.tickets, id)
-			in.lim.Ended(in.now(), id, limits.Gone) // what waits frees no room
+			in.lim.Ended(in.now(), id, limits.ClientGone) // what waits frees no room
 			list = append(list, t)
 		}
 	}
 	in.mu.Unlock()
 	for _, t := range list {
-		t.turnAway(driver.Answer{Kind: driver.Refused, Reason: driver.ErrStopped.Error()})
+		t.turnAway(driver.Answer{Outcome: driver.Refused, Reason: driver.ErrStopped.Error()})
 	}
 }
--- a/internal/intake/intake_test.go
+++ b/internal/admission/controller_test.go
@@ -1,4 +1,4 @@
-package intake
+package admission
 
 import (
 	"fmt"
@@ -37,7 +37,7 @@
 		c.out-- // its first token takes it out of hand
 		c.mu.Unlock()
 		sink.Token([]byte(`"t"`))
-		sink.Final(driver.Answer{Kind: driver.Served, Tokens: 1})
+		sink.Final(driver.Answer{Outcome: driver.Served, Tokens: 1})
 	})
 	return nil, nil
 }
@@ -69,16 +69,16 @@
 }
 
 func set(hand, waiting int) limits.Settings {
-	return limits.Settings{Routers: 1, Classes: []limits.Class{{Aim: time.Second, Worth: 1}}, Waiting: waiting, WaitPart: 0.5,
-		Least: hand, Start: hand, Most: hand, Clients: 10, Back: 100 * time.Millisecond, BackMost: time.Second}
+	return limits.Settings{Routers: 1, Classes: []limits.Class{{Aim: time.Second, Worth: 1}}, MaxWaiting: waiting, WaitPart: 0.5,
+		MinInFlight: hand, StartInFlight: hand, MaxInFlight: hand, MaxClients: 10, MinRetryAfter: 100 * time.Millisecond, MaxRetryAfter: time.Second}
 }
 
 func job() Job {
-	return Job{Job: driver.Job{Tenant: -1, PromptSize: 100, MaxTokens: 10, GiveUp: 5 * time.Second}}
+	return Job{Job: driver.Job{Tenant: -1, PromptSize: 100, MaxTokens: 10, Timeout: 5 * time.Second}}
 }
 
 // run asks for so many at once, on the test's clock, and waits for all.
-func run(t *testing.T, c *core, hand, waiting, n int, do func(in *Intake, tickets []*Ticket)) (list []*sink) {
+func run(t *testing.T, c *core, hand, waiting, n int, do func(in *Controller, tickets []*Ticket)) (list []*sink) {
 	synctest.Test(t, func(t *testing.T) {
 		var mu sync.Mutex
 		told := 0
@@ -107,14 +107,14 @@
 }
 
 // count is how the requests ended.
-func count(t *testing.T, list []*sink) map[driver.Kind]int {
+func count(t *testing.T, list []*sink) map[driver.Outcome]int {
 	t.Helper()
-	m := map[driver.Kind]int{}
+	m := map[driver.Outcome]int{}
 	for i, s := range list {
 		if len(s.finals) != 1 {
 			t.Fatalf("request %d has %d final answers", i, len(s.finals))
 		}
-		m[s.finals[0].Kind]++
+		m[s.finals[0].Outcome]++
 	}
 	return m
 }
@@ -127,8 +127,8 @@
 	if m := count(t, list); m[driver.Served] != 10 || c.most > 2 {
 		t.Errorf("%v, %d in hand at once", m, c.most)
 	}
-	if last := c.jobs[9]; last.Waited != 200*time.Millisecond {
-		t.Errorf("the last waited %v by its job", last.Waited)
+	if last := c.jobs[9]; last.QueuedFor != 200*time.Millisecond {
+		t.Errorf("the last waited %v by its job", last.QueuedFor)
 	}
 }
 
@@ -152,7 +152,7 @@
 // A client that leaves while it waits, and one that left on its way, have one answer each.
 func TestLeft(t *testing.T) {
 	c := &core{takes: 50 * time.Millisecond}
-	list := run(t, c, 1, 100, 3, func(_ *Intake, tickets []*Ticket) {
+	list := run(t, c, 1, 100, 3, func(_ *Controller, tickets []*Ticket) {
 		tickets[1].Abandon()
 		tickets[1].Abandon()
 		tickets[0].Abandon() // the driver has it: its answer stands
@@ -167,7 +167,7 @@
 	c := &core{takes: time.Second}
 	var late *sink
 	from := time.Time{}
-	list := run(t, c, 1, 100, 4, func(in *Intake, _ []*Ticket) {
+	list := run(t, c, 1, 100, 4, func(in *Controller, _ []*Ticket) {
 		from = time.Now()
 		in.Stop()
 		late = &sink{t: t}
@@ -197,7 +197,7 @@
 			}
 			if i%50 == 0 {
 				in.Reload(set(4+i%3, 30))
-				in.Fleet(1 + i%4)
+				in.SetRouters(1 + i%4)
 				in.Revoke(uint64(i))
 			}
 		})
--- a/internal/attempt/ended.go
+++ b/internal/attempt/ended.go
@@ -26,19 +26,19 @@
 	return slices.ContainsFunc([]error{io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE}, func(end error) bool { return errors.Is(err, end) })
 }
 
-// Ended maps an error of the connection to how the attempt ended; spoilt are
+// ResultOf maps an error of the connection to how the attempt ended; spoilt are
 // the errors of an answer that came and can't be read.
-func Ended(ctx context.Context, err error, spoilt ...error) Result {
-	r := Result{Outcome: gannethook.Broken, Detail: err.Error(), Cut: true, Broke: EndedByPeer(err)}
+func ResultOf(ctx context.Context, err error, spoilt ...error) Result {
+	r := Result{Outcome: gannethook.Broken, Detail: err.Error(), Interrupted: true, ClosedByServer: EndedByPeer(err)}
 	var unsent NotSent
 	switch {
 	case errors.As(err, &unsent):
-		r.Outcome, r.Cut = gannethook.ConnectFailed, false
+		r.Outcome, r.Interrupted = gannethook.ConnectFailed, false
 		if unsent.Local {
 			r.Outcome = gannethook.NotTried
 		}
 	case ctx.Err() != nil:
-		r = Result{Outcome: gannethook.Cancelled, Detail: ctx.Err().Error(), Cut: true}
+		r = Result{Outcome: gannethook.Cancelled, Detail: ctx.Err().Error(), Interrupted: true}
 	case slices.ContainsFunc(spoilt, func(bad error) bool { return errors.Is(err, bad) }):
 		r.Outcome = gannethook.Failed
 	}
--- a/internal/attempt/mark.go
+++ b/internal/attempt/mark.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// Mark is something that happens once, or turns out not to, and that others wait for.
-type Mark struct {
+// Signal is something that happens once, or turns out not to, and that others wait for.
+type Signal struct {
 	once sync.Once
 	done chan struct{}
 	came bool
 	at   time.Time
 }
 
-// NewMark returns a mark that is not set.
-func NewMark() *Mark { return &Mark{done: make(chan struct{})} }
+// NewSignal returns a mark that is not set.
+func NewSignal() *Signal { return &Signal{done: make(chan struct{})} }
 
 // Set sets it to whether it came; the first call counts. A nil mark has nobody waiting.
-func (m *Mark) Set(came bool) {
+func (m *Signal) Set(came bool) {
 	if m != nil {
 		m.once.Do(func() {
 			m.came, m.at = came, time.Now()
@@ -27,8 +27,8 @@
 	}
 }
 
-// Came waits until it is known, and tells it. A nil mark came.
-func (m *Mark) Came(ctx context.Context) bool {
+// Wait waits until it is known, and tells it. A nil mark came.
+func (m *Signal) Wait(ctx context.Context) bool {
 	if m == nil {
 		return true
 	}
@@ -40,8 +40,8 @@
 	}
 }
 
-// When is when it came; zero: it did not, has not yet, or nobody asks.
-func (m *Mark) When() time.Time {
+// Time is when it came; zero: it did not, has not yet, or nobody asks.
+func (m *Signal) Time() time.Time {
 	if m == nil {
 		return time.Time{}
 	}
--- a/internal/batch/batch_test.go
+++ b/internal/batch/batch_test.go
@@ -6,10 +6,10 @@
 
 	"pgregory.net/rapid"
 
-	"gannethook/internal/steady"
+	"gannethook/internal/rapidseed"
 )
 
-func TestMain(m *testing.M) { steady.Main(m) }
+func TestMain(m *testing.M) { rapidseed.Main(m) }
 
 // Parts cover all texts in order, within the bounds, and are not needlessly many.
 func TestSplit(t *testing.T) {
--- a/internal/connpool/connpool.go
+++ b/internal/connpool/connpool.go
@@ -15,9 +15,9 @@
 
 // The states of a connection.
 const (
-	Quiet    State = iota // nothing yet
-	Readable              // bytes, or what only a read can tell
-	Ends                  // the peer's end, with nothing left before it
+	Quiet       State = iota // nothing yet
+	Readable                 // bytes, or what only a read can tell
+	PeerClosing              // the peer's end, with nothing left before it
 )
 
 // Look tells what can be read without a wait. It may be called while another
@@ -28,22 +28,22 @@
 	case err == errNoSocket || nothingYet(err):
 		return Quiet
 	case n <= 0:
-		return Ends // in order, or by any error that a broken connection shows
+		return PeerClosing // in order, or by any error that a broken connection shows
 	}
 	return Readable
 }
 
-// Ended tells whether the peer has closed a connection on which nothing is left
+// PeerClosed tells whether the peer has closed a connection on which nothing is left
 // to read. It may be called while another goroutine waits in Read.
-func Ended(nc net.Conn) bool {
-	return Look(nc) == Ends
+func PeerClosed(nc net.Conn) bool {
+	return Look(nc) == PeerClosing
 }
 
-// Stands tells whether nothing is readable on an unused connection: neither its
+// IsUsable tells whether nothing is readable on an unused connection: neither its
 // end nor bytes. A request written into a closed one would count as one that may
 // have run; bytes that nobody asked for spoil the next answer. It may be called
 // while another goroutine waits in Read.
-func Stands(nc net.Conn) bool {
+func IsUsable(nc net.Conn) bool {
 	return Look(nc) == Quiet
 }
 
@@ -65,10 +65,10 @@
 	return false
 }
 
-// Await waits until something is readable, bytes or the peer's end, and takes
-// nothing: until it is taken, Stands tells of it. It ends with an error when the
+// AwaitReadable waits until something is readable, bytes or the peer's end, and takes
+// nothing: until it is taken, IsUsable tells of it. It ends with an error when the
 // read deadline has passed or the connection is closed.
-func Await(nc net.Conn) error {
+func AwaitReadable(nc net.Conn) error {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
 		return nil
--- a/internal/connpool/idle.go
+++ b/internal/connpool/idle.go
@@ -13,14 +13,14 @@
 // Conn is a connection with its buffers, owned by one exchange at a time.
 type Conn struct {
 	net.Conn
-	BR     *bufio.Reader
-	BW     *bufio.Writer
-	Unused time.Duration // before it was taken; 0: it is new
-	ID     uint64        // in the log, of all connections of this process
-	name   string
-	since  time.Time // when it was put back
-	once   sync.Once
-	closed func()
+	BR      *bufio.Reader
+	BW      *bufio.Writer
+	IdleFor time.Duration // before it was taken; 0: it is new
+	ID      uint64        // in the log, of all connections of this process
+	name    string
+	since   time.Time // when it was put back
+	once    sync.Once
+	closed  func()
 }
 
 // New wraps a connection; closed, if not nil, is called once it is closed.
@@ -33,8 +33,8 @@
 
 // String tells which connection it is, and how it was come by.
 func (c *Conn) String() string {
-	if c.Unused > 0 {
-		return fmt.Sprintf("conn %d, unused for %v", c.ID, c.Unused.Round(time.Millisecond))
+	if c.IdleFor > 0 {
+		return fmt.Sprintf("conn %d, unused for %v", c.ID, c.IdleFor.Round(time.Millisecond))
 	}
 	return fmt.Sprintf("conn %d, new", c.ID)
 }
@@ -65,8 +65,8 @@
 	return &Idle{life: life, rest: rest, most: most, byName: map[string][]*Conn{}}
 }
 
-// Bound sets other bounds for what is kept from now on.
-func (i *Idle) Bound(life, rest time.Duration, most int) {
+// SetLimits sets other bounds for what is kept from now on.
+func (i *Idle) SetLimits(life, rest time.Duration, most int) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.life, i.rest, i.most = life, rest, most
@@ -79,8 +79,8 @@
 		if c == nil {
 			return nil
 		}
-		c.Unused = time.Since(c.since)
-		if c.Unused < life && Stands(c.Conn) {
+		c.IdleFor = time.Since(c.since)
+		if c.IdleFor < life && IsUsable(c.Conn) {
 			return c
 		}
 		c.Close()
--- a/internal/connpool/idle_test.go
+++ b/internal/connpool/idle_test.go
@@ -57,7 +57,7 @@
 		closed := 0
 		idle.Put("a", New(near, 512, func() { closed++ }))
 		spoil(far)
-		until(t, name, func() bool { return !Stands(near) })
+		until(t, name, func() bool { return !IsUsable(near) })
 		if c := idle.Take("a"); c != nil || closed != 1 {
 			t.Errorf("%s: took %v, closed %d times", name, c, closed)
 		}
@@ -87,7 +87,7 @@
 			idle.Put("a", c)
 		}
 		time.Sleep(60 * time.Millisecond)
-		if c := idle.Take("a"); c == nil || c == newer || c.Unused != 60*time.Millisecond {
+		if c := idle.Take("a"); c == nil || c == newer || c.IdleFor != 60*time.Millisecond {
 			t.Errorf("not the one that was put back last: %v", c)
 		}
 		time.Sleep(time.Second)
--- a/internal/connreuse/connreuse.go
+++ b/internal/connreuse/connreuse.go
@@ -22,16 +22,16 @@
 	lookout  = 0.05             // ours: part of what goes by kept ones all the same, so that an end is seen
 )
 
-// Kept learns how kept and new connections do. It is not safe for concurrent use.
-type Kept struct {
+// Policy learns how kept and new connections do. It is not safe for concurrent use.
+type Policy struct {
 	seen [2]struct{ all, bad float64 } // new, kept
 	at   time.Duration
 	turn float64
 }
 
-// Note takes in how a request on a connection went; bad is one that broke before
+// Record takes in how a request on a connection went; bad is one that broke before
 // its answer began. Times count from any moment.
-func (k *Kept) Note(now time.Duration, kept, bad bool) {
+func (k *Policy) Record(now time.Duration, kept, bad bool) {
 	k.fade(now)
 	s := &k.seen[index(kept)]
 	s.all++
@@ -40,10 +40,10 @@
 	}
 }
 
-// Fresh tells whether an attempt should go by a new connection: an unsafe one
+// UseNewConnection tells whether an attempt should go by a new connection: an unsafe one
 // may not be made again should it break; else left tells how many more its
 // request may make, negative any number.
-func (k *Kept) Fresh(now time.Duration, unsafe bool, left int) bool {
+func (k *Policy) UseNewConnection(now time.Duration, unsafe bool, left int) bool {
 	k.fade(now)
 	once := unsafe || left >= 0 && left <= lastOnes
 	most := usual
@@ -65,12 +65,12 @@
 }
 
 // part is the part of requests that broke.
-func (k *Kept) part(kept bool) float64 {
+func (k *Policy) part(kept bool) float64 {
 	s := k.seen[index(kept)]
 	return s.bad / (s.all + prior)
 }
 
-func (k *Kept) fade(now time.Duration) {
+func (k *Policy) fade(now time.Duration) {
 	if now <= k.at {
 		return
 	}
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -1,6 +1,6 @@
 // Package control is the operators' side of a router: gRPC on a unix socket
 // and, with certificates on both sides, on TCP. It decides who may call what;
-// what a command does is decided by package life.
+// what a command does is decided by package lifecycle.
 package control
 
 import (
@@ -18,7 +18,7 @@
 
 	"gannethook/internal/certs"
 	pb "gannethook/internal/control/controlpb"
-	"gannethook/internal/life"
+	"gannethook/internal/lifecycle"
 )
 
 // Router is what the control plane shows and commands. Its methods are safe
@@ -28,9 +28,9 @@
 	Sessions(most int) *pb.Sessions
 	Engines(ctx context.Context) (*pb.Engines, error)
 	Diff() *pb.Diff
-	Command(ctx context.Context, c life.Command) (life.Result, error)
-	Recall(ctx context.Context, id string) (life.Result, error) // of a command given before, or ErrNotKnown
-	LogLevel(level string) (string, error)                      // "" only asks
+	Command(ctx context.Context, c lifecycle.Command) (lifecycle.Result, error)
+	Recall(ctx context.Context, id string) (lifecycle.Result, error) // of a command given before, or ErrNotKnown
+	LogLevel(level string) (string, error)                           // "" only asks
 	Tape() *Tape
 }
 
@@ -157,7 +157,7 @@
 	}
 	boot := s.router.Status().GetBoot()
 	type end struct {
-		r   life.Result
+		r   lifecycle.Result
 		err error
 	}
 	ended := make(chan end, 1)
@@ -167,7 +167,7 @@
 			ended <- end{r, err}
 			return
 		}
-		r, err := s.router.Command(stream.Context(), life.Command{ID: req.GetId(), Op: life.Op(req.GetOp()),
+		r, err := s.router.Command(stream.Context(), lifecycle.Command{ID: req.GetId(), Op: lifecycle.Op(req.GetOp()),
 			Limit: time.Duration(req.GetLimitMs()) * time.Millisecond, Release: req.GetRelease()})
 		ended <- end{r, err}
 	}()
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -16,19 +16,19 @@
 	"go.uber.org/zap"
 
 	"gannethook"
+	"gannethook/internal/admission"
 	"gannethook/internal/apikeys"
 	"gannethook/internal/baseline"
 	"gannethook/internal/certs"
 	"gannethook/internal/control"
 	"gannethook/internal/driver"
+	"gannethook/internal/endpoints"
 	"gannethook/internal/engine"
 	"gannethook/internal/front"
 	"gannethook/internal/guard"
 	"gannethook/internal/handover"
-	"gannethook/internal/intake"
-	"gannethook/internal/life"
+	"gannethook/internal/lifecycle"
 	"gannethook/internal/limits"
-	"gannethook/internal/roster"
 	"gannethook/internal/settings"
 )
 
@@ -52,7 +52,7 @@
 	counts *counts
 	client *engine.Client
 	driver *driver.Driver
-	intake *intake.Intake
+	intake *admission.Controller
 	keys   *apikeys.File
 	doors  *certs.Files // of the clients' port
 	front  *front.Server
@@ -72,7 +72,7 @@
 	mu      sync.Mutex
 	cfg     *settings.File // that run
 	since   time.Time      // of the state
-	state   life.State
+	state   lifecycle.State
 	peers   int      // routers in the roster's list; 0: not listed
 	waiting []string // changed settings that wait for a restart
 	before  *predecessor
@@ -98,13 +98,13 @@
 // list, for its predecessor serves meanwhile.
 func StartWith(cfg *settings.File, opt Options, log *zap.Logger) (*Daemon, error) {
 	d := &Daemon{cfg: cfg, opt: opt, log: log, listed: make(chan struct{}), tape: control.NewTape(cfg.Control.Events),
-		counts: newCounts(cfg), since: time.Now(), state: life.Starting}
+		counts: newCounts(cfg), since: time.Now(), state: lifecycle.Starting}
 	if err := d.open(cfg); err != nil {
 		d.closeAll()
 		return nil, fmt.Errorf("start: %w", err)
 	}
-	d.keeper = newKeeper(life.Limits{Start: cfg.Control.Start, Drain: cfg.Sessions.Drain, Words: lastWords,
-		Keep: cfg.Control.Results}, (*hand)(d))
+	d.keeper = newKeeper(lifecycle.Limits{Start: cfg.Control.Start, Drain: cfg.Sessions.Drain, CloseGrace: lastWords,
+		MaxResults: cfg.Control.Results}, (*hand)(d))
 	ctx, cancel := context.WithCancel(context.Background())
 	d.stopWork = cancel
 	d.work.Go(func() { d.driver.Run(ctx) })
@@ -140,12 +140,12 @@
 	}
 	d.client = engine.NewClient(cfg.EngineLimits())
 	d.driver, err = driver.New(driver.Config{Settings: cfg.Module(), Decider: decider, Name: cfg.Name, Seed: cfg.Seed,
-		Inbox: cfg.Limits.Inbox, MaxOpen: cfg.Limits.Open, Engines: d.client, Done: d.done,
-		Guard: guard.NewMonitor(d.denied), Owed: d.owed, Forgot: d.forgot, Silent: d.silent})
+		Inbox: cfg.Limits.Inbox, MaxOpen: cfg.Limits.Open, Engines: d.client, OnSummary: d.done,
+		Guard: guard.NewMonitor(d.denied), OnPendingRelease: d.owed, OnAbandoned: d.forgot, OnSilence: d.silent})
 	if err != nil {
 		return err
 	}
-	d.intake = intake.New(d.driver, cfg.Limiter(), d.done)
+	d.intake = admission.New(d.driver, cfg.Limiter(), d.done)
 	if err := d.openDoors(cfg); err != nil {
 		return err
 	}
@@ -241,31 +241,31 @@
 
 // follow starts to follow the roster.
 func (d *Daemon) follow(ctx context.Context) {
-	names := roster.Names{Zones: d.cfg.Zones}
+	names := endpoints.Names{Zones: d.cfg.Zones}
 	for _, k := range d.cfg.Kinds {
 		names.Kinds = append(names.Kinds, k.Name)
 	}
 	r := d.cfg.Roster
 	if r.Routers != "" {
-		w := &roster.Watch{Addr: r.Watch, Namespace: r.Namespace, Service: r.Routers, Agent: d.cfg.Name, Silence: r.Silence,
-			Seed: d.cfg.Seed + 1, Names: roster.Names{Any: true}, Report: d.warn("routers"), Keep: d.routers,
+		w := &endpoints.Watch{Addr: r.Watch, Namespace: r.Namespace, Service: r.Routers, Agent: d.cfg.Name, Silence: r.Silence,
+			Seed: d.cfg.Seed + 1, Names: endpoints.Names{Any: true}, Report: d.warn("routers"), Keep: d.routers,
 			Publish: func(gannethook.Membership) {}}
 		d.work.Go(func() { w.Run(ctx) })
 	}
 	if r.File != "" {
-		f := &roster.File{Path: r.File, Every: r.Every, Names: names, Publish: d.update, Report: d.warn("roster")}
+		f := &endpoints.File{Path: r.File, Every: r.Every, Names: names, Publish: d.update, Report: d.warn("roster")}
 		d.work.Go(func() { f.Run(ctx) })
 		return
 	}
-	w := &roster.Watch{Addr: r.Watch, Namespace: r.Namespace, Service: r.Service, Agent: d.cfg.Name,
+	w := &endpoints.Watch{Addr: r.Watch, Namespace: r.Namespace, Service: r.Service, Agent: d.cfg.Name,
 		Silence: r.Silence, Seed: d.cfg.Seed, Names: names, Publish: d.update, Report: d.warn("roster")}
 	if r.Cache != "" {
 		var err error
-		if w.Start, err = roster.LoadCache(r.Cache, names); err != nil {
+		if w.Start, err = endpoints.LoadCache(r.Cache, names); err != nil {
 			d.log.Warn("the kept list can't be used", zap.Error(err))
 		}
 		w.Keep = func(list []gannethook.Server) {
-			if err := roster.SaveCache(r.Cache, list); err != nil {
+			if err := endpoints.SaveCache(r.Cache, list); err != nil {
 				d.log.Warn("the list can't be kept", zap.Error(err))
 			}
 		}
@@ -303,7 +303,7 @@
 func (d *Daemon) Ended() <-chan struct{} { return d.keeper.ended }
 
 // State is where the router is in its life.
-func (d *Daemon) State() life.State {
+func (d *Daemon) State() lifecycle.State {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.state
@@ -320,16 +320,16 @@
 func (d *Daemon) done(s driver.Summary) {
 	d.counts.add(d.Settings(), s)
 	d.keeper.changed()
-	ends := slices.DeleteFunc(s.Ends, func(e string) bool { return e == "" })
+	ends := slices.DeleteFunc(s.AttemptEnds, func(e string) bool { return e == "" })
 	d.log.Info("request", zap.Uint64("id", s.ID), zap.String("session", s.Session), zap.String("class", s.Class),
 		zap.String("reader", s.Reader), zap.String("writer", s.Writer), zap.Int("attempts", s.Attempts),
 		zap.Stringer("outcome", s.Outcome), zap.String("reason", s.Reason), zap.Float64("prompt", s.PromptSize),
-		zap.Int("tokens", s.Tokens), zap.Duration("first", s.FirstToken), zap.Duration("whole", s.Whole),
+		zap.Int("tokens", s.Tokens), zap.Duration("first", s.FirstToken), zap.Duration("whole", s.Total),
 		zap.Duration("retry_after", s.RetryAfter), zap.Strings("ends", ends))
 }
 
 // Command gives a command and waits for its result, or for the context.
-func (d *Daemon) Command(ctx context.Context, c life.Command) (life.Result, error) {
+func (d *Daemon) Command(ctx context.Context, c lifecycle.Command) (lifecycle.Result, error) {
 	if c.Limit <= 0 { // as the settings have it now, not as at the start
 		c.Limit = d.Settings().Sessions.Drain
 	}
@@ -354,11 +354,11 @@
 func (d *Daemon) stop(ctx context.Context) {
 	from := time.Now()
 	limit := d.Settings().Sessions.Drain
-	go d.keeper.command(context.Background(), life.Command{ID: "stop", Op: life.Stop, Limit: limit}, false)
+	go d.keeper.command(context.Background(), lifecycle.Command{ID: "stop", Op: lifecycle.Stop, Limit: limit}, false)
 	select {
 	case <-d.keeper.ended:
 	case <-ctx.Done(): // a second stop cuts the first short
-		go d.keeper.command(context.Background(), life.Command{ID: "stop now", Op: life.Stop, Limit: limit}, false)
+		go d.keeper.command(context.Background(), lifecycle.Command{ID: "stop now", Op: lifecycle.Stop, Limit: limit}, false)
 		<-d.keeper.ended
 	}
 	d.closeListeners()
@@ -396,7 +396,7 @@
 	d.peers = n
 	cfg := d.cfg
 	d.mu.Unlock()
-	d.intake.Fleet(n)
+	d.intake.SetRouters(n)
 	d.driver.Swap(d.module(cfg), cfg.Limits.Open)
 	d.tape.Add("routers", fmt.Sprint(n))
 }
--- a/internal/daemon/face.go
+++ b/internal/daemon/face.go
@@ -12,7 +12,7 @@
 
 	"gannethook/internal/control"
 	pb "gannethook/internal/control/controlpb"
-	"gannethook/internal/life"
+	"gannethook/internal/lifecycle"
 	"gannethook/internal/limits"
 	"gannethook/internal/reload"
 	"gannethook/internal/settings"
@@ -116,13 +116,13 @@
 }
 
 // Command gives a command.
-func (f *face) Command(ctx context.Context, c life.Command) (life.Result, error) {
+func (f *face) Command(ctx context.Context, c lifecycle.Command) (lifecycle.Result, error) {
 	return f.d().Command(ctx, c)
 }
 
 // Recall waits for the result of a command that was given before.
-func (f *face) Recall(ctx context.Context, id string) (life.Result, error) {
-	return f.keeper.command(ctx, life.Command{ID: id}, true)
+func (f *face) Recall(ctx context.Context, id string) (lifecycle.Result, error) {
+	return f.keeper.command(ctx, lifecycle.Command{ID: id}, true)
 }
 
 // LogLevel sets the log's level, and tells it.
--- a/internal/daemon/hand.go
+++ b/internal/daemon/hand.go
@@ -13,7 +13,7 @@
 	"golang.org/x/sys/unix"
 
 	"gannethook/internal/handover"
-	"gannethook/internal/life"
+	"gannethook/internal/lifecycle"
 	"gannethook/internal/reload"
 	"gannethook/internal/settings"
 )
@@ -28,7 +28,7 @@
 func (h *hand) accept() { h.front.Accept() }
 
 func (h *hand) turn() {
-	if h.state != life.Stopping { // announce has turned it then; it alone, on this goroutine, writes the state
+	if h.state != lifecycle.Stopping { // announce has turned it then; it alone, on this goroutine, writes the state
 		h.front.Turn(false)
 	}
 	h.keeper.changed()
@@ -38,7 +38,7 @@
 	h.tape.Add("give up", fmt.Sprintf("%d requests are failed at the deadline", h.driver.Open()))
 	go func() {
 		h.intake.Refuse()
-		h.driver.GiveUp() // it waits its turn in the inbox
+		h.driver.FailOpenRequests() // it waits its turn in the inbox
 	}()
 }
 
@@ -49,7 +49,7 @@
 
 // announce tells of a state. With Stopping the ports close: a successor has
 // copies, and without one there is nobody to serve what would come.
-func (h *hand) announce(s life.State) {
+func (h *hand) announce(s lifecycle.State) {
 	h.mu.Lock()
 	h.state, h.since = s, time.Now()
 	heir := h.heir
@@ -57,7 +57,7 @@
 	h.tape.Add("state", s.String())
 	h.log.Info("state", zap.Stringer("state", s))
 	sd.SdNotify(false, "STATUS="+s.String())
-	if s != life.Stopping {
+	if s != lifecycle.Stopping {
 		return
 	}
 	h.d().closeListeners()
@@ -142,7 +142,7 @@
 }
 
 // spawn starts a successor; the keeper learns how that ended.
-func (h *hand) spawn(e life.Spawn) {
+func (h *hand) spawn(e lifecycle.Spawn) {
 	heir, err := h.d().startHeir(e, h.keeper.m.Results())
 	if err == nil {
 		h.mu.Lock()
@@ -176,7 +176,7 @@
 	}
 }
 
-func (d *Daemon) startHeir(e life.Spawn, results []life.Result) (*handover.Heir, error) {
+func (d *Daemon) startHeir(e lifecycle.Spawn, results []lifecycle.Result) (*handover.Heir, error) {
 	cfg := d.Settings()
 	argv, err := d.program(cfg, e.Release)
 	if err != nil {
@@ -192,7 +192,7 @@
 		files = append(files, handover.Named{Name: lockName, Conn: d.run.lock})
 	}
 	// The result of this very restart is known to the successor, whose life is its proof.
-	results = append(results, life.Result{ID: e.ID, Done: true})
+	results = append(results, lifecycle.Result{ID: e.ID, Done: true})
 	return handover.Start(argv, handover.Parcel{Pid: os.Getpid(), Boot: d.front.Boot(), Results: results, Drained: e.Drained}, files)
 }
 
--- a/internal/daemon/http_test.go
+++ b/internal/daemon/http_test.go
@@ -18,7 +18,7 @@
 	"github.com/openai/openai-go/v3/option"
 
 	"gannethook/internal/certs"
-	"gannethook/internal/life"
+	"gannethook/internal/lifecycle"
 	"gannethook/internal/settings"
 	"gannethook/internal/standin"
 )
@@ -278,7 +278,7 @@
 	w.reader.Set(func(f *standin.Faults) { f.Slow = 300 })
 	busy.send(post("/v1/embeddings", embedding))
 	w.wait("whole", 2)
-	r, err := w.d.Command(context.Background(), life.Command{ID: "d", Op: life.Drain, Limit: 5 * time.Second})
+	r, err := w.d.Command(context.Background(), lifecycle.Command{ID: "d", Op: lifecycle.Drain, Limit: 5 * time.Second})
 	if err != nil || !r.Done || r.Cut {
 		t.Fatalf("%+v, %v", r, err)
 	}
--- a/internal/daemon/keeper.go
+++ b/internal/daemon/keeper.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"gannethook/internal/control"
-	"gannethook/internal/life"
+	"gannethook/internal/lifecycle"
 )
 
 // errEnded tells a commander that the router ended before it could answer.
@@ -16,12 +16,12 @@
 // keeper owns a router's life: one goroutine hands the machine what happens
 // and carries out what it wants. Nothing here decides.
 type keeper struct {
-	m     *life.Machine
+	m     *lifecycle.Machine
 	start time.Time
 	inbox chan func()
 	nudge chan struct{} // something may have closed
 	hands hands
-	wait  map[string][]chan life.Result
+	wait  map[string][]chan lifecycle.Result
 	due   atomic.Int64  // when the state's deadline is; 0: it has none
 	ended chan struct{} // closed by Exit
 	code  int
@@ -36,15 +36,15 @@
 	giveUp()
 	cut()
 	load(id string)
-	spawn(e life.Spawn)
+	spawn(e lifecycle.Spawn)
 	abort()
-	announce(s life.State)
+	announce(s lifecycle.State)
 	open() int
 }
 
-func newKeeper(lim life.Limits, h hands) *keeper {
-	return &keeper{m: life.New(lim, 0), start: time.Now(), inbox: make(chan func(), 64), nudge: make(chan struct{}, 1),
-		hands: h, wait: map[string][]chan life.Result{}, ended: make(chan struct{}), quit: make(chan struct{}),
+func newKeeper(lim lifecycle.Limits, h hands) *keeper {
+	return &keeper{m: lifecycle.New(lim, 0), start: time.Now(), inbox: make(chan func(), 64), nudge: make(chan struct{}, 1),
+		hands: h, wait: map[string][]chan lifecycle.Result{}, ended: make(chan struct{}), quit: make(chan struct{}),
 		over: make(chan struct{})}
 }
 
@@ -103,31 +103,31 @@
 	}
 }
 
-func (k *keeper) do(list []life.Effect) {
+func (k *keeper) do(list []lifecycle.Effect) {
 	for _, e := range list {
 		switch e := e.(type) {
-		case life.Accept:
+		case lifecycle.Accept:
 			k.hands.accept()
-		case life.Turn:
+		case lifecycle.StopAccepting:
 			k.hands.turn()
-		case life.GiveUp:
+		case lifecycle.FailOpenRequests:
 			k.hands.giveUp()
-		case life.Cut:
+		case lifecycle.CloseConnections:
 			k.hands.cut()
-		case life.Load:
+		case lifecycle.Load:
 			k.hands.load(e.ID)
-		case life.Spawn:
+		case lifecycle.Spawn:
 			k.hands.spawn(e)
-		case life.Abort:
+		case lifecycle.Abort:
 			k.hands.abort()
-		case life.Announce:
+		case lifecycle.Announce:
 			k.hands.announce(e.State)
-		case life.Reply:
+		case lifecycle.Reply:
 			for _, c := range k.wait[e.Result.ID] {
 				c <- e.Result
 			}
 			delete(k.wait, e.Result.ID)
-		case life.Exit:
+		case lifecycle.Exit:
 			k.code = e.Code
 			close(k.ended)
 		}
@@ -136,11 +136,11 @@
 
 // command gives a command and waits for its result. recall only waits for one
 // that was given before; control.ErrNotKnown tells that there was none.
-func (k *keeper) command(ctx context.Context, c life.Command, recall bool) (life.Result, error) {
-	got := make(chan life.Result, 1)
+func (k *keeper) command(ctx context.Context, c lifecycle.Command, recall bool) (lifecycle.Result, error) {
+	got := make(chan lifecycle.Result, 1)
 	k.post(func() {
 		if _, known, pending := k.m.Recall(c.ID); recall && !known && !pending {
-			got <- life.Result{}
+			got <- lifecycle.Result{}
 			return
 		}
 		k.wait[c.ID] = append(k.wait[c.ID], got)
@@ -156,8 +156,8 @@
 		}
 		return r, nil
 	case <-k.over:
-		return life.Result{}, errEnded
+		return lifecycle.Result{}, errEnded
 	case <-ctx.Done():
-		return life.Result{}, ctx.Err()
+		return lifecycle.Result{}, ctx.Err()
 	}
 }
--- a/internal/driver/call.go
+++ b/internal/driver/call.go
@@ -51,7 +51,7 @@
 	key    string // of what it may leave or take; "": nothing is held for it
 	out    bool
 	cancel context.CancelFunc
-	sent   *attempt.Mark
+	sent   *attempt.Signal
 	over   chan struct{}   // closed once its goroutine has left the server's connection; nil: there is none
 	off    *attempt.Result // what its end counts as once it was called off; nil: it was not
 	began  time.Time
@@ -70,7 +70,7 @@
 		if c.answered {
 			return
 		}
-		c.answer(Answer{Kind: Cancelled})
+		c.answer(Answer{Outcome: Cancelled})
 		c.d.tell(gannethook.ClientGone{ID: c.id})
 		for _, a := range c.attempts { // a stream is the client's: it ends with it
 			if a.out {
@@ -99,11 +99,11 @@
 		return
 	}
 	if !c.mayRefuse(retryAfter) {
-		c.answer(Answer{Kind: Failed, Reason: "an attempt may have run"})
+		c.answer(Answer{Outcome: Failed, Reason: "an attempt may have run"})
 		return
 	}
 	c.noteRepeat(len(c.attempts), "", false, time.Now())
-	c.answer(Answer{Kind: Refused, RetryAfter: retryAfter})
+	c.answer(Answer{Outcome: Refused, RetryAfter: retryAfter})
 }
 
 // send starts an attempt. One that the guard denies is moot, as for a request
@@ -133,15 +133,15 @@
 	default:
 		c.writer = s.Server
 	}
-	a.sent, a.over = attempt.NewMark(), make(chan struct{})
-	call := &attempt.Call{Sent: a.sent, Left: c.left(a.n), Traced: c.d.cfg.Traced,
-		Unsafe: !a.reads && c.set.Classes[c.job.Class].Effect == gannethook.Unsafe, Until: c.until(s.Timeout),
+	a.sent, a.over = attempt.NewSignal(), make(chan struct{})
+	call := &attempt.Call{Written: a.sent, RetriesLeft: c.left(a.n), Trace: c.d.cfg.Trace,
+		Unsafe: !a.reads && c.set.Classes[c.job.Class].Effect == gannethook.Unsafe, Deadline: c.until(s.Timeout),
 		Addr: string(s.Server), Key: c.key, Model: c.job.Model, Class: c.job.ClassName,
 		Tenant: c.job.TenantName, Idempotency: c.job.Idempotency, Prompt: c.job.Prompt, MaxTokens: c.job.MaxTokens,
-		PromptSize: c.job.PromptSize, KeptKey: c.job.PrefixName, Path: c.job.Path, Header: c.job.Header, Body: c.job.Body, Check: c.job.Check,
-		Sampling: c.job.Sampling, Gone: c.job.Gone}
+		PromptSize: c.job.PromptSize, PrefixKey: c.job.PrefixName, Path: c.job.Path, Header: c.job.Header, Body: c.job.Body, CheckAnswer: c.job.CheckAnswer,
+		Sampling: c.job.Sampling, ClientGone: c.job.ClientGone}
 	if s.Within > 0 {
-		call.Before = time.Now().Add(time.Duration(float64(s.Within) * 1e6))
+		call.WriteDeadline = time.Now().Add(time.Duration(float64(s.Within) * 1e6))
 	}
 	if !a.reads {
 		call.Params = c.params
@@ -149,7 +149,7 @@
 	if s.Timeout > 0 {
 		c.d.after(time.Duration(float64(s.Timeout)*1e6), timer{call: c, n: a.n})
 	}
-	before := c.beginHolding(a, call.Until)
+	before := c.beginHolding(a, call.Deadline)
 	c.d.work.Go(func() {
 		if before != nil {
 			select {
@@ -164,7 +164,7 @@
 
 // until is how long an attempt is waited for, until the client gives up at most.
 func (c *Call) until(timeout gannethook.Millis) time.Time {
-	end := c.came.Add(c.job.GiveUp)
+	end := c.came.Add(c.job.Timeout)
 	if own := time.Now().Add(time.Duration(float64(timeout) * 1e6)); timeout > 0 && own.Before(end) {
 		return own
 	}
@@ -197,19 +197,19 @@
 	a.sent.Set(false)
 	close(a.over)
 	closed := time.Now()
-	if c.effect() != guard.Safe && endOf(r) == heldstate.Closed {
+	if c.effect() != guard.Safe && endOf(r) == heldstate.ClosedByRouter {
 		// A refusal or a further attempt goes by another connection and may overtake the close: as far as the
 		// server knows the attempt is in flight until that has arrived.
-		c.d.pause(heldstate.NoticeGrace)
+		c.d.pause(heldstate.CloseNoticeGrace)
 	}
 	c.d.post(func() {
-		a.via = call.Via
+		a.via = call.Connection
 		a.noteEnd(r, closed)
-		c.noteRepeat(a.n, string(a.server), a.reads, a.sent.When())
+		c.noteRepeat(a.n, string(a.server), a.reads, a.sent.Time())
 		if a.off != nil && r.Outcome == gannethook.Cancelled {
-			begun := r.Begun
+			begun := r.BegunBy
 			r = *a.off
-			r.Begun = begun
+			r.BegunBy = begun
 		}
 		c.finish(a.n, r)
 	})
@@ -273,19 +273,19 @@
 	c.d.loose = append(c.d.loose, c)
 	a.cancel()
 	c.endHolding(a, r)
-	ev := gannethook.Ended{ID: c.id, Attempt: n, Server: a.server, Outcome: r.Outcome, NoState: r.NoState, Kept: r.Kept,
+	ev := gannethook.Ended{ID: c.id, Attempt: n, Server: a.server, Outcome: r.Outcome, NoState: r.NoState, Kept: r.CachedTokens,
 		Reported: r.Reported, Memory: r.Memory}
 	switch {
 	case r.Outcome == gannethook.ReadDone:
-		c.params, c.reads, c.kept = r.Params, c.reads+1, c.kept+r.Kept
+		c.params, c.reads, c.kept = r.Params, c.reads+1, c.kept+r.CachedTokens
 	case !a.reads && r.Outcome == gannethook.Served:
 		if c.first.IsZero() { // the whole comes at once
 			c.first = time.Now()
 		}
-		c.answer(Answer{Kind: Served, Tokens: r.Tokens, Body: r.Body})
+		c.answer(Answer{Outcome: Served, Tokens: r.Tokens, Body: r.Body})
 		ev.Done = true
 	case !a.reads && c.streaming:
-		c.answer(Answer{Kind: Failed, Tokens: r.Tokens, Reason: "the stream broke: " + r.Detail})
+		c.answer(Answer{Outcome: Failed, Tokens: r.Tokens, Reason: "the stream broke: " + r.Detail})
 		ev.Done = true
 	}
 	return ev
@@ -300,18 +300,18 @@
 
 func (c *Call) summary() Summary {
 	s := Summary{ID: uint64(c.id), Name: c.job.Name, Session: c.job.SessionID, Class: c.job.ClassName, Reader: string(c.reader),
-		Writer: string(c.writer), Attempts: len(c.attempts), Tokens: c.final.Tokens, Outcome: c.final.Kind,
-		Reason: c.final.Reason, Whole: c.ended.Sub(c.came), RetryAfter: c.final.RetryAfter, PromptSize: c.job.PromptSize,
-		Read: float64(c.reads) * c.job.PromptSize, Kept: c.kept}
+		Writer: string(c.writer), Attempts: len(c.attempts), Tokens: c.final.Tokens, Outcome: c.final.Outcome,
+		Reason: c.final.Reason, Total: c.ended.Sub(c.came), RetryAfter: c.final.RetryAfter, PromptSize: c.job.PromptSize,
+		Read: float64(c.reads) * c.job.PromptSize, CachedTokens: c.kept}
 	if !c.first.IsZero() {
 		s.FirstToken = c.first.Sub(c.came)
 	}
 	for _, a := range c.attempts {
-		s.Ends = append(s.Ends, fmt.Sprintf("%s after %v by %s, took %v: %s", a.server, a.began.Sub(c.came).Round(time.Millisecond),
+		s.AttemptEnds = append(s.AttemptEnds, fmt.Sprintf("%s after %v by %s, took %v: %s", a.server, a.began.Sub(c.came).Round(time.Millisecond),
 			cmp.Or(a.via, "no conn"), a.took.Round(time.Millisecond), cmp.Or(a.detail, "well")))
 	}
 	for _, at := range c.lets {
-		s.Lets = append(s.Lets, at.Sub(c.came).Round(time.Millisecond))
+		s.ReleasedAfter = append(s.ReleasedAfter, at.Sub(c.came).Round(time.Millisecond))
 	}
 	return s
 }
--- a/internal/driver/driver.go
+++ b/internal/driver/driver.go
@@ -18,28 +18,28 @@
 	"gannethook/internal/faults"
 	"gannethook/internal/guard"
 	"gannethook/internal/heldstate"
-	"gannethook/internal/holdwatch"
+	"gannethook/internal/holdmonitor"
 )
 
 // Config sets a driver up.
 type Config struct {
-	Settings gannethook.Settings
-	Decider  Decider // nil: the module
-	Names    Names   // of what the settings number; jobs carry the names then, and their numbers are looked up
-	Name     string  // of this router, in the engines' logs
-	Seed     uint64
-	Inbox    int // events that may wait
-	MaxOpen  int // requests that may be open
-	Engines  Engines
-	Traced   bool            // summaries are logged: they tell of connections too
-	Guard    *guard.Monitor  // counts what the module may not do; nil: nobody asks
-	Tell     func(Kind) bool // whether the summary of a request that ended so is wanted; nil: of each
-	Done     func(Summary)   // called with it on the driver's goroutine
-	Took     func(time.Duration)
-	Owed     func(heldstate.Report)    // called for what has been owed for half of its time
-	Forgot   func(heldstate.Forgotten) // called for what left without proof that nothing is held
-	Repeated func(Repeat)              // called for each further attempt and refusal of a request whose effect counts, behind a close
-	Silent   func(holdwatch.Report)    // called for what servers may hold and of which nothing was heard for half of its time
+	Settings         gannethook.Settings
+	Decider          Decider // nil: the module
+	Names            Names   // of what the settings number; jobs carry the names then, and their numbers are looked up
+	Name             string  // of this router, in the engines' logs
+	Seed             uint64
+	Inbox            int // events that may wait
+	MaxOpen          int // requests that may be open
+	Engines          Engines
+	Trace            bool               // summaries are logged: they tell of connections too
+	Guard            *guard.Monitor     // counts what the module may not do; nil: nobody asks
+	WantsSummary     func(Outcome) bool // whether the summary of a request that ended so is wanted; nil: of each
+	OnSummary        func(Summary)      // called with it on the driver's goroutine
+	Took             func(time.Duration)
+	OnPendingRelease func(heldstate.Report)         // called for what has been owed for half of its time
+	OnAbandoned      func(heldstate.AbandonedEntry) // called for what left without proof that nothing is held
+	OnRepeat         func(Repeat)                   // called for each further attempt and refusal of a request whose effect counts, behind a close
+	OnSilence        func(holdmonitor.Report)       // called for what servers may hold and of which nothing was heard for half of its time
 }
 
 // Driver runs one router.
@@ -65,7 +65,7 @@
 	roles     map[gannethook.ServerID]gannethook.Role
 	held      *heldstate.Ledger
 	probeKey  string // that no request has
-	watch     *holdwatch.Watch
+	watch     *holdmonitor.Monitor
 	oldFaults oldFaults
 	anyOver   bool                     // some request is over
 	wanted    []string                 // keys of which all is to be let go, since the last event
@@ -96,7 +96,7 @@
 		start: now, startMS: float64(wall.UnixMicro()) / 1000,
 		boot: cfg.Name + "-" + strconv.FormatInt(wall.UnixNano(), 36), set: &cfg.Settings, names: cfg.Names,
 		calls: map[gannethook.RequestID]*Call{}, roles: map[gannethook.ServerID]gannethook.Role{},
-		held: heldstate.New(), probeKey: newProbeKey(), watch: holdwatch.New(), oldFaults: oldFaults{}, going: map[string]chan struct{}{}}
+		held: heldstate.New(), probeKey: newProbeKey(), watch: holdmonitor.New(), oldFaults: oldFaults{}, going: map[string]chan struct{}{}}
 	d.maxOpen.Store(int64(cfg.MaxOpen))
 	return d, nil
 }
@@ -157,13 +157,13 @@
 	d.cfg.Took(time.Since(from))
 }
 
-// GiveUp fails every open request, as when the time of a stop is over.
-func (d *Driver) GiveUp() { d.post(d.failAll) }
+// Timeout fails every open request, as when the time of a stop is over.
+func (d *Driver) FailOpenRequests() { d.post(d.failAll) }
 
 // failAll ends what is open when the router stops; a failure promises nothing.
 func (d *Driver) failAll() {
 	for _, c := range d.calls {
-		c.answer(Answer{Kind: Failed, Reason: "the router stops"})
+		c.answer(Answer{Outcome: Failed, Reason: "the router stops"})
 		for _, a := range c.attempts {
 			c.end(a.n, attempt.Result{Outcome: gannethook.Cancelled, Detail: "the router stops"})
 		}
@@ -200,7 +200,7 @@
 		d.open.Add(-1)
 		return nil, ErrBusy
 	}
-	c := &Call{d: d, job: job, sink: sink, came: time.Now().Add(-job.Waited)}
+	c := &Call{d: d, job: job, sink: sink, came: time.Now().Add(-job.QueuedFor)}
 	select {
 	case d.inbox <- func() { d.take(c) }:
 		return c, nil
@@ -305,18 +305,18 @@
 
 // heldGone tells the ledger that nothing is held at a server any more.
 func (d *Driver) heldGone(id gannethook.ServerID) {
-	d.held.Gone(string(id), time.Now())
+	d.held.ServerRemoved(string(id), time.Now())
 	d.heldChanged()
 }
 
 func (d *Driver) take(c *Call) {
 	if d.over {
-		c.answer(Answer{Kind: Refused, Reason: ErrStopped.Error()})
+		c.answer(Answer{Outcome: Refused, Reason: ErrStopped.Error()})
 		d.settle()
 		return
 	}
 	if !d.number(&c.job) {
-		c.answer(Answer{Kind: Refused, Reason: "the settings have no such class any more"})
+		c.answer(Answer{Outcome: Refused, Reason: "the settings have no such class any more"})
 		d.settle()
 		return
 	}
@@ -324,10 +324,10 @@
 	d.lastID++
 	c.id = gannethook.RequestID(d.lastID)
 	d.calls[c.id] = c
-	budget := c.job.GiveUp - time.Since(c.came) // it has waited in the inbox
+	budget := c.job.Timeout - time.Since(c.came) // it has waited in the inbox
 	d.tell(gannethook.Request{ID: c.id, Class: c.job.Class, Tenant: c.job.Tenant, Session: c.job.Session,
 		Prefix: c.job.Prefix, Budget: gannethook.Millis(max(budget, 0).Seconds() * 1000),
-		Prompt: c.job.PromptSize, PrefixLen: c.job.Kept, MaxOut: float64(c.job.MaxTokens)})
+		Prompt: c.job.PromptSize, PrefixLen: c.job.PrefixTokens, MaxOut: float64(c.job.MaxTokens)})
 }
 
 // number looks up the numbers of a job's class and tenant; it is false where the
@@ -380,7 +380,7 @@
 		}
 	case gannethook.Fail:
 		if c := d.calls[a.ID]; c != nil {
-			c.answer(Answer{Kind: Failed})
+			c.answer(Answer{Outcome: Failed})
 		}
 	case gannethook.Wake:
 		d.after(time.Duration(float64(a.In)*1e6), timer{ref: a.Ref})
@@ -407,8 +407,8 @@
 		c.owe()
 		delete(d.calls, c.id)
 		d.open.Add(-1)
-		if d.cfg.Done != nil && (d.cfg.Tell == nil || d.cfg.Tell(c.final.Kind)) {
-			d.cfg.Done(c.summary())
+		if d.cfg.OnSummary != nil && (d.cfg.WantsSummary == nil || d.cfg.WantsSummary(c.final.Outcome)) {
+			d.cfg.OnSummary(c.summary())
 		}
 	}
 	clear(d.loose)
--- a/internal/driver/driver_test.go
+++ b/internal/driver/driver_test.go
@@ -134,7 +134,7 @@
 	return attempt.Result{Outcome: gannethook.Served, Tokens: f.tokens}
 }
 
-func (f *fake) Hold(ctx context.Context, call *attempt.Call, _ string) attempt.Place {
+func (f *fake) Hold(ctx context.Context, call *attempt.Call, _ string) attempt.PlaceResult {
 	if wait(ctx, f.hold); f.holdOK {
 		f.count(f.held, call.Addr, call.Key)
 	}
@@ -144,13 +144,13 @@
 	return attempt.Denied
 }
 
-func (f *fake) Heard(string) (sent, answered time.Time) { return time.Now(), time.Now() }
+func (f *fake) LastAnswer(string) (sent, answered time.Time) { return time.Now(), time.Now() }
 
-func (f *fake) ReleaseAt(ctx context.Context, h attempt.Held) attempt.Released {
+func (f *fake) ReleaseAt(ctx context.Context, h attempt.Held) attempt.ReleaseResult {
 	return f.Release(ctx, []attempt.Held{h})
 }
 
-func (f *fake) Release(_ context.Context, list []attempt.Held) attempt.Released {
+func (f *fake) Release(_ context.Context, list []attempt.Held) attempt.ReleaseResult {
 	sent := time.Now()
 	f.mu.Lock()
 	f.releasing = true
@@ -166,7 +166,7 @@
 			f.let[k]++
 		}
 	}
-	return attempt.Released{Taken: true, Server: list[0].Addr, Sent: sent}
+	return attempt.ReleaseResult{Acknowledged: true, Server: list[0].Addr, SentAt: sent}
 }
 
 // sink records what a client would get.
@@ -209,7 +209,7 @@
 	f.hold, f.failFirst, f.tokens = 300*ms, true, 50
 	run(t, f, func(d *Driver) {
 		s, a := ask(t, d, 0)
-		if a.Kind != Served || s.tokens != 50 {
+		if a.Outcome != Served || s.tokens != 50 {
 			t.Errorf("%+v", a)
 		}
 		time.Sleep(time.Second)
@@ -227,7 +227,7 @@
 	f := newFake()
 	f.holdOK = false
 	run(t, f, func(d *Driver) {
-		if _, a := ask(t, d, 0); a.Kind != Served {
+		if _, a := ask(t, d, 0); a.Outcome != Served {
 			t.Errorf("%+v", a)
 		}
 		synctest.Wait()
@@ -270,7 +270,7 @@
 				})})
 			stop := drive(t, d, err)
 			d.Update(gannethook.Membership{Servers: []gannethook.Server{{ID: "r", State: gannethook.Ready}, {ID: "w", Kind: 1, State: gannethook.Ready}}})
-			if _, a := ask(t, d, 0); a.Kind != Served || len(f.params) != 1 || f.params[0] != c.params {
+			if _, a := ask(t, d, 0); a.Outcome != Served || len(f.params) != 1 || f.params[0] != c.params {
 				t.Errorf("%s: %+v, state with the write %v", c.name, a, f.params)
 			}
 			stop()
@@ -286,7 +286,7 @@
 	set.Cancel = false
 	runWith(t, f, set, func(d *Driver) {
 		s, a := ask(t, d, 1)
-		if a.Kind != Failed {
+		if a.Outcome != Failed {
 			t.Errorf("%+v", a)
 		}
 		time.Sleep(10 * time.Second)
@@ -353,7 +353,7 @@
 }
 
 func job(class int) Job {
-	return Job{Class: class, ClassName: "c", GiveUp: 3 * time.Second, PromptSize: 100, MaxTokens: 50, Prompt: "p"}
+	return Job{Class: class, ClassName: "c", Timeout: 3 * time.Second, PromptSize: 100, MaxTokens: 50, Prompt: "p"}
 }
 
 // ask submits a request and waits for its answer.
@@ -386,15 +386,15 @@
 		return s.finals[0]
 	}
 	runWith(t, f, set, func(d *Driver) {
-		if a := whole(d, 2); a.Kind != Served || string(a.Body) != "{}" || !a.MayHaveRun {
+		if a := whole(d, 2); a.Outcome != Served || string(a.Body) != "{}" || !a.MayHaveRun {
 			t.Errorf("%+v", a)
 		}
 		f.writeEnds = attempt.Result{Outcome: gannethook.Broken}
-		if a := whole(d, 3); a.Kind != Failed || !a.MayHaveRun || f.writes != 2 {
+		if a := whole(d, 3); a.Outcome != Failed || !a.MayHaveRun || f.writes != 2 {
 			t.Errorf("%+v after %d attempts; unsafe work whose attempt broke may have run", a, f.writes)
 		}
 		f.writeEnds.Outcome = gannethook.Full
-		if a := whole(d, 3); a.Kind != Refused || a.MayHaveRun {
+		if a := whole(d, 3); a.Outcome != Refused || a.MayHaveRun {
 			t.Errorf("%+v", a)
 		}
 		synctest.Wait()
@@ -420,7 +420,7 @@
 	f := newFake()
 	run(t, f, func(d *Driver) {
 		s, a := ask(t, d, 1)
-		if a.Kind != Served || a.Tokens != 5 || s.tokens != 5 || !a.MayHaveRun {
+		if a.Outcome != Served || a.Tokens != 5 || s.tokens != 5 || !a.MayHaveRun {
 			t.Errorf("%+v, %d tokens", a, s.tokens)
 		}
 		synctest.Wait()
@@ -442,10 +442,10 @@
 		run(t, f, func(d *Driver) {
 			from := time.Now()
 			s, a := ask(t, d, 1)
-			if took := s.at.Sub(from); took > 3*time.Second || a.Kind == Served {
-				t.Errorf("%s: %v after %v", name, a.Kind, took)
+			if took := s.at.Sub(from); took > 3*time.Second || a.Outcome == Served {
+				t.Errorf("%s: %v after %v", name, a.Outcome, took)
 			}
-			if a.Kind == Refused && a.MayHaveRun {
+			if a.Outcome == Refused && a.MayHaveRun {
 				t.Errorf("%s: refused although it may have run", name)
 			}
 		})
@@ -461,7 +461,7 @@
 		f := newFake()
 		f.writeEnds = attempt.Result{Outcome: o}
 		run(t, f, func(d *Driver) {
-			if _, a := ask(t, d, 1); a.Kind != Failed || !a.MayHaveRun || f.writes != 1 {
+			if _, a := ask(t, d, 1); a.Outcome != Failed || !a.MayHaveRun || f.writes != 1 {
 				t.Errorf("unsafe after %v: %+v, %d writes", o, a, f.writes)
 			}
 			f.writes = 0
@@ -473,7 +473,7 @@
 	f := newFake()
 	f.writeEnds = attempt.Result{Outcome: gannethook.Full}
 	run(t, f, func(d *Driver) {
-		if _, a := ask(t, d, 1); a.Kind != Refused || a.MayHaveRun || a.RetryAfter <= 0 || f.writes < 2 {
+		if _, a := ask(t, d, 1); a.Outcome != Refused || a.MayHaveRun || a.RetryAfter <= 0 || f.writes < 2 {
 			t.Errorf("unsafe after being turned away: %+v, %d writes", a, f.writes)
 		}
 	})
@@ -512,7 +512,7 @@
 		c.Abandon()
 		<-s.done
 		synctest.Wait()
-		if s.finals[0].Kind != Cancelled || !s.finals[0].MayHaveRun || s.tokens != 1 || d.Open() != 0 {
+		if s.finals[0].Outcome != Cancelled || !s.finals[0].MayHaveRun || s.tokens != 1 || d.Open() != 0 {
 			t.Errorf("%+v, %d tokens, %d open", s.finals, s.tokens, d.Open())
 		}
 	})
@@ -630,7 +630,7 @@
 			})})
 		stop := drive(t, d, err)
 		d.Update(gannethook.Membership{Servers: []gannethook.Server{{ID: "s2", Kind: 1, State: gannethook.Ready}}})
-		if _, a := ask(t, d, 1); a.Kind != Failed {
+		if _, a := ask(t, d, 1); a.Outcome != Failed {
 			t.Errorf("%+v", a)
 		}
 		time.Sleep(time.Second)
@@ -676,8 +676,8 @@
 			stop := drive(t, d, err)
 			d.Update(gannethook.Membership{Servers: []gannethook.Server{{ID: "s0", State: gannethook.Ready}}})
 			s, a := ask(t, d, 1)
-			if a.Kind != Refused || f.left.IsZero() || s.at.Before(f.left.Add(20*ms)) { // and its close has arrived
-				t.Errorf("%v at %v, the attempt left at %v", a.Kind, s.at, f.left)
+			if a.Outcome != Refused || f.left.IsZero() || s.at.Before(f.left.Add(20*ms)) { // and its close has arrived
+				t.Errorf("%v at %v, the attempt left at %v", a.Outcome, s.at, f.left)
 			}
 			if want := map[bool]gannethook.Outcome{true: gannethook.Cancelled, false: gannethook.TimedOut}[timeout == 0]; ended.Outcome != want {
 				t.Errorf("ended with %v, %v expected", ended.Outcome, want)
@@ -690,9 +690,9 @@
 // Guards against a refusal that overtakes the close of an answer which the router could not read.
 func TestRefusedOnceAnUnreadableAnswerIsClosed(t *testing.T) {
 	for _, end := range []attempt.Result{
-		{Outcome: gannethook.Failed, Cut: true}, // noise, or an answer that stops half-way
-		{Outcome: gannethook.Broken, Cut: true}, // an error of this machine: the server has ended nothing
-		{Outcome: gannethook.Failed, Cut: true, Detail: "status 500"},
+		{Outcome: gannethook.Failed, Interrupted: true}, // noise, or an answer that stops half-way
+		{Outcome: gannethook.Broken, Interrupted: true}, // an error of this machine: the server has ended nothing
+		{Outcome: gannethook.Failed, Interrupted: true, Detail: "status 500"},
 	} {
 		t.Run(fmt.Sprint(end.Outcome, end.Detail), func(t *testing.T) { refusedBehind(t, end) })
 	}
@@ -705,7 +705,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		var told []Repeat
 		d, err := New(Config{Settings: testSettings(), Inbox: 10, MaxOpen: 10, Engines: f,
-			Repeated: func(r Repeat) { told = append(told, r) },
+			OnRepeat: func(r Repeat) { told = append(told, r) },
 			Decider: decide(func(ev gannethook.Event) (acts []gannethook.Action) {
 				switch ev := ev.(type) {
 				case gannethook.Request:
@@ -719,10 +719,10 @@
 		defer stop()
 		d.Update(gannethook.Membership{Servers: []gannethook.Server{{ID: "s0", State: gannethook.Ready}}})
 		s, a := ask(t, d, 1)
-		if behind := s.at.Sub(f.left); a.Kind != Refused || behind < heldstate.NoticeGrace {
-			t.Errorf("%v, %v behind the close", a.Kind, behind)
+		if behind := s.at.Sub(f.left); a.Outcome != Refused || behind < heldstate.CloseNoticeGrace {
+			t.Errorf("%v, %v behind the close", a.Outcome, behind)
 		}
-		if len(told) != 1 || told[0].Earlier != "s0" || told[0].Behind != heldstate.NoticeGrace {
+		if len(told) != 1 || told[0].Earlier != "s0" || told[0].After != heldstate.CloseNoticeGrace {
 			t.Errorf("told: %+v", told)
 		}
 	})
@@ -777,7 +777,7 @@
 		<-s.done
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		if a := s.finals[0]; a.Kind != Served || f.reads != 2 {
+		if a := s.finals[0]; a.Outcome != Served || f.reads != 2 {
 			t.Errorf("%+v after %d reads", a, f.reads)
 		}
 		if !f.released || f.readWhileReleasing {
--- a/internal/driver/guard.go
+++ b/internal/driver/guard.go
@@ -22,8 +22,8 @@
 // maySend asks the guard whether the module's next attempt may be made.
 func (c *Call) maySend() bool {
 	why := guard.MaySend(guard.SendFacts{Effect: c.effect(), Answered: c.answered, Streaming: c.streaming,
-		EffectOut:  slices.ContainsFunc(c.attempts, func(a *try) bool { return a.out && !a.reads }),
-		MayHaveRun: slices.ContainsFunc(c.attempts, func(a *try) bool { return !a.out && a.mayHaveRun() })})
+		EffectInFlight: slices.ContainsFunc(c.attempts, func(a *try) bool { return a.out && !a.reads }),
+		MayHaveRun:     slices.ContainsFunc(c.attempts, func(a *try) bool { return !a.out && a.mayHaveRun() })})
 	return c.d.cfg.Guard.Check(guard.Send, why, c.job.Name)
 }
 
--- a/internal/driver/held.go
+++ b/internal/driver/held.go
@@ -14,7 +14,7 @@
 	"gannethook/internal/faults"
 	"gannethook/internal/guard"
 	"gannethook/internal/heldstate"
-	"gannethook/internal/holdwatch"
+	"gannethook/internal/holdmonitor"
 )
 
 // The ledger of internal/heldstate decides when what servers hold is released.
@@ -28,8 +28,8 @@
 
 // terms are those of what is held for the request.
 func (c *Call) terms() heldstate.Terms {
-	return heldstate.Terms{Request: cmp.Or(c.job.Name, strconv.FormatUint(uint64(c.id), 10)), Shared: c.job.Name != "", Spared: c.set.SparesWaited,
-		Pin: time.Duration(float64(c.set.PinLimit) * float64(time.Millisecond))}
+	return heldstate.Terms{Request: cmp.Or(c.job.Name, strconv.FormatUint(uint64(c.id), 10)), Shared: c.job.Name != "", PreservesWaiting: c.set.SparesWaited,
+		PinLimit: time.Duration(float64(c.set.PinLimit) * float64(time.Millisecond))}
 }
 
 // beginHolding notes that an attempt is sent, whose server is told how long it is waited for. It returns what closes once the attempt may be
@@ -49,12 +49,12 @@
 	d.makeReleases(d.held.Flush(a.key))
 	d.heldChanged()
 	terms := c.terms()
-	terms.Left = max(time.Until(until), time.Millisecond)
+	terms.AttemptTimeout = max(time.Until(until), time.Millisecond)
 	if faults.Broken(faults.BreakLost) || faults.Broken(faults.BreakUnheard) {
-		terms.Left = -1
+		terms.AttemptTimeout = -1
 	}
-	d.held.Began(a.key, terms, string(a.server), a.reads, time.Now())
-	d.watch.Sent(a.key, terms.Request, terms.Pin, a.watched(), string(a.server), time.Now())
+	d.held.AttemptStarted(a.key, terms, string(a.server), a.reads, time.Now())
+	d.watch.Sent(a.key, terms.Request, terms.PinLimit, a.watched(), string(a.server), time.Now())
 	return d.going[a.key]
 }
 
@@ -64,8 +64,8 @@
 		return
 	}
 	end := endOf(r)
-	if end == heldstate.Closed && !r.Begun.IsZero() {
-		c.d.held.Begun(a.key, string(a.server), a.reads, r.Begun)
+	if end == heldstate.ClosedByRouter && !r.BegunBy.IsZero() {
+		c.d.held.AttemptBegunBy(a.key, string(a.server), a.reads, r.BegunBy)
 	}
 	if a.reads {
 		c.d.held.ReadEnded(a.key, string(a.server), end, time.Now())
@@ -77,46 +77,46 @@
 }
 
 // watched is the attempt's kind in reports of silence.
-func (a *try) watched() holdwatch.Kind {
+func (a *try) watched() holdmonitor.Kind {
 	if a.reads {
-		return holdwatch.Read
+		return holdmonitor.Read
 	}
-	return holdwatch.Write
+	return holdmonitor.Write
 }
 
 // watchedEnd is an end in reports of silence.
-func watchedEnd(end heldstate.End) holdwatch.Outcome {
+func watchedEnd(end heldstate.AttemptEnd) holdmonitor.Outcome {
 	switch end {
-	case heldstate.NeverArrived:
-		return holdwatch.NotSent
-	case heldstate.TurnedAway:
-		return holdwatch.TurnedAway
-	case heldstate.Answered:
-		return holdwatch.Answered
-	}
-	return holdwatch.Lost
+	case heldstate.NotSent:
+		return holdmonitor.NotSent
+	case heldstate.Rejected:
+		return holdmonitor.Rejected
+	case heldstate.Completed:
+		return holdmonitor.Answered
+	}
+	return holdmonitor.NoAnswer
 }
 
 // endOf tells what an attempt's outcome means for what it may have left.
-func endOf(r attempt.Result) heldstate.End {
+func endOf(r attempt.Result) heldstate.AttemptEnd {
 	switch r.Outcome {
 	case gannethook.ConnectFailed, gannethook.NotTried:
-		return heldstate.NeverArrived
+		return heldstate.NotSent
 	case gannethook.Full, gannethook.Moot:
-		return heldstate.TurnedAway
+		return heldstate.Rejected
 	case gannethook.Cancelled, gannethook.TimedOut, gannethook.Broken:
-		if r.Broke && r.Outcome == gannethook.Broken && !faults.Broken(faults.BreakOvertake) {
-			return heldstate.Broke
+		if r.ClosedByServer && r.Outcome == gannethook.Broken && !faults.Broken(faults.BreakOvertake) {
+			return heldstate.ClosedByServer
 		}
 		if faults.Broken(faults.BreakOvertake) {
-			return heldstate.Answered
+			return heldstate.Completed
 		}
-		return heldstate.Closed
+		return heldstate.ClosedByRouter
 	}
-	if r.Cut {
-		return heldstate.Closed
+	if r.Interrupted {
+		return heldstate.ClosedByRouter
 	}
-	return heldstate.Answered
+	return heldstate.Completed
 }
 
 // hold asks for a place on a goroutine of its own, where servers share what they know once the read is written: what may be
@@ -127,11 +127,11 @@
 		return
 	}
 	call := &attempt.Call{Addr: string(w), Key: c.key, PromptSize: c.job.PromptSize, MaxTokens: c.job.MaxTokens,
-		Class: c.job.ClassName, Sent: c.attempts[n].sent}
+		Class: c.job.ClassName, Written: c.attempts[n].sent}
 	reader, epoch, h := string(c.reader), c.releases, attempt.Held{Addr: string(w), Key: c.key}
 	c.d.work.Go(func() {
 		asks := make(chan bool, 1)
-		written := c.job.Name == "" || call.Sent.Came(c.d.ctx)
+		written := c.job.Name == "" || call.Written.Wait(c.d.ctx)
 		if !c.d.post(func() { asks <- c.ask(h, n, epoch, written) }) {
 			return
 		}
@@ -160,14 +160,14 @@
 		return false
 	}
 	terms, now := c.terms(), time.Now()
-	c.d.held.Asked(h.Key, terms, h.Addr, now)
-	c.d.watch.Sent(h.Key, terms.Request, terms.Pin, holdwatch.Reservation, h.Addr, now)
+	c.d.held.PlaceRequested(h.Key, terms, h.Addr, now)
+	c.d.watch.Sent(h.Key, terms.Request, terms.PinLimit, holdmonitor.Reservation, h.Addr, now)
 	c.d.heldChanged()
 	return true
 }
 
 // tellPlace tells the module how the asking for a place ended.
-func (c *Call) tellPlace(n int, place attempt.Place) {
+func (c *Call) tellPlace(n int, place attempt.PlaceResult) {
 	// A named request has one place at most: while it is not known whether it is held, no other is asked for.
 	known := place == attempt.Granted || place == attempt.Denied
 	if c.attempts[n].out && (known || c.job.Name == "") {
@@ -176,19 +176,19 @@
 }
 
 // grants is what the answers to a request for a place mean for what may be held, and for reports of silence.
-var grants = map[attempt.Place]struct {
-	grant   heldstate.Grant
-	outcome holdwatch.Outcome
+var grants = map[attempt.PlaceResult]struct {
+	grant   heldstate.PlaceResult
+	outcome holdmonitor.Outcome
 }{
-	attempt.Denied:  {heldstate.Denied, holdwatch.TurnedAway},
-	attempt.Granted: {heldstate.Granted, holdwatch.Answered},
-	attempt.Unknown: {heldstate.Unknown, holdwatch.Answered},
-	attempt.Unheard: {heldstate.Unheard, holdwatch.Lost},
+	attempt.Denied:   {heldstate.Denied, holdmonitor.Rejected},
+	attempt.Granted:  {heldstate.Granted, holdmonitor.Answered},
+	attempt.Unknown:  {heldstate.Unknown, holdmonitor.Answered},
+	attempt.NoAnswer: {heldstate.NoAnswer, holdmonitor.NoAnswer},
 }
 
 // granted takes the answer to a hold that was asked for during attempt n. Where all was let go meanwhile
 // the ledger has it let go as well.
-func (c *Call) granted(h attempt.Held, n, epoch int, place attempt.Place) {
+func (c *Call) granted(h attempt.Held, n, epoch int, place attempt.PlaceResult) {
 	c.d.placed(h.Key, h.Addr, place)
 	if !c.forgotten && epoch == c.releases {
 		c.tellPlace(n, place)
@@ -206,7 +206,7 @@
 		return
 	}
 	c.lets = append(c.lets, time.Now())
-	c.d.held.Want(c.key, time.Now())
+	c.d.held.RequestRelease(c.key, time.Now())
 	c.d.wanted = append(c.d.wanted, c.key)
 }
 
@@ -215,7 +215,7 @@
 	c.params = nil
 	c.releases++
 	c.d.hear()
-	c.d.held.Streaming(c.key, time.Now())
+	c.d.held.StreamStarted(c.key, time.Now())
 	c.d.watch.Streaming(c.key)
 	c.d.heldChanged()
 }
@@ -225,7 +225,7 @@
 	c.d.anyOver = true
 	for _, key := range c.keys {
 		if !c.d.oldFaults.forgets(key) {
-			c.d.held.Over(key, time.Now())
+			c.d.held.RequestEnded(key, time.Now())
 		}
 	}
 	c.d.heldChanged()
@@ -247,7 +247,7 @@
 // settleHeld schedules the releases that were asked for, where no attempt has followed.
 func (d *Driver) settleHeld() {
 	for _, key := range d.wanted {
-		d.held.Settle(key, time.Now())
+		d.held.ScheduleRelease(key, time.Now())
 		d.heldChanged()
 	}
 	d.wanted = d.wanted[:0]
@@ -256,15 +256,15 @@
 // hear tells the ledger which of the servers that are in doubt have answered.
 func (d *Driver) hear() {
 	now := time.Now()
-	for _, server := range d.held.Awaited() {
+	for _, server := range d.held.ServersToMonitor() {
 		switch {
 		case faults.Broken(faults.BreakUnheard):
-			d.held.Heard(server, now, now.Add(-time.Second), now)
+			d.held.ServerAnswered(server, now, now.Add(-time.Second), now)
 		case faults.Broken(faults.BreakFirst) && !d.anyOver:
-			d.held.Heard(server, now, now, now)
+			d.held.ServerAnswered(server, now, now, now)
 		}
-		if sent, answered := d.cfg.Engines.Heard(server); !sent.IsZero() {
-			d.held.Heard(server, sent, answered, now)
+		if sent, answered := d.cfg.Engines.LastAnswer(server); !sent.IsZero() {
+			d.held.ServerAnswered(server, sent, answered, now)
 		}
 	}
 	d.hearAt = now.Add(hearEvery)
@@ -275,7 +275,7 @@
 func (d *Driver) releaseDue() {
 	now := time.Now()
 	d.reportSilence(now)
-	if !d.held.Busy() || now.Before(d.heldAt) {
+	if !d.held.MayBeDue() || now.Before(d.heldAt) {
 		return
 	}
 	if !now.Before(d.hearAt) {
@@ -287,7 +287,7 @@
 	if next := d.held.Next(); !next.IsZero() {
 		d.heldAt = next
 	}
-	if len(d.held.Unheard()) > 0 && d.hearAt.Before(d.heldAt) {
+	if len(d.held.UnconfirmedServers()) > 0 && d.hearAt.Before(d.heldAt) {
 		d.heldAt = d.hearAt
 	}
 }
@@ -295,8 +295,8 @@
 // reportSilence passes on which requests nothing was heard of although servers may hold something for them.
 func (d *Driver) reportSilence(now time.Time) {
 	for _, r := range d.watch.Due(now) {
-		if d.cfg.Silent != nil {
-			d.cfg.Silent(r)
+		if d.cfg.OnSilence != nil {
+			d.cfg.OnSilence(r)
 		}
 	}
 }
@@ -306,14 +306,14 @@
 
 func (d *Driver) reportHeld() {
 	for _, r := range d.held.Reports() {
-		if d.cfg.Owed != nil {
-			d.cfg.Owed(r)
+		if d.cfg.OnPendingRelease != nil {
+			d.cfg.OnPendingRelease(r)
 		}
 	}
-	for _, f := range d.held.Forgotten() {
-		d.cfg.Guard.Check(guard.Forget, guard.MayForget(guard.ForgetFacts{Stopped: f.Why == heldstate.Stopped}), f.Request)
-		if d.cfg.Forgot != nil {
-			d.cfg.Forgot(f)
+	for _, f := range d.held.Abandoned() {
+		d.cfg.Guard.Check(guard.Abandon, guard.MayAbandon(guard.AbandonFacts{Stopped: f.Reason == heldstate.RouterStopped}), f.Request)
+		if d.cfg.OnAbandoned != nil {
+			d.cfg.OnAbandoned(f)
 		}
 	}
 }
@@ -324,17 +324,17 @@
 	if next := d.watch.Next(); !next.IsZero() {
 		wait = time.Until(next)
 	}
-	if d.held.Busy() {
+	if d.held.MayBeDue() {
 		wait = min(wait, time.Until(d.heldAt))
 	}
 	return wait
 }
 
 // makeReleases makes releases on goroutines of their own.
-func (d *Driver) makeReleases(calls []heldstate.Call) {
+func (d *Driver) makeReleases(calls []heldstate.ReleaseCall) {
 	for _, call := range calls {
 		if d.oldFaults.leavesOut(call) {
-			d.held.Released(call, heldstate.Result{Taken: true, Sent: time.Now()}, time.Now())
+			d.held.ReleaseEnded(call, heldstate.ReleaseResult{Acknowledged: true, SentAt: time.Now()}, time.Now())
 			continue
 		}
 		list := make([]attempt.Held, 0, len(call.Servers)+1)
@@ -344,7 +344,7 @@
 		if len(list) == 0 {
 			list = append(list, attempt.Held{Key: call.Key})
 		}
-		if call.Reach {
+		if call.Liveness {
 			list[0].Key = d.probeKey
 		}
 		if call.Probe {
@@ -354,11 +354,11 @@
 			})
 			continue
 		}
-		d.watch.Sent(call.Key, "", 0, holdwatch.Release, "", time.Now())
+		d.watch.Sent(call.Key, "", 0, holdmonitor.Release, "", time.Now())
 		earlier, gone := d.going[call.Key], make(chan struct{})
 		d.going[call.Key] = gone
 		d.work.Go(func() {
-			if wait := time.Until(call.After); !call.After.IsZero() && wait > 0 {
+			if wait := time.Until(call.NotBefore); !call.NotBefore.IsZero() && wait > 0 {
 				time.Sleep(wait)
 			}
 			r := d.release(call, list)
@@ -377,39 +377,39 @@
 }
 
 // release makes one release.
-func (d *Driver) release(call heldstate.Call, list []attempt.Held) attempt.Released {
+func (d *Driver) release(call heldstate.ReleaseCall, list []attempt.Held) attempt.ReleaseResult {
 	ctx := context.WithoutCancel(d.ctx)
-	if call.Suspect {
+	if call.SuspectedOnly {
 		return d.cfg.Engines.ReleaseAt(ctx, attempt.Held{Key: call.Key})
 	}
 	return d.cfg.Engines.Release(ctx, list)
 }
 
 // placed notes how the asking for a place ended.
-func (d *Driver) placed(key, server string, place attempt.Place) {
+func (d *Driver) placed(key, server string, place attempt.PlaceResult) {
 	end, now := grants[place], time.Now()
-	d.held.Placed(key, server, end.grant, now)
-	d.watch.Ended(key, holdwatch.Reservation, server, end.outcome, now)
+	d.held.PlaceRequestEnded(key, server, end.grant, now)
+	d.watch.Ended(key, holdmonitor.Reservation, server, end.outcome, now)
 	d.heldChanged()
 }
 
-func (d *Driver) released(call heldstate.Call, r attempt.Released) {
-	if !r.Taken && !call.Probe && faults.Broken(faults.BreakGiveUp) {
-		r = attempt.Released{Taken: true, Sent: time.Now()}
+func (d *Driver) released(call heldstate.ReleaseCall, r attempt.ReleaseResult) {
+	if !r.Acknowledged && !call.Probe && faults.Broken(faults.BreakGiveUp) {
+		r = attempt.ReleaseResult{Acknowledged: true, SentAt: time.Now()}
 	}
-	d.held.Released(call, heldstate.Result(r), time.Now())
+	d.held.ReleaseEnded(call, heldstate.ReleaseResult(r), time.Now())
 	if !call.Probe {
-		how := holdwatch.Lost
-		if r.Taken {
-			how = holdwatch.Answered
+		how := holdmonitor.NoAnswer
+		if r.Acknowledged {
+			how = holdmonitor.Answered
 		}
-		d.watch.Ended(call.Key, holdwatch.Release, r.Server, how, time.Now())
+		d.watch.Ended(call.Key, holdmonitor.Release, r.Server, how, time.Now())
 	}
 	d.heldChanged()
 }
 
-// Linger sets until when Run goes on letting go of what is held after its context has ended.
-func (d *Driver) Linger(until time.Time) { d.lingerUntil.Store(&until) }
+// SetReleaseDeadline sets until when Run goes on letting go of what is held after its context has ended.
+func (d *Driver) SetReleaseDeadline(until time.Time) { d.lingerUntil.Store(&until) }
 
 // linger lets go of what is owed once the context has ended and all is answered, for as long as it may.
 func (d *Driver) linger(alarm *time.Timer) {
@@ -419,7 +419,7 @@
 	}
 	over := time.NewTimer(time.Until(end))
 	defer over.Stop()
-	for d.held.Pending() {
+	for d.held.HasConfirmedPending() {
 		d.releaseDue()
 		alarm.Reset(max(d.nextRelease(), 0))
 		select {
--- a/internal/driver/held_test.go
+++ b/internal/driver/held_test.go
@@ -42,23 +42,23 @@
 	return calledOff
 }
 
-func (s *sparing) Release(ctx context.Context, list []attempt.Held) attempt.Released {
+func (s *sparing) Release(ctx context.Context, list []attempt.Held) attempt.ReleaseResult {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls++
 	if s.nobody > 0 {
 		s.nobody--
-		return attempt.Released{}
+		return attempt.ReleaseResult{}
 	}
 	if s.waiting == 0 {
 		s.fake.mu.Lock()
 		clear(s.held)
 		s.fake.mu.Unlock()
 	}
-	return attempt.Released{Taken: true, Server: "s0", Sent: time.Now()}
+	return attempt.ReleaseResult{Acknowledged: true, Server: "s0", SentAt: time.Now()}
 }
 
-func (s *sparing) ReleaseAt(ctx context.Context, h attempt.Held) attempt.Released {
+func (s *sparing) ReleaseAt(ctx context.Context, h attempt.Held) attempt.ReleaseResult {
 	sent := time.Now()
 	if s.hung != nil {
 		<-s.hung
@@ -66,7 +66,7 @@
 	s.mu.Lock()
 	s.heard = time.Now()
 	s.mu.Unlock()
-	return attempt.Released{Taken: true, Server: h.Addr, Sent: sent}
+	return attempt.ReleaseResult{Acknowledged: true, Server: h.Addr, SentAt: sent}
 }
 
 func (s *sparing) Heard(server string) (sent, answered time.Time) {
@@ -184,7 +184,7 @@
 		}
 		runOn(t, s, set, func(d *Driver) {
 			sink, j := newSink(t), job(c.class)
-			j.Name, j.GiveUp = "a", c.giveUp
+			j.Name, j.Timeout = "a", c.giveUp
 			if _, err := d.Submit(j, sink); err != nil {
 				t.Fatal(err)
 			}
@@ -218,9 +218,9 @@
 	set.SparesWaited, set.MaxAttempts = true, 2
 	s.fake.holdOK = false
 	var reports []heldstate.Report
-	var forgotten []heldstate.Forgotten
-	runWithConfig(t, Config{Settings: set, Engines: s, Owed: func(r heldstate.Report) { reports = append(reports, r) },
-		Forgot: func(f heldstate.Forgotten) { forgotten = append(forgotten, f) }}, func(d *Driver) {
+	var forgotten []heldstate.AbandonedEntry
+	runWithConfig(t, Config{Settings: set, Engines: s, OnPendingRelease: func(r heldstate.Report) { reports = append(reports, r) },
+		OnAbandoned: func(f heldstate.AbandonedEntry) { forgotten = append(forgotten, f) }}, func(d *Driver) {
 		s.hung = make(chan bool)
 		sink, j := newSink(t), job(0)
 		j.Name = "a"
@@ -232,13 +232,13 @@
 		c.Abandon()
 		<-sink.done
 		time.Sleep(time.Second)
-		d.Linger(time.Now().Add(700 * ms))
+		d.SetReleaseDeadline(time.Now().Add(700 * ms))
 		time.AfterFunc(10*time.Second, func() { close(s.hung) }) // the test's own end
 	})
-	if len(reports) != 1 || reports[0].Request != "a" || reports[0].Owed < 250*ms || len(reports[0].Unheard) != 1 {
+	if len(reports) != 1 || reports[0].Request != "a" || reports[0].PendingFor < 250*ms || len(reports[0].Unconfirmed) != 1 {
 		t.Errorf("reports %+v", reports)
 	}
-	if len(forgotten) != 1 || forgotten[0].Request != "a" || forgotten[0].Why != heldstate.Stopped || forgotten[0].Owed < 1500*ms {
+	if len(forgotten) != 1 || forgotten[0].Request != "a" || forgotten[0].Reason != heldstate.RouterStopped || forgotten[0].PendingFor < 1500*ms {
 		t.Errorf("forgotten %+v", forgotten)
 	}
 }
@@ -256,13 +256,13 @@
 		whole("s0", "s1")
 		d.post(func() {
 			now := time.Now()
-			d.held.Began("k", heldstate.Terms{Shared: true, Spared: true}, "s0", true, now)
-			d.held.ReadEnded("k", "s0", heldstate.Closed, now)
-			d.held.Over("k", now)
+			d.held.AttemptStarted("k", heldstate.Terms{Shared: true, PreservesWaiting: true}, "s0", true, now)
+			d.held.ReadEnded("k", "s0", heldstate.ClosedByRouter, now)
+			d.held.RequestEnded("k", now)
 		})
 		whole("s1")
 		unheard := make(chan []string, 1)
-		d.post(func() { unheard <- d.held.Unheard() })
+		d.post(func() { unheard <- d.held.UnconfirmedServers() })
 		if servers := <-unheard; len(servers) > 0 {
 			t.Errorf("waits to hear %v", servers)
 		}
--- a/internal/driver/oldfaults.go
+++ b/internal/driver/oldfaults.go
@@ -10,21 +10,21 @@
 type oldFaults map[string]bool
 
 // leavesOut tells whether a release is not made, as in the fault that is brought back.
-func (o oldFaults) leavesOut(c heldstate.Call) bool {
+func (o oldFaults) leavesOut(c heldstate.ReleaseCall) bool {
 	if !faults.Enabled || c.Probe {
 		return false
 	}
 	switch {
 	case faults.Broken(faults.BreakBeside):
-		return c.Beside == heldstate.BesideWrite
+		return c.Concurrent == heldstate.WriteInFlight
 	case faults.Broken(faults.BreakInFlight):
-		return c.Beside == heldstate.BesideRead
+		return c.Concurrent == heldstate.ReadInFlight
 	case faults.Broken(faults.BreakSpared) && o[c.Key]:
-		return c.Beside != heldstate.Alone || c.Flush
+		return c.Concurrent != heldstate.NoAttempt || c.Flush
 	case o.forgets(c.Key):
 		return true
 	}
-	if c.Beside == heldstate.BesideWrite && (faults.Broken(faults.BreakSpared) || faults.Broken(faults.BreakForget)) {
+	if c.Concurrent == heldstate.WriteInFlight && (faults.Broken(faults.BreakSpared) || faults.Broken(faults.BreakForget)) {
 		o[c.Key] = true
 	}
 	return false
--- a/internal/driver/reconfigure_test.go
+++ b/internal/driver/reconfigure_test.go
@@ -70,7 +70,7 @@
 		<-old.done
 		<-fresh.done
 		<-gone.done
-		if old.finals[0].Kind != Served || fresh.finals[0].Kind != Served || gone.finals[0].Kind != Refused {
+		if old.finals[0].Outcome != Served || fresh.finals[0].Outcome != Served || gone.finals[0].Outcome != Refused {
 			t.Errorf("%+v, %+v, %+v", old.finals, fresh.finals, gone.finals)
 		}
 		if len(taken) != 2 || taken[0].Class != 1 || taken[1].Class != 1 || taken[1].Tenant != 1 {
@@ -96,7 +96,7 @@
 			})})
 		stop := drive(t, d, err)
 		from := time.Now()
-		if _, a := ask(t, d, 0); a.Kind != Served || len(e.calls) != 1 || e.calls[0].Before.Sub(from) != 300*ms {
+		if _, a := ask(t, d, 0); a.Outcome != Served || len(e.calls) != 1 || e.calls[0].WriteDeadline.Sub(from) != 300*ms {
 			t.Errorf("%+v, %+v", a, e.calls)
 		}
 		stop()
--- a/internal/driver/repeat.go
+++ b/internal/driver/repeat.go
@@ -17,19 +17,19 @@
 	Earlier  string // server of the earlier attempt
 	Ended    string // how that ended, as the log has it
 	InFlight bool   // the earlier attempt had not ended
-	Behind   time.Duration
+	After    time.Duration
 }
 
 // noteEnd notes when the router closed an attempt's connection before its answer had ended.
 func (a *try) noteEnd(r attempt.Result, closed time.Time) {
-	if endOf(r) == heldstate.Closed {
+	if endOf(r) == heldstate.ClosedByRouter {
 		a.closed = closed
 	}
 }
 
 // noteRepeat tells of the earlier attempt that comes nearest before what was sent at a time: a further attempt, or a refusal.
 func (c *Call) noteRepeat(before int, server string, reads bool, sent time.Time) {
-	if c.d.cfg.Repeated == nil || c.effect() == guard.Safe || sent.IsZero() {
+	if c.d.cfg.OnRepeat == nil || c.effect() == guard.Safe || sent.IsZero() {
 		return
 	}
 	r, found := Repeat{Request: c.job.Name, Server: server, Reads: reads}, false
@@ -38,14 +38,14 @@
 		case a.closed.IsZero() && !a.out:
 			continue // answered, never sent, or ended by its server
 		case a.out:
-			r.Earlier, r.Ended, r.InFlight, r.Behind = string(a.server), "in flight", true, 0
+			r.Earlier, r.Ended, r.InFlight, r.After = string(a.server), "in flight", true, 0
 			found = true
-		case !found || !r.InFlight && sent.Sub(a.closed) < r.Behind:
-			r.Earlier, r.Ended, r.Behind = string(a.server), a.detail, sent.Sub(a.closed)
+		case !found || !r.InFlight && sent.Sub(a.closed) < r.After:
+			r.Earlier, r.Ended, r.After = string(a.server), a.detail, sent.Sub(a.closed)
 			found = true
 		}
 	}
 	if found {
-		c.d.cfg.Repeated(r)
+		c.d.cfg.OnRepeat(r)
 	}
 }
--- a/internal/roster/roster_test.go
+++ b/internal/endpoints/endpoints_test.go
@@ -1,4 +1,4 @@
-package roster_test
+package endpoints_test
 
 import (
 	"context"
@@ -14,24 +14,24 @@
 	"go.uber.org/goleak"
 
 	"gannethook"
-	"gannethook/internal/roster"
+	"gannethook/internal/endpoints"
 	"gannethook/internal/standin"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-var names = roster.Names{Kinds: []string{"prompt", "answer"}, Zones: []string{"n", "s"}}
+var names = endpoints.Names{Kinds: []string{"prompt", "answer"}, Zones: []string{"n", "s"}}
 
 func yes() *bool { b := true; return &b }
 func no() *bool  { b := false; return &b }
 
-func slice(name, kind string, port int, eps ...roster.Endpoint) roster.Slice {
-	return roster.Slice{Metadata: roster.Meta{Name: name, Labels: map[string]string{roster.KindLabel: kind, roster.CellLabel: "3"}},
-		Endpoints: eps, Ports: []roster.Port{{Port: port}}}
+func slice(name, kind string, port int, eps ...endpoints.Endpoint) endpoints.Slice {
+	return endpoints.Slice{Metadata: endpoints.Meta{Name: name, Labels: map[string]string{endpoints.KindLabel: kind, endpoints.CellLabel: "3"}},
+		Endpoints: eps, Ports: []endpoints.Port{{Port: port}}}
 }
 
-func ep(addr, uid string, c roster.Conditions) roster.Endpoint {
-	return roster.Endpoint{Addresses: []string{addr}, Conditions: c, Zone: "s", TargetRef: &roster.Ref{UID: uid}}
+func ep(addr, uid string, c endpoints.Conditions) endpoints.Endpoint {
+	return endpoints.Endpoint{Addresses: []string{addr}, Conditions: c, Zone: "s", TargetRef: &endpoints.Ref{UID: uid}}
 }
 
 func show(m gannethook.Membership) string {
@@ -43,18 +43,18 @@
 }
 
 var (
-	ready    = roster.Conditions{}
-	draining = roster.Conditions{Ready: no(), Serving: yes(), Terminating: yes()}
-	starting = roster.Conditions{Ready: no(), Serving: no()}
+	ready    = endpoints.Conditions{}
+	draining = endpoints.Conditions{Ready: no(), Serving: yes(), Terminating: yes()}
+	starting = endpoints.Conditions{Ready: no(), Serving: no()}
 )
 
 func TestTable(t *testing.T) {
-	tb := roster.NewTable(names)
-	m := tb.List([]roster.Slice{slice("a", "prompt", 80, ep("10.0.0.1", "u1", ready), ep("10.0.0.2", "u2", draining), ep("10.0.0.3", "u3", starting))}, 100)
+	tb := endpoints.NewTable(names)
+	m := tb.List([]endpoints.Slice{slice("a", "prompt", 80, ep("10.0.0.1", "u1", ready), ep("10.0.0.2", "u2", draining), ep("10.0.0.3", "u3", starting))}, 100)
 	if got, want := show(m), "10.0.0.1:80:0/1/3@0=1 10.0.0.2:80:0/1/3@0=2"; got != want || !m.Whole {
 		t.Fatalf("list: %s, want %s", got, want)
 	}
-	step := func(what, kind string, s roster.Slice, now gannethook.Millis, want string) {
+	step := func(what, kind string, s endpoints.Slice, now gannethook.Millis, want string) {
 		t.Helper()
 		m, err := tb.Change(kind, s, now)
 		if err != nil || show(m) != want || m.Whole {
@@ -70,7 +70,7 @@
 	step("the old slice goes", "DELETED", slice("a", "prompt", 80), 700, "")
 	step("the new one too", "DELETED", slice("b", "prompt", 80), 800, "10.0.0.1:80:0/1/3@400=3")
 	annotated := slice("c", "answer", 81, ep("10.0.0.4", "u4", ready))
-	annotated.Metadata.Annotations = map[string]string{roster.StartedAnnotation: `{"10.0.0.4:81":"1970-01-01T00:00:01.5Z"}`}
+	annotated.Metadata.Annotations = map[string]string{endpoints.StartedAnnotation: `{"10.0.0.4:81":"1970-01-01T00:00:01.5Z"}`}
 	step("an annotated start", "ADDED", annotated, 900, "10.0.0.4:81:1/1/3@1500=1")
 	if _, err := tb.Change("BOGUS", annotated, 1000); err == nil {
 		t.Error("an unknown event passes")
@@ -83,9 +83,9 @@
 
 // A list kept over a restart is no news: what is new beside it was not seen to start.
 func TestCacheIsNoNews(t *testing.T) {
-	tb := roster.NewTable(names)
+	tb := endpoints.NewTable(names)
 	tb.Set([]gannethook.Server{{ID: "10.0.0.1:80", State: gannethook.Ready, Since: 50}})
-	m := tb.List([]roster.Slice{slice("a", "prompt", 80, ep("10.0.0.1", "u1", ready), ep("10.0.0.2", "u2", ready))}, 100)
+	m := tb.List([]endpoints.Slice{slice("a", "prompt", 80, ep("10.0.0.1", "u1", ready), ep("10.0.0.2", "u2", ready))}, 100)
 	if got, want := show(m), "10.0.0.1:80:0/1/3@50=1 10.0.0.2:80:0/1/3@0=1"; got != want {
 		t.Errorf("%s, want %s", got, want)
 	}
@@ -149,7 +149,7 @@
 		t.Fatal(err)
 	}
 	f := &follower{news: make(chan struct{}, 1)}
-	w := &roster.Watch{Addr: addr, Namespace: "default", Service: "engines", Agent: "r0", Silence: 2 * time.Second, Seed: 1,
+	w := &endpoints.Watch{Addr: addr, Namespace: "default", Service: "engines", Agent: "r0", Silence: 2 * time.Second, Seed: 1,
 		Names: names, Publish: f.publish, Report: func(err error) {
 			f.mu.Lock()
 			f.errs = append(f.errs, err)
@@ -187,7 +187,7 @@
 
 func TestBackoff(t *testing.T) {
 	for n, most := 0, 100*time.Millisecond; n < 12; n++ {
-		if low, high := roster.Backoff(n, 0), roster.Backoff(n, 1); low != most/2 || high != most {
+		if low, high := endpoints.Backoff(n, 0), endpoints.Backoff(n, 1); low != most/2 || high != most {
 			t.Errorf("try %d: %v to %v", n, low, high)
 		}
 		if n < 6 {
@@ -206,7 +206,7 @@
 		`(server "h:1" (kind prompt) (started now))`:                     `f:1:38: "now" is not a time; write 2026-01-31T03:00:00Z`,
 		"(server \"h:1\" (kind prompt))\n(server \"h:1\" (kind prompt))": `f:2:1: server "h:1" is given twice`,
 	} {
-		_, err := roster.ParseFile("f", in, names)
+		_, err := endpoints.ParseFile("f", in, names)
 		if got := fmt.Sprint(err); got != want && !(want == "" && err == nil) {
 			t.Errorf("%s: %s; want %s", in, got, want)
 		}
@@ -223,7 +223,7 @@
 	}
 	write(`(server "h:1" (kind prompt))`)
 	f := &follower{news: make(chan struct{}, 1)}
-	file := &roster.File{Path: path, Every: time.Millisecond, Names: names, Publish: f.publish, Report: func(err error) {
+	file := &endpoints.File{Path: path, Every: time.Millisecond, Names: names, Publish: f.publish, Report: func(err error) {
 		f.mu.Lock()
 		f.errs = append(f.errs, err)
 		f.mu.Unlock()
@@ -243,18 +243,18 @@
 
 func TestCache(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "list")
-	if list, err := roster.LoadCache(path, names); list != nil || err != nil {
+	if list, err := endpoints.LoadCache(path, names); list != nil || err != nil {
 		t.Errorf("no cache: %v, %v", list, err)
 	}
 	want := []gannethook.Server{{ID: "h:1", Kind: 1, Zone: 1, Cell: 2, Since: 5, State: gannethook.Draining}}
-	if err := roster.SaveCache(path, want); err != nil {
+	if err := endpoints.SaveCache(path, want); err != nil {
 		t.Fatal(err)
 	}
-	if list, err := roster.LoadCache(path, names); err != nil || fmt.Sprint(list) != fmt.Sprint(want) {
+	if list, err := endpoints.LoadCache(path, names); err != nil || fmt.Sprint(list) != fmt.Sprint(want) {
 		t.Errorf("%v, %v", list, err)
 	}
 	os.WriteFile(path, []byte(`[{"ID":`), 0o644)
-	if _, err := roster.LoadCache(path, names); err == nil {
+	if _, err := endpoints.LoadCache(path, names); err == nil {
 		t.Error("a torn cache passes")
 	}
 }
@@ -263,13 +263,13 @@
 func FuzzTable(f *testing.F) {
 	f.Add("ADDED", `{"metadata":{"name":"a","labels":{"gannethook.dev/kind":"prompt"}},"endpoints":[{"addresses":["10.0.0.1"]}],"ports":[{"port":80}]}`)
 	f.Fuzz(func(t *testing.T, kind, text string) {
-		var s roster.Slice
+		var s endpoints.Slice
 		if json.Unmarshal([]byte(text), &s) != nil {
 			return
 		}
-		tb := roster.NewTable(names)
+		tb := endpoints.NewTable(names)
 		tb.Change(kind, s, 1)
-		for _, e := range tb.List([]roster.Slice{s, s}, 2).Servers {
+		for _, e := range tb.List([]endpoints.Slice{s, s}, 2).Servers {
 			if e.Kind < 0 || e.Kind >= len(names.Kinds) || e.Zone < 0 || e.Zone >= len(names.Zones) || e.State == gannethook.Gone {
 				t.Fatalf("%+v", e)
 			}
--- a/internal/roster/table.go
+++ b/internal/endpoints/table.go
@@ -1,7 +1,7 @@
-// Package roster follows the list of engines: the Kubernetes EndpointSlice
+// Package endpoints follows the list of engines: the Kubernetes EndpointSlice
 // watch (discovery.k8s.io/v1), or a file where a fleet has no such list.
 // Table is the pure part: objects in, changes out, no I/O and no clock.
-package roster
+package endpoints
 
 import (
 	"cmp"
--- a/internal/roster/watch.go
+++ b/internal/endpoints/watch.go
@@ -1,4 +1,4 @@
-package roster
+package endpoints
 
 import (
 	"bufio"
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -139,7 +139,7 @@
 
 // failed maps an error of the connection to an outcome.
 func failed(ctx context.Context, err error) attempt.Result {
-	return attempt.Ended(ctx, err, http1.ErrMalformed, http1.ErrTooLarge, jsonscan.ErrBad)
+	return attempt.ResultOf(ctx, err, http1.ErrMalformed, http1.ErrTooLarge, jsonscan.ErrBad)
 }
 
 // turned maps an answer that is not 200 to an outcome.
@@ -176,7 +176,7 @@
 
 func bodyOf(call *attempt.Call, maxTokens int, stream bool, params json.RawMessage) []byte {
 	b, _ := json.Marshal(completion{Model: call.Model, Prompt: call.Prompt, MaxTokens: maxTokens, Stream: stream,
-		Params: params, Size: int(call.PromptSize), KeptKey: call.KeptKey})
+		Params: params, Size: int(call.PromptSize), KeptKey: call.PrefixKey})
 	if len(call.Sampling) > len("{}") {
 		b = append(append(b[:len(b)-1], ','), call.Sampling[1:]...)
 	}
@@ -223,8 +223,8 @@
 	}
 	r := attempt.Result{Outcome: gannethook.Served, Body: body}
 	r.Memory, r.Reported = Report(x.res.Header.Get(ReportHeader))
-	if call.Check != nil {
-		if err := call.Check(body); err != nil {
+	if call.CheckAnswer != nil {
+		if err := call.CheckAnswer(body); err != nil {
 			r = attempt.Result{Outcome: gannethook.Failed, Detail: err.Error()}
 		}
 	}
@@ -298,7 +298,7 @@
 }
 
 // Hold asks a writer for a place for the state that a reader is about to have.
-func (c *Client) Hold(ctx context.Context, call *attempt.Call, reader string) attempt.Place {
+func (c *Client) Hold(ctx context.Context, call *attempt.Call, reader string) attempt.PlaceResult {
 	ctx, cancel := context.WithTimeout(ctx, c.lim.Extension)
 	defer cancel()
 	body, _ := json.Marshal(place{call.Key, reader, int(call.PromptSize) + call.MaxTokens,
@@ -306,7 +306,7 @@
 	status, err := c.extension(ctx, "POST", PlacesPath, call, body)
 	switch {
 	case err != nil:
-		return attempt.Unheard
+		return attempt.NoAnswer
 	case status == 201:
 		return attempt.Granted
 	}
@@ -320,27 +320,27 @@
 
 // Release tells an engine to let go, several times if need be. Each engine knows only what it holds itself: the
 // list names one. An engine that can't be reached at all is asked again later by whoever keeps account.
-func (c *Client) Release(ctx context.Context, list []attempt.Held) attempt.Released {
+func (c *Client) Release(ctx context.Context, list []attempt.Held) attempt.ReleaseResult {
 	if len(list) == 0 {
-		return attempt.Released{Taken: true, Sent: time.Now()}
+		return attempt.ReleaseResult{Acknowledged: true, SentAt: time.Now()}
 	}
 	for try := range releaseTries {
-		if r := c.ReleaseAt(ctx, list[0]); r.Taken {
+		if r := c.ReleaseAt(ctx, list[0]); r.Acknowledged {
 			return r
 		}
 		time.Sleep(releasePause << try)
 	}
-	return attempt.Released{}
+	return attempt.ReleaseResult{}
 }
 
 // ReleaseAt tells an engine to let go, once.
-func (c *Client) ReleaseAt(ctx context.Context, h attempt.Held) attempt.Released {
+func (c *Client) ReleaseAt(ctx context.Context, h attempt.Held) attempt.ReleaseResult {
 	sent := time.Now()
-	return attempt.Released{Taken: c.release(ctx, h) == nil, Server: h.Addr, Sent: sent}
+	return attempt.ReleaseResult{Acknowledged: c.release(ctx, h) == nil, Server: h.Addr, SentAt: sent}
 }
 
-// Heard is not known beside what a release tells.
-func (c *Client) Heard(string) (sent, answered time.Time) { return time.Time{}, time.Time{} }
+// LastAnswer is not known beside what a release tells.
+func (c *Client) LastAnswer(string) (sent, answered time.Time) { return time.Time{}, time.Time{} }
 
 // release lets an engine's state and place of a read go. Unknown ones count as let go.
 func (c *Client) release(ctx context.Context, h attempt.Held) error {
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -349,7 +349,7 @@
 
 func TestHoldTimesOut(t *testing.T) {
 	p, c := script(t, "HANG"), newClient(t)
-	if got := c.Hold(context.Background(), &attempt.Call{Addr: p.addr, Key: "k"}, "r"); got != attempt.Unheard {
+	if got := c.Hold(context.Background(), &attempt.Call{Addr: p.addr, Key: "k"}, "r"); got != attempt.NoAnswer {
 		t.Errorf("a place that nobody answered: %v", got)
 	}
 	if err := c.release(context.Background(), attempt.Held{Addr: p.addr, Key: "k"}); err == nil || errors.Is(err, context.Canceled) {
--- a/internal/front/batch.go
+++ b/internal/front/batch.go
@@ -6,16 +6,16 @@
 	"time"
 
 	"gannethook"
+	"gannethook/internal/admission"
 	"gannethook/internal/batch"
 	"gannethook/internal/driver"
 	"gannethook/internal/engine"
-	"gannethook/internal/intake"
+	"gannethook/internal/httpapi"
 	"gannethook/internal/limits"
-	"gannethook/internal/rest"
 	"gannethook/internal/settings"
 )
 
-// texts is a request of many texts; rest.Embeddings and rest.Rerank are.
+// texts is a request of many texts; httpapi.Embeddings and httpapi.Rerank are.
 type texts interface {
 	Sizes() []float64
 	Engine(from, to int, tokens float64) []byte
@@ -23,16 +23,16 @@
 	Join(bodies [][]byte, counts []int) ([]byte, error)
 }
 
-func (x *exchange) embed(body []byte) *rest.Error {
-	ask, bad := rest.ParseEmbeddings(body, x.l.s.cfg.Load().Sessions.TokenBytes)
+func (x *exchange) embed(body []byte) *httpapi.Error {
+	ask, bad := httpapi.ParseEmbeddings(body, x.l.s.cfg.Load().Sessions.TokenBytes)
 	if bad != nil {
 		return bad
 	}
 	return x.oneStage(settings.Embedding, ask.Model, engine.EmbeddingsPath, ask)
 }
 
-func (x *exchange) rerank(body []byte) *rest.Error {
-	ask, bad := rest.ParseRerank(body, x.l.s.cfg.Load().Sessions.TokenBytes)
+func (x *exchange) rerank(body []byte) *httpapi.Error {
+	ask, bad := httpapi.ParseRerank(body, x.l.s.cfg.Load().Sessions.TokenBytes)
 	if bad != nil {
 		return bad
 	}
@@ -40,7 +40,7 @@
 }
 
 // oneStage splits a request, has its parts done, and answers it whole.
-func (x *exchange) oneStage(work settings.Work, model, path string, ask texts) *rest.Error {
+func (x *exchange) oneStage(work settings.Work, model, path string, ask texts) *httpapi.Error {
 	meta := x.meta(nil)
 	if bad := x.plan(work, model, meta); bad != nil {
 		return bad
@@ -57,8 +57,8 @@
 	effect := gannethook.Effect(cfg.Classes[x.class].Effect)
 	b := &bundle{x: x, ask: ask, lim: cfg.Batch(), start: time.Now()}
 	b.parts = batch.Split(sizes, b.lim, effect != gannethook.Safe)
-	b.bodies, b.tickets = make([][]byte, len(b.parts)), make([]*intake.Ticket, len(b.parts))
-	b.m = batch.New(len(b.parts), b.lim, x.job.GiveUp, effect == gannethook.Safe)
+	b.bodies, b.tickets = make([][]byte, len(b.parts)), make([]*admission.Ticket, len(b.parts))
+	b.m = batch.New(len(b.parts), b.lim, x.job.Timeout, effect == gannethook.Safe)
 	abandon := func() {}
 	if x.begin() {
 		if ok, a := x.l.s.in.Charge(x.job); ok {
@@ -84,7 +84,7 @@
 	mu      sync.Mutex
 	m       *batch.Machine
 	bodies  [][]byte
-	tickets []*intake.Ticket
+	tickets []*admission.Ticket
 	bytes   int
 	why     limits.Reason // of the part that was refused last
 	timers  []*time.Timer
@@ -100,7 +100,7 @@
 // Token is never called: one-stage work comes whole.
 func (p *part) Token([]byte) bool { return true }
 
-var partEnds = map[driver.Kind]batch.Kind{driver.Served: batch.Served, driver.Refused: batch.Refused,
+var partEnds = map[driver.Outcome]batch.Kind{driver.Served: batch.Served, driver.Refused: batch.Refused,
 	driver.Failed: batch.Failed, driver.Cancelled: batch.Cancelled}
 
 func (p *part) Final(a driver.Answer) {
@@ -108,12 +108,12 @@
 	b.mu.Lock()
 	b.bodies[p.i] = a.Body
 	b.bytes += len(a.Body)
-	end := batch.End{Kind: partEnds[a.Kind], RetryAfter: a.RetryAfter, Reason: a.Reason, MayHaveRun: a.MayHaveRun}
+	end := batch.End{Kind: partEnds[a.Outcome], RetryAfter: a.RetryAfter, Reason: a.Reason, MayHaveRun: a.MayHaveRun}
 	if b.bytes > int(b.x.l.s.cfg.Load().HTTP.Answer) {
 		end = batch.End{Kind: batch.Failed, Reason: "the answer is too large", MayHaveRun: true}
 	}
-	if a.Kind == driver.Refused {
-		b.why = a.Why
+	if a.Outcome == driver.Refused {
+		b.why = a.LimitReason
 	}
 	b.do(b.m.Ended(time.Since(b.start), p.i, end))
 }
@@ -121,7 +121,7 @@
 // do carries out actions; it is called with the lock, and gives it up.
 func (b *bundle) do(acts []batch.Action) {
 	var asks []batch.Ask
-	var drops []*intake.Ticket
+	var drops []*admission.Ticket
 	var final *driver.Answer
 	for _, act := range acts {
 		switch a := act.(type) {
@@ -159,11 +159,11 @@
 	a := &driver.Answer{RetryAfter: e.RetryAfter, Reason: e.Reason, MayHaveRun: e.MayHaveRun}
 	for kind, of := range partEnds {
 		if of == e.Kind {
-			a.Kind = kind
+			a.Outcome = kind
 		}
 	}
-	if a.Kind == driver.Refused {
-		a.Why = b.why
+	if a.Outcome == driver.Refused {
+		a.LimitReason = b.why
 		b.x.l.s.in.Refund(b.x.job)
 	}
 	return a
@@ -176,8 +176,8 @@
 	job.Paid, job.PromptSize = true, max(p.Tokens, 1)
 	job.Begun = a.Begun
 	job.Body = b.ask.Engine(p.From, p.To, p.Tokens)
-	job.Check = func(body []byte) error { return b.ask.Check(body, p.To-p.From) }
-	job.GiveUp = max(b.x.job.GiveUp-time.Since(b.start), 0)
+	job.CheckAnswer = func(body []byte) error { return b.ask.Check(body, p.To-p.From) }
+	job.Timeout = max(b.x.job.Timeout-time.Since(b.start), 0)
 	t := b.x.l.s.in.Submit(job, &part{b, a.Part})
 	b.mu.Lock()
 	b.tickets[a.Part] = t
@@ -201,7 +201,7 @@
 
 // finish writes the answer; parts are joined here, on the connection's own goroutine.
 func (b *bundle) finish(a driver.Answer) {
-	switch a.Kind {
+	switch a.Outcome {
 	case driver.Cancelled:
 		b.x.keep = false
 	case driver.Served:
@@ -211,7 +211,7 @@
 		}
 		whole, err := b.ask.Join(b.bodies, counts)
 		if err != nil { // each part was checked: it can't be
-			b.x.turned(driver.Answer{Kind: driver.Failed, Reason: err.Error()})
+			b.x.turned(driver.Answer{Outcome: driver.Failed, Reason: err.Error()})
 			return
 		}
 		b.x.reply(200, "application/json", b.x.limits(), whole)
--- a/internal/front/caller.go
+++ b/internal/front/caller.go
@@ -10,8 +10,8 @@
 	"github.com/spiffe/go-spiffe/v2/svid/x509svid"
 
 	"gannethook/internal/http1"
+	"gannethook/internal/httpapi"
 	"gannethook/internal/realtime"
-	"gannethook/internal/rest"
 )
 
 // caller is who asks.
@@ -36,7 +36,7 @@
 
 // caller tells who asks, by API key, else by certificate. Where keys are listed,
 // one of the two is due; they may not name two tenants.
-func (s *Server) caller(req *http1.Request, identity string) (caller, *rest.Error) {
+func (s *Server) caller(req *http1.Request, identity string) (caller, *httpapi.Error) {
 	cfg, who := s.cfg.Load(), caller{tenant: -1}
 	if identity != "" {
 		if t := cfg.TenantOf(identity); t >= 0 {
@@ -57,7 +57,7 @@
 		tenant = cfg.TenantNamed(k.Tenant)
 	}
 	if tenant < 0 || who.tenant >= 0 && who.tenant != tenant {
-		return who, &rest.Error{Status: 401, Type: rest.InvalidRequest, Code: "invalid_api_key", Message: "no such API key"}
+		return who, &httpapi.Error{Status: 401, Type: httpapi.InvalidRequest, Code: "invalid_api_key", Message: "no such API key"}
 	}
 	return caller{tenant: tenant, name: k.Tenant, key: k.ID, client: k.Client()}, nil
 }
--- a/internal/front/chat.go
+++ b/internal/front/chat.go
@@ -7,16 +7,16 @@
 
 	"gannethook/internal/driver"
 	"gannethook/internal/http1"
+	"gannethook/internal/httpapi"
 	"gannethook/internal/realtime"
-	"gannethook/internal/rest"
 	"gannethook/internal/settings"
 )
 
 // chat is one chat completion; it is the intake's sink.
 type chat struct {
 	x   *exchange
-	c   rest.Completion
-	ask *rest.Chat
+	c   httpapi.Completion
+	ask *httpapi.Chat
 
 	mu     sync.Mutex // held while a token is written: never by Final
 	begun  bool
@@ -26,13 +26,13 @@
 	event  []byte
 }
 
-func (x *exchange) chat(body []byte) *rest.Error {
-	ask, bad := rest.ParseChat(body)
+func (x *exchange) chat(body []byte) *httpapi.Error {
+	ask, bad := httpapi.ParseChat(body)
 	if bad != nil {
 		return bad
 	}
 	if p := checkMetadata("metadata", ask.Metadata); p != nil {
-		return rest.Invalid(p.param, "%s", p.msg)
+		return httpapi.Invalid(p.param, "%s", p.msg)
 	}
 	meta := x.meta(ask.Metadata)
 	if bad = x.plan(settings.Chat, ask.Model, meta); bad != nil {
@@ -51,14 +51,14 @@
 	}
 	if name, ok := meta(realtime.MetaPrefix); ok {
 		if !printable(name) {
-			return rest.Invalid(headerOf(realtime.MetaPrefix), "printable ASCII without spaces expected")
+			return httpapi.Invalid(headerOf(realtime.MetaPrefix), "printable ASCII without spaces expected")
 		}
 		j.Prefix, j.PrefixName = key(name), name
 	}
 	if bad = x.sized(meta); bad != nil {
 		return bad
 	}
-	k := &chat{x: x, ask: ask, c: rest.Completion{ID: x.id, Model: ask.Model, Created: time.Now().Unix(), Prompt: int(j.PromptSize)}}
+	k := &chat{x: x, ask: ask, c: httpapi.Completion{ID: x.id, Model: ask.Model, Created: time.Now().Unix(), Prompt: int(j.PromptSize)}}
 	abandon := func() {}
 	if x.begin() {
 		abandon = x.l.s.in.Submit(*j, k).Abandon
@@ -122,16 +122,16 @@
 		reason = "length"
 	}
 	if k.long { // its engine was cut off, as if nobody read
-		a = driver.Answer{Kind: driver.Failed, Reason: "the answer is too large", MayHaveRun: true}
+		a = driver.Answer{Outcome: driver.Failed, Reason: "the answer is too large", MayHaveRun: true}
 	}
 	switch {
-	case k.broken || a.Kind == driver.Cancelled:
+	case k.broken || a.Outcome == driver.Cancelled:
 		k.x.keep = false // nobody reads
-	case !k.begun && a.Kind == driver.Served && !k.ask.Stream:
+	case !k.begun && a.Outcome == driver.Served && !k.ask.Stream:
 		k.x.reply(200, "application/json", k.x.limits(), k.c.Whole(k.text, a.Tokens, reason))
-	case !k.begun && a.Kind != driver.Served:
+	case !k.begun && a.Outcome != driver.Served:
 		k.x.turned(a)
-	case a.Kind == driver.Served:
+	case a.Outcome == driver.Served:
 		k.served(a, reason)
 	default:
 		k.failed(a)
@@ -154,7 +154,7 @@
 
 // failed ends a stream that broke: an error in place of the rest, no [DONE], and the end of the connection.
 func (k *chat) failed(a driver.Answer) {
-	e := rest.Error{Type: rest.ServerError, Code: rest.CodeFailed, Message: a.Reason}
+	e := httpapi.Error{Type: httpapi.ServerError, Code: httpapi.CodeFailed, Message: a.Reason}
 	k.send(append(append([]byte("data: "), e.Body()...), "\n\n"...))
 	k.end()
 	k.x.keep = false
--- a/internal/front/exchange.go
+++ b/internal/front/exchange.go
@@ -12,13 +12,13 @@
 	"time"
 
 	"gannethook"
+	"gannethook/internal/admission"
 	"gannethook/internal/driver"
 	"gannethook/internal/http1"
-	"gannethook/internal/intake"
-	"gannethook/internal/keys"
+	"gannethook/internal/httpapi"
+	"gannethook/internal/idempotency"
 	"gannethook/internal/limits"
 	"gannethook/internal/realtime"
-	"gannethook/internal/rest"
 	"gannethook/internal/settings"
 )
 
@@ -32,8 +32,8 @@
 	who   caller
 	class int // of the settings; -1: not known yet
 	keep  bool
-	job   intake.Job
-	key   keys.Name
+	job   admission.Job
+	key   idempotency.Scope
 	named bool // the key is open in the guard
 	again bool // a try went before whose end the client does not know
 
@@ -59,7 +59,7 @@
 	stops := l.s.stopping()
 	if stops && !l.s.adopted(l.raw) {
 		x.keep = false
-		x.fail(&rest.Error{Status: 503, Type: rest.Overloaded, Code: rest.CodeRefused, Message: "the router stops; nothing has run"}, http1.Field{Name: "Retry-After", Value: "0"})
+		x.fail(&httpapi.Error{Status: 503, Type: httpapi.Overloaded, Code: httpapi.CodeRefused, Message: "the router stops; nothing has run"}, http1.Field{Name: "Retry-After", Value: "0"})
 		return false
 	}
 	body, bad := x.admit()
@@ -85,9 +85,9 @@
 }
 
 // admit reads the request, once its caller is known.
-func (x *exchange) admit() (body []byte, bad *rest.Error) {
+func (x *exchange) admit() (body []byte, bad *httpapi.Error) {
 	if x.req.Minor == 1 && x.req.Header.Get("Host") == "" {
-		return nil, &rest.Error{Status: 400, Type: rest.InvalidRequest, Code: "malformed", Message: "the Host header is missing"}
+		return nil, &httpapi.Error{Status: 400, Type: httpapi.InvalidRequest, Code: "malformed", Message: "the Host header is missing"}
 	}
 	if x.who, bad = x.l.s.caller(x.req, x.l.identity); bad != nil {
 		return nil, bad
@@ -112,40 +112,40 @@
 }
 
 // plan fills in the job that all works have in common.
-func (x *exchange) plan(work settings.Work, model string, meta func(string) (string, bool)) *rest.Error {
+func (x *exchange) plan(work settings.Work, model string, meta func(string) (string, bool)) *httpapi.Error {
 	cfg := x.l.s.cfg.Load()
 	x.class = cfg.ClassOf(work)
 	if name, ok := meta(realtime.MetaClass); ok {
 		x.class = cfg.ClassNamed(name)
 	}
 	if x.class < 0 || cfg.Classes[x.class].Work != work {
-		return &rest.Error{Status: 404, Type: rest.InvalidRequest, Code: "unknown_class", Param: headerOf(realtime.MetaClass),
+		return &httpapi.Error{Status: 404, Type: httpapi.InvalidRequest, Code: "unknown_class", Param: headerOf(realtime.MetaClass),
 			Message: "this router has no such class of " + work.String()}
 	}
 	tenantName, _ := meta(realtime.MetaTenant)
 	tenant, name, ok := x.l.s.named(x.who, tenantName)
 	if !ok {
-		return rest.Invalid(headerOf(realtime.MetaTenant), "no tenant has this name, or another's key was shown")
+		return httpapi.Invalid(headerOf(realtime.MetaTenant), "no tenant has this name, or another's key was shown")
 	}
 	class := &cfg.Classes[x.class]
 	x.job.Job = driver.Job{Class: x.class, ClassName: class.Name, Tenant: tenant, TenantName: name, SessionID: x.id,
-		GiveUp: class.GiveUp, Model: model, Idempotency: x.req.Header.Get("Idempotency-Key")}
+		Timeout: class.GiveUp, Model: model, Idempotency: x.req.Header.Get("Idempotency-Key")}
 	if !printable(x.job.Idempotency) || len(x.job.Idempotency) > realtime.MaxMetaText {
-		return rest.Invalid("Idempotency-Key", "printable ASCII without spaces expected")
+		return httpapi.Invalid("Idempotency-Key", "printable ASCII without spaces expected")
 	}
 	n, _ := strconv.Atoi(x.req.Header.Get("X-Stainless-Retry-Count")) // OpenAI's clients tell their tries again
 	again, _ := meta(realtime.MetaRetry)
 	x.again = again == "true" || n > 0 && gannethook.Effect(class.Effect) != gannethook.Safe
 	x.job.Retry = again == "true" || n > 0 || triedBefore(meta)
 	x.job.Client = x.l.s.client(x.who, tenant)
-	x.key = keys.Name{Tenant: tenant, Class: x.class, Key: x.job.Idempotency}
+	x.key = idempotency.Scope{Tenant: tenant, Class: x.class, Key: x.job.Idempotency}
 	return nil
 }
 
 // sized reads the numbers that the request tells of itself.
-func (x *exchange) sized(meta func(string) (string, bool)) *rest.Error {
+func (x *exchange) sized(meta func(string) (string, bool)) *httpapi.Error {
 	if bad := x.l.s.sizes(&x.job.Job, meta); bad != nil {
-		return rest.Invalid(bad.param, "%s", bad.msg)
+		return httpapi.Invalid(bad.param, "%s", bad.msg)
 	}
 	return nil
 }
@@ -154,13 +154,13 @@
 func (x *exchange) begin() bool {
 	v := x.l.s.guard.begin(x.key, x.again)
 	switch v {
-	case keys.Go:
+	case idempotency.Proceed:
 		x.named = true
 		return true
-	case keys.Full:
-		x.turnAway(driver.Answer{Kind: driver.Refused, Reason: "too many keys are remembered", RetryAfter: x.l.s.cfg.Load().Limits.RetryAfter})
+	case idempotency.TableFull:
+		x.turnAway(driver.Answer{Outcome: driver.Refused, Reason: "too many keys are remembered", RetryAfter: x.l.s.cfg.Load().Limits.RetryAfter})
 	default:
-		x.turnAway(driver.Answer{Kind: driver.Failed, Reason: "an earlier try with this key: " + v.String()})
+		x.turnAway(driver.Answer{Outcome: driver.Failed, Reason: "an earlier try with this key: " + v.String()})
 	}
 	return false
 }
@@ -168,7 +168,7 @@
 // turnAway answers what never came to the intake.
 func (x *exchange) turnAway(a driver.Answer) {
 	x.settle(a)
-	x.l.s.done(driver.Summary{Session: x.id, Class: x.job.ClassName, Outcome: a.Kind, Reason: a.Reason,
+	x.l.s.done(driver.Summary{Session: x.id, Class: x.job.ClassName, Outcome: a.Outcome, Reason: a.Reason,
 		RetryAfter: a.RetryAfter, PromptSize: x.job.PromptSize})
 }
 
@@ -214,7 +214,7 @@
 }
 
 // fail writes an error.
-func (x *exchange) fail(e *rest.Error, more ...http1.Field) {
+func (x *exchange) fail(e *httpapi.Error, more ...http1.Field) {
 	x.reply(e.Status, "application/json", append(x.limits(), more...), e.Body())
 }
 
@@ -272,22 +272,22 @@
 // again by themselves are told not to, where that could do harm.
 func (x *exchange) turned(a driver.Answer) {
 	safe := gannethook.Effect(x.l.s.cfg.Load().Classes[x.class].Effect) == gannethook.Safe
-	e := &rest.Error{Status: 503, Type: rest.Overloaded, Code: rest.CodeRefused, Message: a.Reason}
+	e := &httpapi.Error{Status: 503, Type: httpapi.Overloaded, Code: httpapi.CodeRefused, Message: a.Reason}
 	again := safe
 	var more http1.Header
 	switch {
-	case a.Kind != driver.Refused:
-		*e = rest.Error{Status: 500, Type: rest.ServerError, Code: rest.CodeFailed, Message: a.Reason}
-	case slices.Contains([]limits.Reason{limits.Requests, limits.Tokens, limits.TooLarge, limits.Retries}, a.Why):
-		e.Status, e.Type, e.Code = 429, rest.RateLimited, rest.CodeLimited
-		again = again && a.Why != limits.TooLarge
-	case a.Why == limits.Revoked:
-		e.Status, e.Type, e.Code, again = 401, rest.InvalidRequest, "invalid_api_key", false
+	case a.Outcome != driver.Refused:
+		*e = httpapi.Error{Status: 500, Type: httpapi.ServerError, Code: httpapi.CodeFailed, Message: a.Reason}
+	case slices.Contains([]limits.Reason{limits.Requests, limits.Tokens, limits.TooLarge, limits.Retries}, a.LimitReason):
+		e.Status, e.Type, e.Code = 429, httpapi.RateLimited, httpapi.CodeLimited
+		again = again && a.LimitReason != limits.TooLarge
+	case a.LimitReason == limits.Revoked:
+		e.Status, e.Type, e.Code, again = 401, httpapi.InvalidRequest, "invalid_api_key", false
 	}
 	if e.Message == "" {
 		e.Message = e.Code
 	}
-	if a.Kind == driver.Refused && a.RetryAfter > 0 {
+	if a.Outcome == driver.Refused && a.RetryAfter > 0 {
 		more = http1.Header{{Name: "Retry-After", Value: strconv.Itoa(int(math.Ceil(a.RetryAfter.Seconds())))},
 			{Name: "Retry-After-Ms", Value: strconv.FormatInt(a.RetryAfter.Milliseconds(), 10)}}
 	}
@@ -303,7 +303,7 @@
 	requests, tokens := x.l.s.in.Remaining(x.job.Tenant, x.class)
 	for _, v := range []struct {
 		of   string
-		left limits.Left
+		left limits.Allowance
 	}{{"requests", requests}, {"tokens", tokens}} {
 		if v.left.Limited {
 			h = append(h, http1.Field{Name: "X-Ratelimit-Limit-" + v.of, Value: strconv.Itoa(int(v.left.Limit))},
--- a/internal/front/guard.go
+++ b/internal/front/guard.go
@@ -5,29 +5,29 @@
 	"time"
 
 	"gannethook"
-	"gannethook/internal/keys"
+	"gannethook/internal/idempotency"
 	"gannethook/internal/settings"
 )
 
 // guard holds the table of keys of all sessions.
 type guard struct {
 	mu    sync.Mutex
-	table *keys.Table
+	table *idempotency.Table
 	start time.Time
 	set   gannethook.Settings
 }
 
 func newGuard(cfg *settings.File) *guard {
-	return &guard{table: keys.New(cfg.Limits.Remember, cfg.Limits.Keys), start: time.Now(), set: cfg.Module()}
+	return &guard{table: idempotency.New(cfg.Limits.Remember, cfg.Limits.Keys), start: time.Now(), set: cfg.Module()}
 }
 
-func (g *guard) begin(n keys.Name, retry bool) keys.Verdict {
+func (g *guard) begin(n idempotency.Scope, retry bool) idempotency.Verdict {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.table.Begin(time.Since(g.start), n, &g.set.Classes[n.Class], retry)
 }
 
-func (g *guard) end(n keys.Name, mayHaveRun bool) {
+func (g *guard) end(n idempotency.Scope, mayHaveRun bool) {
 	if n.Key == "" {
 		return
 	}
--- a/internal/front/link.go
+++ b/internal/front/link.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"gannethook/internal/http1"
-	"gannethook/internal/rest"
+	"gannethook/internal/httpapi"
 	"gannethook/internal/settings"
 	"gannethook/internal/ws"
 )
@@ -147,13 +147,13 @@
 }
 
 // body reads a request's body, which the client may want to be asked for first.
-func (l *link) body(req *http1.Request) ([]byte, *rest.Error) {
+func (l *link) body(req *http1.Request) ([]byte, *httpapi.Error) {
 	most := int64(l.s.cfg.Load().HTTP.Body)
-	tooLarge := &rest.Error{Status: 413, Type: rest.InvalidRequest, Code: "too_large",
+	tooLarge := &httpapi.Error{Status: 413, Type: httpapi.InvalidRequest, Code: "too_large",
 		Message: "the body is larger than " + strconv.FormatInt(most, 10) + " bytes"}
 	b, err := http1.RequestBody(l.br, req.Header)
 	if err != nil {
-		return nil, &rest.Error{Status: 400, Type: rest.InvalidRequest, Code: "malformed", Message: err.Error()}
+		return nil, &httpapi.Error{Status: 400, Type: httpapi.InvalidRequest, Code: "malformed", Message: err.Error()}
 	}
 	if b.Length() > most {
 		return nil, tooLarge
@@ -161,7 +161,7 @@
 	switch expect := req.Header.Get("Expect"); {
 	case expect == "":
 	case !strings.EqualFold(expect, "100-continue"):
-		return nil, &rest.Error{Status: 417, Type: rest.InvalidRequest, Code: "expectation", Message: "only 100-continue is known"}
+		return nil, &httpapi.Error{Status: 417, Type: httpapi.InvalidRequest, Code: "expectation", Message: "only 100-continue is known"}
 	case l.br.Buffered() == 0 && req.Minor == 1:
 		l.bw.WriteString("HTTP/1.1 100 Continue\r\n\r\n")
 		l.bw.Flush()
@@ -175,13 +175,13 @@
 	}
 	switch {
 	case errors.Is(err, http1.ErrCrowded):
-		return nil, &rest.Error{Status: 503, Type: rest.Overloaded, Code: rest.CodeRefused, Message: err.Error() + "; nothing has run"}
+		return nil, &httpapi.Error{Status: 503, Type: httpapi.Overloaded, Code: httpapi.CodeRefused, Message: err.Error() + "; nothing has run"}
 	case errors.Is(err, http1.ErrBodyTooLarge):
 		return nil, tooLarge
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return nil, &rest.Error{Status: 408, Type: rest.InvalidRequest, Code: "timeout", Message: "the body did not come in time"}
+		return nil, &httpapi.Error{Status: 408, Type: httpapi.InvalidRequest, Code: "timeout", Message: "the body did not come in time"}
 	case err != nil:
-		return nil, &rest.Error{Status: 400, Type: rest.InvalidRequest, Code: "malformed", Message: "body: " + err.Error()}
+		return nil, &httpapi.Error{Status: 400, Type: httpapi.InvalidRequest, Code: "malformed", Message: "body: " + err.Error()}
 	}
 	return text, nil
 }
--- a/internal/front/response.go
+++ b/internal/front/response.go
@@ -11,9 +11,9 @@
 	"github.com/cespare/xxhash/v2"
 
 	"gannethook"
+	"gannethook/internal/admission"
 	"gannethook/internal/driver"
-	"gannethook/internal/intake"
-	"gannethook/internal/keys"
+	"gannethook/internal/idempotency"
 	"gannethook/internal/realtime"
 	"gannethook/internal/settings"
 )
@@ -24,9 +24,9 @@
 	id, item string
 	metadata map[string]string
 	input    int // tokens
-	key      keys.Name
+	key      idempotency.Scope
 	apart    bool // outside the default conversation
-	call     *intake.Ticket
+	call     *admission.Ticket
 
 	// Under the session's mu:
 	begun bool
@@ -52,27 +52,27 @@
 		return
 	}
 	r := &response{c: c, id: c.name("resp"), item: c.name("item"), metadata: p.Metadata, input: int(job.PromptSize),
-		apart: p.Conversation == "none", key: keys.Name{Tenant: job.Tenant, Class: job.Class, Key: job.Idempotency}}
+		apart: p.Conversation == "none", key: idempotency.Scope{Tenant: job.Tenant, Class: job.Class, Key: job.Idempotency}}
 	if code, msg := c.enter(r); code != "" {
 		c.fail(ev.EventID, "invalid_request_error", code, msg, "")
 		return
 	}
 	switch v := c.srv.guard.begin(r.key, retry); v {
-	case keys.Go:
+	case idempotency.Proceed:
 		tried := retry || triedBefore(func(name string) (string, bool) { v, ok := p.Metadata[name]; return v, ok })
-		r.call = c.srv.in.Submit(intake.Job{Job: job, Client: c.srv.client(c.who, job.Tenant), Retry: tried}, r)
-	case keys.Full:
-		r.turnAway(&job, driver.Answer{Kind: driver.Refused, RetryAfter: c.srv.cfg.Load().Limits.RetryAfter,
+		r.call = c.srv.in.Submit(admission.Job{Job: job, Client: c.srv.client(c.who, job.Tenant), Retry: tried}, r)
+	case idempotency.TableFull:
+		r.turnAway(&job, driver.Answer{Outcome: driver.Refused, RetryAfter: c.srv.cfg.Load().Limits.RetryAfter,
 			Reason: "too many keys are remembered"})
 	default:
-		r.turnAway(&job, driver.Answer{Kind: driver.Failed, Reason: "an earlier try with this key: " + v.String()})
+		r.turnAway(&job, driver.Answer{Outcome: driver.Failed, Reason: "an earlier try with this key: " + v.String()})
 	}
 }
 
 // turnAway answers what was not handed to the driver: nothing of this try has run.
 func (r *response) turnAway(job *driver.Job, a driver.Answer) {
 	r.close(a)
-	r.c.srv.done(driver.Summary{Session: job.SessionID, Class: job.ClassName, Outcome: a.Kind, Reason: a.Reason,
+	r.c.srv.done(driver.Summary{Session: job.SessionID, Class: job.ClassName, Outcome: a.Outcome, Reason: a.Reason,
 		RetryAfter: a.RetryAfter, PromptSize: job.PromptSize})
 }
 
@@ -194,7 +194,7 @@
 
 // verdict words an answer as the API does.
 func verdict(a driver.Answer) (status string, d *realtime.Details) {
-	switch a.Kind {
+	switch a.Outcome {
 	case driver.Served:
 		return "completed", nil
 	case driver.Cancelled:
@@ -239,7 +239,7 @@
 		return job, false, bad
 	}
 	job = driver.Job{Class: class, ClassName: cfg.Classes[class].Name, SessionID: c.id, Session: key(c.id),
-		GiveUp: cfg.Classes[class].GiveUp, MaxTokens: cfg.Classes[class].MaxTokens, Model: c.model,
+		Timeout: cfg.Classes[class].GiveUp, MaxTokens: cfg.Classes[class].MaxTokens, Model: c.model,
 		Prefix: key(m[realtime.MetaPrefix]), PrefixName: m[realtime.MetaPrefix], Idempotency: m[realtime.MetaIdempotency]}
 	if name := m[realtime.MetaSession]; name != "" {
 		job.Session = key(name)
@@ -352,7 +352,7 @@
 	for _, f := range []struct {
 		name string
 		to   *float64
-	}{{realtime.MetaPromptSize, &job.PromptSize}, {realtime.MetaPrefixSize, &job.Kept}, {realtime.MetaGiveUp, &giveUp}} {
+	}{{realtime.MetaPromptSize, &job.PromptSize}, {realtime.MetaPrefixSize, &job.PrefixTokens}, {realtime.MetaGiveUp, &giveUp}} {
 		text, ok := meta(f.name)
 		if !ok {
 			continue
@@ -363,9 +363,9 @@
 		}
 		*f.to = x
 	}
-	job.Kept = min(job.Kept, job.PromptSize)
+	job.PrefixTokens = min(job.PrefixTokens, job.PromptSize)
 	if d := time.Duration(giveUp * 1e6); d > 0 {
-		job.GiveUp = min(job.GiveUp, d)
+		job.Timeout = min(job.Timeout, d)
 	}
 	return nil
 }
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -1,5 +1,5 @@
 // Package front is the clients' side of the router: HTTP/1.1 with the APIs of
-// package rest, and sessions of the Realtime API over WebSocket. It hands
+// package httpapi, and sessions of the Realtime API over WebSocket. It hands
 // requests to the intake and writes what comes back; it decides nothing about them.
 package front
 
@@ -12,10 +12,10 @@
 	"sync/atomic"
 	"time"
 
+	"gannethook/internal/admission"
 	"gannethook/internal/apikeys"
 	"gannethook/internal/driver"
 	"gannethook/internal/http1"
-	"gannethook/internal/intake"
 	"gannethook/internal/settings"
 )
 
@@ -30,7 +30,7 @@
 // Server serves sessions.
 type Server struct {
 	cfg    atomic.Pointer[settings.File]
-	in     *intake.Intake
+	in     *admission.Controller
 	tls    *tls.Config                   // nil: clients speak plainly
 	keys   atomic.Pointer[apikeys.Table] // nil: clients name their tenant themselves
 	boot   string                        // names this life of the router
@@ -59,7 +59,7 @@
 
 // NewServer returns a server before an intake. done is told of the requests that
 // end here, without having come to the intake.
-func NewServer(cfg *settings.File, in *intake.Intake, done func(driver.Summary)) *Server {
+func NewServer(cfg *settings.File, in *admission.Controller, done func(driver.Summary)) *Server {
 	s := &Server{in: in, done: done, boot: fmt.Sprintf("%s-%x", cfg.Name, time.Now().UnixNano()),
 		guard: newGuard(cfg), sessions: map[*session]bool{}, conns: map[net.Conn]*guest{}, left: func() {}}
 	s.cfg.Store(cfg)
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -17,7 +17,7 @@
 // The reasons. Allowed is the zero value.
 const (
 	Allowed        Reason = iota
-	CalledOff             // the attempt was cancelled before it was written
+	Cancelled             // the attempt was cancelled before it was written
 	Unlisted              // the server is not in the list any more
 	Draining              // the server takes nothing new
 	DeadlinePassed        // the client's time, or the attempt's own, is over
@@ -26,11 +26,11 @@
 	IDOpen                // another open request has the same id
 	Answered              // the request has its final answer
 	Streaming             // another attempt's answer is being passed on
-	StillOut              // an earlier attempt with an effect has no outcome yet
+	EffectInFlight        // an earlier attempt with an effect has no outcome yet
 	MayHaveRun            // an earlier attempt may have run
 	Unanswered            // a request was taken and has no answer
 	HeldAtStop            // something may be held as the router's time to end is over
-	HeldTooMany           // something may be held, and there is no room to owe more
+	HeldOverLimit         // something may be held, and there is no room to owe more
 	reasons
 )
 
@@ -45,12 +45,12 @@
 
 // The actions.
 const (
-	Start  Action = iota // a request is handed to the decision module
-	Send                 // an attempt is made
-	Write                // its first byte is about to be written
-	Refuse               // a client is told that nothing was done
-	Close                // a client's connection is closed
-	Forget               // what may be held for a request is forgotten without proof
+	Start   Action = iota // a request is handed to the decision module
+	Send                  // an attempt is made
+	Write                 // its first byte is about to be written
+	Refuse                // a client is told that nothing was done
+	Close                 // a client's connection is closed
+	Abandon               // what may be held for a request is forgotten without proof
 	actions
 )
 
@@ -87,11 +87,11 @@
 
 // SendFacts are those of a request for which the module wants another attempt.
 type SendFacts struct {
-	Effect     Effect
-	Answered   bool
-	Streaming  bool
-	EffectOut  bool // an attempt that may have an effect has no outcome yet
-	MayHaveRun bool // an attempt that ended is not known not to have run
+	Effect         Effect
+	Answered       bool
+	Streaming      bool
+	EffectInFlight bool // an attempt that may have an effect has no outcome yet
+	MayHaveRun     bool // an attempt that ended is not known not to have run
 }
 
 // MaySend tells whether another attempt may be made.
@@ -101,8 +101,8 @@
 		return Answered
 	case f.Streaming:
 		return Streaming
-	case f.Effect != Safe && f.EffectOut:
-		return StillOut
+	case f.Effect != Safe && f.EffectInFlight:
+		return EffectInFlight
 	case f.Effect == Unsafe && f.MayHaveRun:
 		return MayHaveRun
 	}
@@ -111,11 +111,11 @@
 
 // Violates tells whether a denial to send means that the module asked for what it
 // must not; the others are races that it can't know of.
-func (r Reason) Violates() bool { return r == StillOut || r == MayHaveRun || r == Unanswered }
+func (r Reason) Violates() bool { return r == EffectInFlight || r == MayHaveRun || r == Unanswered }
 
 // WriteFacts are those of an attempt whose connection has come up.
 type WriteFacts struct {
-	CalledOff  bool
+	Cancelled  bool
 	Release    bool // it lets go of what is held, which is no new work
 	Listed     bool
 	Draining   bool
@@ -129,8 +129,8 @@
 // decided on it could not know what has come while its connection came up.
 func MayWrite(f WriteFacts) Reason {
 	switch {
-	case f.CalledOff:
-		return CalledOff
+	case f.Cancelled:
+		return Cancelled
 	case f.Release:
 		return Allowed
 	case !f.Listed:
@@ -164,28 +164,28 @@
 
 // CloseFacts are those of a client's connection that is about to close.
 type CloseFacts struct {
-	Taken      bool // a request was read whole on it and handed on
+	Accepted   bool // a request was read whole on it and handed on
 	Answered   bool // its answer was written as far as the client took it
 	ClientGone bool
 }
 
 // MayClose tells whether a client's connection may close.
 func MayClose(f CloseFacts) Reason {
-	if f.Taken && !f.Answered && !f.ClientGone {
+	if f.Accepted && !f.Answered && !f.ClientGone {
 		return Unanswered
 	}
 	return Allowed
 }
 
-// ForgetFacts are those of what a server may hold for a request, and of which it is not proven that it was let go.
-type ForgetFacts struct {
+// AbandonFacts are those of what a server may hold for a request, and of which it is not proven that it was let go.
+type AbandonFacts struct {
 	Stopped bool // the router ends, and its time is over
 }
 
-// MayForget tells why it is forgotten. It is never allowed: each time is counted and reported.
-func MayForget(f ForgetFacts) Reason {
+// MayAbandon tells why it is forgotten. It is never allowed: each time is counted and reported.
+func MayAbandon(f AbandonFacts) Reason {
 	if f.Stopped {
 		return HeldAtStop
 	}
-	return HeldTooMany
+	return HeldOverLimit
 }
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -16,8 +16,8 @@
 		want   Reason
 	}{
 		{"as it is", func(*WriteFacts) {}, Allowed},
-		{"called off", func(f *WriteFacts) { f.CalledOff = true }, CalledOff},
-		{"a release that was called off", func(f *WriteFacts) { f.CalledOff, f.Release = true, true }, CalledOff},
+		{"called off", func(f *WriteFacts) { f.Cancelled = true }, Cancelled},
+		{"a release that was called off", func(f *WriteFacts) { f.Cancelled, f.Release = true, true }, Cancelled},
 		{"a release to a server that drains", func(f *WriteFacts) { f.Draining, f.Release = true, true }, Allowed},
 		{"not listed", func(f *WriteFacts) { f.Listed = false }, Unlisted},
 		{"draining", func(f *WriteFacts) { f.Draining = true }, Draining},
@@ -41,10 +41,10 @@
 	}{
 		{SendFacts{Effect: Unsafe}, Allowed},
 		{SendFacts{Effect: Unsafe, MayHaveRun: true}, MayHaveRun},
-		{SendFacts{Effect: Unsafe, EffectOut: true}, StillOut},
+		{SendFacts{Effect: Unsafe, EffectInFlight: true}, EffectInFlight},
 		{SendFacts{Effect: Keyed, MayHaveRun: true}, Allowed},
-		{SendFacts{Effect: Keyed, EffectOut: true}, StillOut},
-		{SendFacts{Effect: Safe, EffectOut: true, MayHaveRun: true}, Allowed},
+		{SendFacts{Effect: Keyed, EffectInFlight: true}, EffectInFlight},
+		{SendFacts{Effect: Safe, EffectInFlight: true, MayHaveRun: true}, Allowed},
 		{SendFacts{Answered: true}, Answered},
 		{SendFacts{Streaming: true}, Streaming},
 	} {
@@ -71,7 +71,7 @@
 func TestMonitorCounts(t *testing.T) {
 	var told []Denial
 	m := NewMonitor(func(d Denial) { told = append(told, d) })
-	if !m.Check(Write, Allowed, "a") || m.Check(Write, ClientGone, "a") || m.Check(Close, MayClose(CloseFacts{Taken: true}), "b") {
+	if !m.Check(Write, Allowed, "a") || m.Check(Write, ClientGone, "a") || m.Check(Close, MayClose(CloseFacts{Accepted: true}), "b") {
 		t.Error("a denial is allowed, or the other way round")
 	}
 	if m.Violations() != 1 || m.Counts()["write: client gone"] != 1 || m.Counts()["close: request unanswered"] != 1 || len(told) != 2 {
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -20,7 +20,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"gannethook/internal/life"
+	"gannethook/internal/lifecycle"
 )
 
 // env tells a process that descriptor 3 is its predecessor.
@@ -36,7 +36,7 @@
 type Parcel struct {
 	Pid     int
 	Boot    string
-	Results []life.Result // of commands
+	Results []lifecycle.Result // of commands
 	Drained bool
 	Names   []string // of the descriptors that follow, in order
 }
--- a/internal/heldstate/dormant.go
+++ b/internal/heldstate/dormant.go
@@ -35,13 +35,13 @@
 	}
 	for _, h := range e.holdings {
 		u := l.unheard[h.server]
-		u.dormant = append(u.dormant, dormant{key: e.key, closed: h.closed.Sub(l.epoch), left: h.left, pin: e.terms.Pin,
-			kind: h.kind, settled: h.unreached(), spared: e.terms.Spared})
+		u.dormant = append(u.dormant, dormant{key: e.key, closed: h.closed.Sub(l.epoch), left: h.left, pin: e.terms.PinLimit,
+			kind: h.kind, settled: h.unreached(), spared: e.terms.PreservesWaiting})
 		l.dormant++
 	}
 	l.drop(e)
 	for l.dormant > maxDormant {
-		l.forgetDormant(TooMany, now)
+		l.forgetDormant(LedgerFull, now)
 	}
 }
 
@@ -67,7 +67,7 @@
 
 // terms are those of the entry that a dormant holding was of.
 func (d *dormant) terms() Terms {
-	return Terms{Request: d.key, Shared: true, Spared: d.spared, Pin: d.pin}
+	return Terms{Request: d.key, Shared: true, PreservesWaiting: d.spared, PinLimit: d.pin}
 }
 
 // reopen makes a dormant holding one of an entry, whose server was heard.
@@ -101,7 +101,7 @@
 	if l.dormant == 0 {
 		return
 	}
-	for _, server := range l.Unheard() {
+	for _, server := range l.UnconfirmedServers() {
 		if !l.unheard[server].woken.answered.IsZero() {
 			l.wake(server, now)
 		}
@@ -109,7 +109,7 @@
 }
 
 // forgetDormant forgets the dormant holding that has waited for longest of the server with the most.
-func (l *Ledger) forgetDormant(why Why, now time.Time) {
+func (l *Ledger) forgetDormant(why AbandonReason, now time.Time) {
 	var server string
 	var most *unheard
 	for name, u := range l.unheard {
@@ -120,7 +120,7 @@
 	d := most.dormant[0]
 	most.dormant = most.dormant[1:]
 	l.dormant--
-	l.forgot = append(l.forgot, Forgotten{Request: d.key, Key: d.key, Owed: now.Sub(l.epoch.Add(d.closed)), Servers: []string{server}, Why: why})
+	l.forgot = append(l.forgot, AbandonedEntry{Request: d.key, Key: d.key, PendingFor: now.Sub(l.epoch.Add(d.closed)), Servers: []string{server}, Reason: why})
 	l.forgetIfNoneWaits(server, most)
 }
 
--- a/internal/heldstate/dormant_test.go
+++ b/internal/heldstate/dormant_test.go
@@ -11,14 +11,14 @@
 // longPin are terms under which an entry is seldom released.
 func longPin() Terms {
 	terms := shared
-	terms.Left, terms.Pin = 100*ms, time.Minute
+	terms.AttemptTimeout, terms.PinLimit = 100*ms, time.Minute
 	return terms
 }
 
 // outage has a server fall silent under so many requests, one each millisecond, while another takes the releases.
 func (c *clock) outage(requests int, terms Terms) {
 	for i := range requests {
-		c.owe(fmt.Sprintf("k%05d", i), terms, "silent", Closed)
+		c.owe(fmt.Sprintf("k%05d", i), terms, "silent", ClosedByRouter)
 		c.pass(ms)
 		c.answer(false, func(string) {})
 	}
@@ -33,7 +33,7 @@
 		} else {
 			released(call.Key)
 		}
-		c.l.Released(call, Result{Taken: heard || !call.Probe, Server: server, Sent: c.now}, c.now)
+		c.l.ReleaseEnded(call, ReleaseResult{Acknowledged: heard || !call.Probe, Server: server, SentAt: c.now}, c.now)
 	}
 }
 
@@ -56,13 +56,13 @@
 	} else {
 		t.Logf("%d holdings take %d KB", maxDormant, used>>10)
 	}
-	if f := c.l.Forgotten(); c.l.Owed() != maxDormant || len(f) != 0 {
-		t.Fatalf("%d owed, %d forgotten", c.l.Owed(), len(f))
+	if f := c.l.Abandoned(); c.l.PendingCount() != maxDormant || len(f) != 0 {
+		t.Fatalf("%d owed, %d forgotten", c.l.PendingCount(), len(f))
 	}
 	var order []string
 	seen := map[string]bool{}
-	for end := c.now.Add(time.Minute); c.l.Owed() > 0 && c.now.Before(end); c.pass(ms) {
-		c.l.Heard("silent", c.now, c.now, c.now)
+	for end := c.now.Add(time.Minute); c.l.PendingCount() > 0 && c.now.Before(end); c.pass(ms) {
+		c.l.ServerAnswered("silent", c.now, c.now, c.now)
 		c.answer(true, func(key string) {
 			if !seen[key] {
 				seen[key], order = true, append(order, key)
@@ -87,15 +87,15 @@
 func TestBoundOfDormantHoldings(t *testing.T) {
 	c := newClock(t)
 	c.outage(maxDormant+maxOwed+10, longPin())
-	f := c.l.Forgotten()
-	if len(f) == 0 || f[0].Key != "k00000" || f[0].Why != TooMany {
+	f := c.l.Abandoned()
+	if len(f) == 0 || f[0].Key != "k00000" || f[0].Reason != LedgerFull {
 		t.Fatalf("%d forgotten, the first %+v", len(f), f[:min(len(f), 1)])
 	}
-	if owed := c.l.Owed() + len(f); owed != maxDormant+maxOwed+10 {
+	if owed := c.l.PendingCount() + len(f); owed != maxDormant+maxOwed+10 {
 		t.Errorf("%d owed or forgotten", owed)
 	}
-	c.l.Gone("silent", c.now)
-	for end := c.now.Add(time.Minute); c.l.Owed() > 0 && c.now.Before(end); c.pass(ms) {
+	c.l.ServerRemoved("silent", c.now)
+	for end := c.now.Add(time.Minute); c.l.PendingCount() > 0 && c.now.Before(end); c.pass(ms) {
 		c.answer(true, func(string) {})
 	}
 	c.proven()
@@ -107,7 +107,7 @@
 	sent := c.now
 	c.pass(ms)
 	terms := shared
-	terms.Pin = 50 * ms
+	terms.PinLimit = 50 * ms
 	const requests = 10
 	c.outage(requests, terms)
 	for end := c.now.Add(10 * time.Second); c.l.dormant < requests; c.pass(ms) {
@@ -116,12 +116,12 @@
 			t.Fatalf("%d of %d are dormant", c.l.dormant, requests)
 		}
 	}
-	c.l.Heard("silent", sent, c.now, c.now)
+	c.l.ServerAnswered("silent", sent, c.now, c.now)
 	c.answer(false, func(string) {})
 	if next := c.l.Next(); c.l.dormant != requests || !next.After(c.now) {
 		t.Errorf("%d of %d are dormant, looked at again in %v", c.l.dormant, requests, next.Sub(c.now))
 	}
-	c.l.Heard("silent", c.now, c.now, c.now)
+	c.l.ServerAnswered("silent", c.now, c.now, c.now)
 	c.answer(true, func(string) {})
 	if c.l.dormant != 0 {
 		t.Errorf("%d are dormant behind a later call", c.l.dormant)
--- a/internal/heldstate/entry.go
+++ b/internal/heldstate/entry.go
@@ -79,17 +79,17 @@
 }
 
 // inFlight tells whether an attempt is in flight that may wait for something, as far as the router knows.
-func (e *entry) inFlight() bool { return e.beside() != Alone }
+func (e *entry) inFlight() bool { return e.beside() != NoAttempt }
 
 // beside is which attempt is in flight.
-func (e *entry) beside() Beside {
-	beside := Alone
+func (e *entry) beside() Concurrent {
+	beside := NoAttempt
 	for _, h := range e.holdings {
 		switch {
 		case h.pending && h.kind == readState:
-			return BesideRead
+			return ReadInFlight
 		case h.pending && h.kind == queuedWrite:
-			beside = BesideWrite
+			beside = WriteInFlight
 		}
 	}
 	return beside
@@ -145,7 +145,7 @@
 		return time.Time{}
 	case !e.retryAt.IsZero():
 		return e.retryAt
-	case e.inFlight() && !e.terms.Spared && !e.over:
+	case e.inFlight() && !e.terms.PreservesWaiting && !e.over:
 		return time.Time{} // it would take what the attempt waits for
 	}
 	due := e.proven.Add(e.part(releasePart))
--- a/internal/heldstate/ledger.go
+++ b/internal/heldstate/ledger.go
@@ -59,9 +59,9 @@
 
 // Times and bounds. Times are real time.
 const (
-	// NoticeGrace is for how long a running server may take to notice that a
+	// CloseNoticeGrace is for how long a running server may take to notice that a
 	// connection was closed. A call on another connection may overtake the close.
-	NoticeGrace = 25 * time.Millisecond
+	CloseNoticeGrace = 25 * time.Millisecond
 
 	defaultPin   = 500 * time.Millisecond // taken where the settings name no limit
 	releasePart  = 0.9                    // part of the pin limit after which a release is made, counted from what was last proven
@@ -90,83 +90,83 @@
 
 // Terms are those of an entry.
 type Terms struct {
-	Request string        // for the log
-	Shared  bool          // servers know all that is held by the entry's key, and any of them takes its release
-	Spared  bool          // a release spares what an attempt that has arrived waits for, so that one may be made beside it
-	Pin     time.Duration // for how long something may be held with no attempt in flight; 0: not told
-	Left    time.Duration // of an attempt: for which its server is told that the answer is waited for, from its sending; 0: not told; negative: it outlasts no close
+	Request          string        // for the log
+	Shared           bool          // servers know all that is held by the entry's key, and any of them takes its release
+	PreservesWaiting bool          // a release spares what an attempt that has arrived waits for, so that one may be made beside it
+	PinLimit         time.Duration // for how long something may be held with no attempt in flight; 0: not told
+	AttemptTimeout   time.Duration // of an attempt: for which its server is told that the answer is waited for, from its sending; 0: not told; negative: it outlasts no close
 }
 
 func (t Terms) left() time.Duration {
 	switch {
-	case t.Left < 0:
+	case t.AttemptTimeout < 0:
 		return 0
-	case t.Left == 0:
+	case t.AttemptTimeout == 0:
 		return maxLeft
 	}
-	return min(t.Left, maxLeft)
+	return min(t.AttemptTimeout, maxLeft)
 }
 
 func (t Terms) pin() time.Duration {
-	if t.Pin > 0 {
-		return t.Pin
+	if t.PinLimit > 0 {
+		return t.PinLimit
 	}
 	return defaultPin
 }
 
 // grace is for how long a server may take to notice a close; a short pin limit leaves less room to allow for it.
-func (t Terms) grace() time.Duration { return min(NoticeGrace, t.pin()/4) }
+func (t Terms) grace() time.Duration { return min(CloseNoticeGrace, t.pin()/4) }
 
-// End tells how an attempt ended.
-type End uint8
+// AttemptEnd tells how an attempt ended.
+type AttemptEnd uint8
 
 // The ends.
 const (
-	NeverArrived End = iota // it was not written whole: the server can't have begun it
-	TurnedAway              // the server answered that it did nothing
-	Answered                // the server's answer came whole
-	Closed                  // the router closed the connection before the answer had ended: the server may not have noticed
-	Broke                   // the server's end of the connection ended before the answer had: it goes on with nothing, and may have ended well
+	NotSent        AttemptEnd = iota // it was not written whole: the server can't have begun it
+	Rejected                         // the server answered that it did nothing
+	Completed                        // the server's answer came whole
+	ClosedByRouter                   // the router closed the connection before the answer had ended: the server may not have noticed
+	ClosedByServer                   // the server's end of the connection ended before the answer had: it goes on with nothing, and may have ended well
 )
 
 // leavesNothing tells that the server holds nothing for what ended so.
-func (e End) leavesNothing() bool { return e == NeverArrived || e == TurnedAway }
+func (e AttemptEnd) leavesNothing() bool { return e == NotSent || e == Rejected }
 
 // proves tells that the attempt was in flight until now.
-func (e End) proves() bool { return e == TurnedAway || e == Answered }
+func (e AttemptEnd) proves() bool { return e == Rejected || e == Completed }
 
-// Grant tells how the asking for a place ended.
-type Grant uint8
+// PlaceResult tells how the asking for a place ended.
+type PlaceResult uint8
 
 // The answers.
 const (
-	Denied  Grant = iota // nothing is held, or nothing was asked
-	Granted              // held; where servers share what they know, the read was in flight
-	Unknown              // answered, and held perhaps: the server knew of no read
-	Unheard              // the connection ended before an answer came
+	Denied   PlaceResult = iota // nothing is held, or nothing was asked
+	Granted                     // held; where servers share what they know, the read was in flight
+	Unknown                     // answered, and held perhaps: the server knew of no read
+	NoAnswer                    // the connection ended before an answer came
 )
 
-// Beside tells which attempt is in flight as a release is made.
-type Beside uint8
+// Concurrent tells which attempt is in flight as a release is made.
+type Concurrent uint8
 
 // What a release may be made beside.
 const (
-	Alone       Beside = iota // no attempt is in flight
-	BesideRead                // a read is, and perhaps a write
-	BesideWrite               // a write alone
+	NoAttempt     Concurrent = iota // no attempt is in flight
+	ReadInFlight                    // a read is, and perhaps a write
+	WriteInFlight                   // a write alone
 )
 
-// Call is a release to be made.
-type Call struct {
-	Key     string
-	Servers []string // which may hold something; where the entry is shared any server may be asked, and there may be none
-	Probe   bool     // only the one server is to be asked: what counts is to hear it
-	Suspect bool     // nothing may be held but what comes of a lost close: any one server is enough, and asked once
-	Reach   bool     // such a probe by a key that no request has, so that nothing is let go; there is no Key
-	Beside  Beside
+// ReleaseCall is a release to be made.
+type ReleaseCall struct {
+	Key           string
+	Servers       []string // which may hold something; where the entry is shared any server may be asked, and there may be none
+	Probe         bool     // only the one server is to be asked: what counts is to hear it
+	SuspectedOnly bool     // nothing may be held but what comes of a lost close: any one server is enough, and asked once
+	Liveness      bool     // such a probe by a key that no request has, so that nothing is let go; there is no Key
+	Concurrent    Concurrent
 
-	After time.Time // it is not sent before: a close is on its way; zero: at once
-	Flush bool      // the next attempt waits for it, and whoever takes it first is enough
+	NotBefore time.Time // it is not sent before: a close is on its way; zero: at once
+	Flush     bool      // the next attempt waits for it, and whoever takes it first is enough
 }
 
 // Ledger keeps the entries. It is not safe for concurrent use.
@@ -182,7 +182,7 @@
 	inFlight int
 	line     []*entry // whose releases are due, and wait for one in flight to end
 	probes   int
-	forgot   []Forgotten
+	forgot   []AbandonedEntry
 	reports  []Report
 }
 
@@ -191,20 +191,20 @@
 	return &Ledger{entries: map[string]*entry{}, unheard: map[string]*unheard{}, reached: map[string]time.Time{}, reaching: map[string]bool{}}
 }
 
-// Owed is how many entries and dormant holdings wait for proof with no attempt to come.
-func (l *Ledger) Owed() int { return len(l.owed) + l.dormant }
+// PendingCount is how many entries and dormant holdings wait for proof with no attempt to come.
+func (l *Ledger) PendingCount() int { return len(l.owed) + l.dormant }
 
-// Pending tells whether some entry waits for proof of more than a suspicion.
-func (l *Ledger) Pending() bool {
+// HasConfirmedPending tells whether some entry waits for proof of more than a suspicion.
+func (l *Ledger) HasConfirmedPending() bool {
 	return l.dormant > 0 || slices.ContainsFunc(l.owed, func(e *entry) bool { return !e.onlySuspected() })
 }
 
 // Len is how many entries there are.
 func (l *Ledger) Len() int { return len(l.entries) }
 
-// Began notes that an attempt is sent to a server; reads tells that it leaves a
+// AttemptStarted notes that an attempt is sent to a server; reads tells that it leaves a
 // state there if it ends well.
-func (l *Ledger) Began(key string, terms Terms, server string, reads bool, now time.Time) {
+func (l *Ledger) AttemptStarted(key string, terms Terms, server string, reads bool, now time.Time) {
 	e := l.open(key, terms)
 	e.wanted, e.over, e.streamed, e.takes = false, false, time.Time{}, 0
 	l.notOwed(e)
@@ -216,7 +216,7 @@
 	if reads {
 		h.kind = readState
 	}
-	if reads && terms.Shared && terms.Spared && !e.mayHold() { // it may end well, and its answer be lost
+	if reads && terms.Shared && terms.PreservesWaiting && !e.mayHold() { // it may end well, and its answer be lost
 		h.sole = true
 		e.prove(now)
 	}
@@ -224,8 +224,8 @@
 	l.schedule(e, now)
 }
 
-// Asked notes that a server is asked for a place.
-func (l *Ledger) Asked(key string, terms Terms, server string, now time.Time) {
+// PlaceRequested notes that a server is asked for a place.
+func (l *Ledger) PlaceRequested(key string, terms Terms, server string, now time.Time) {
 	e := l.open(key, terms)
 	if !e.mayHold() {
 		e.prove(now)
@@ -244,9 +244,9 @@
 	return e
 }
 
-// Begun notes by when the server of an attempt in flight has begun it, if it has arrived: the server has answered a call that
+// AttemptBegunBy notes by when the server of an attempt in flight has begun it, if it has arrived: the server has answered a call that
 // was sent behind it.
-func (l *Ledger) Begun(key, server string, reads bool, by time.Time) {
+func (l *Ledger) AttemptBegunBy(key, server string, reads bool, by time.Time) {
 	kind := queuedWrite
 	if reads {
 		kind = readState
@@ -259,17 +259,17 @@
 }
 
 // ReadEnded notes how an attempt ended that reads.
-func (l *Ledger) ReadEnded(key, server string, end End, now time.Time) {
+func (l *Ledger) ReadEnded(key, server string, end AttemptEnd, now time.Time) {
 	l.attemptEnded(key, server, readState, end, now)
 }
 
 // WriteEnded notes how an attempt ended that answers. What it waited for may
 // still be held elsewhere, unless its answer had begun.
-func (l *Ledger) WriteEnded(key, server string, end End, now time.Time) {
+func (l *Ledger) WriteEnded(key, server string, end AttemptEnd, now time.Time) {
 	l.attemptEnded(key, server, queuedWrite, end, now)
 }
 
-func (l *Ledger) attemptEnded(key, server string, kind kind, end End, now time.Time) {
+func (l *Ledger) attemptEnded(key, server string, kind kind, end AttemptEnd, now time.Time) {
 	e := l.entries[key]
 	if e == nil {
 		return
@@ -284,17 +284,17 @@
 	if end.proves() {
 		e.prove(now)
 	}
-	if end != NeverArrived {
+	if end != NotSent {
 		e.quietAt = now
 	}
 	e.takes = 0
 	switch {
-	case end.leavesNothing() || kind == queuedWrite && end == Answered:
+	case end.leavesNothing() || kind == queuedWrite && end == Completed:
 		e.remove(i)
-	case end == Broke:
+	case end == ClosedByServer:
 		e.holdings[i].left = 0
 		l.doubt(e, i, now)
-	case end == Closed:
+	case end == ClosedByRouter:
 		l.doubt(e, i, now)
 	default:
 		e.holdings[i].settle(now)
@@ -302,8 +302,8 @@
 	l.schedule(e, now)
 }
 
-// Placed notes how the asking for a place ended.
-func (l *Ledger) Placed(key, server string, grant Grant, now time.Time) {
+// PlaceRequestEnded notes how the asking for a place ended.
+func (l *Ledger) PlaceRequestEnded(key, server string, grant PlaceResult, now time.Time) {
 	e := l.entries[key]
 	if e == nil {
 		return
@@ -316,10 +316,10 @@
 	switch grant {
 	case Denied:
 		e.remove(i)
-		if e.terms.Shared && e.terms.Spared && !e.mayHold() { // again nothing is held but what the read may have left
+		if e.terms.Shared && e.terms.PreservesWaiting && !e.mayHold() { // again nothing is held but what the read may have left
 			e.setSole(true)
 		}
-	case Unheard:
+	case NoAnswer:
 		l.doubt(e, i, now)
 	case Granted:
 		l.granted(e, i, now)
@@ -355,9 +355,9 @@
 	}
 }
 
-// Streaming notes the first event of the answer, with which all goes that is
+// StreamStarted notes the first event of the answer, with which all goes that is
 // held: but what servers that did not notice a close may still come to hold.
-func (l *Ledger) Streaming(key string, now time.Time) {
+func (l *Ledger) StreamStarted(key string, now time.Time) {
 	e := l.entries[key]
 	if e == nil {
 		return
@@ -371,16 +371,16 @@
 	l.schedule(e, now)
 }
 
-// Want notes that all is to be let go. The release comes from Due once Settle was called, or from Flush where an attempt
+// RequestRelease notes that all is to be let go. The release comes from Due once ScheduleRelease was called, or from Flush where an attempt
 // follows.
-func (l *Ledger) Want(key string, now time.Time) {
+func (l *Ledger) RequestRelease(key string, now time.Time) {
 	if e := l.entries[key]; e != nil {
 		e.want(now)
 	}
 }
 
 // Flush returns the release that has to be made before an entry's next attempt.
-func (l *Ledger) Flush(key string) []Call {
+func (l *Ledger) Flush(key string) []ReleaseCall {
 	e := l.entries[key]
 	if e == nil || !e.wanted || e.releasing > 0 || !e.mayHold() {
 		return nil
@@ -393,22 +393,22 @@
 		}
 		for _, h := range e.holdings {
 			if !h.closed.IsZero() {
-				calls[i].After = later(calls[i].After, h.closed.Add(e.grace()))
+				calls[i].NotBefore = later(calls[i].NotBefore, h.closed.Add(e.grace()))
 			}
 		}
 	}
 	return calls
 }
 
-// Settle schedules the release of an entry that is wanted, and has not gone on.
-func (l *Ledger) Settle(key string, now time.Time) {
+// ScheduleRelease schedules the release of an entry that is wanted, and has not gone on.
+func (l *Ledger) ScheduleRelease(key string, now time.Time) {
 	if e := l.entries[key]; e != nil {
 		l.schedule(e, now)
 	}
 }
 
-// Over notes that no attempt follows.
-func (l *Ledger) Over(key string, now time.Time) {
+// RequestEnded notes that no attempt follows.
+func (l *Ledger) RequestEnded(key string, now time.Time) {
 	if e := l.entries[key]; e != nil {
 		e.over = true
 		e.want(now)
@@ -459,7 +459,7 @@
 		l.rest(l.owed[i], now)
 		return
 	}
-	l.forget(l.owed[0], TooMany, now)
+	l.forget(l.owed[0], LedgerFull, now)
 }
 
 func (l *Ledger) notOwed(e *entry) {
@@ -492,18 +492,18 @@
 }
 
 // release makes an entry's calls: one where it is shared, else one for each holder.
-func (l *Ledger) release(e *entry) []Call {
+func (l *Ledger) release(e *entry) []ReleaseCall {
 	e.round = round{}
 	if e.terms.Shared {
 		e.releasing++
 		l.inFlight++
-		return []Call{{Key: e.key, Servers: e.heardHolders(), Suspect: e.retry < maxRetry && e.onlyHalfOpen(), Beside: e.beside()}}
+		return []ReleaseCall{{Key: e.key, Servers: e.heardHolders(), SuspectedOnly: e.retry < maxRetry && e.onlyHalfOpen(), Concurrent: e.beside()}}
 	}
-	calls := make([]Call, 0, len(e.holdings))
+	calls := make([]ReleaseCall, 0, len(e.holdings))
 	for _, server := range e.where() {
 		e.releasing++
 		l.inFlight++
-		calls = append(calls, Call{Key: e.key, Servers: []string{server}, Beside: e.beside()})
+		calls = append(calls, ReleaseCall{Key: e.key, Servers: []string{server}, Concurrent: e.beside()})
 	}
 	return calls
 }
--- a/internal/heldstate/ledger_test.go
+++ b/internal/heldstate/ledger_test.go
@@ -10,7 +10,7 @@
 
 const ms = time.Millisecond
 
-var shared = Terms{Request: "r", Shared: true, Spared: true, Pin: 500 * ms, Left: 3 * time.Second}
+var shared = Terms{Request: "r", Shared: true, PreservesWaiting: true, PinLimit: 500 * ms, AttemptTimeout: 3 * time.Second}
 
 // clock is a ledger with a time that the test moves on.
 type clock struct {
@@ -26,7 +26,7 @@
 func (c *clock) pass(d time.Duration) { c.now = c.now.Add(d) }
 
 // due fails the test unless so many releases are due, and returns them.
-func (c *clock) due(n int) []Call {
+func (c *clock) due(n int) []ReleaseCall {
 	c.t.Helper()
 	calls := c.l.Due(c.now)
 	if len(calls) != n {
@@ -36,14 +36,14 @@
 }
 
 // owe has a request over whose read has ended at a server.
-func (c *clock) owe(key string, terms Terms, server string, end End) {
-	c.l.Began(key, terms, server, true, c.now)
+func (c *clock) owe(key string, terms Terms, server string, end AttemptEnd) {
+	c.l.AttemptStarted(key, terms, server, true, c.now)
 	c.l.ReadEnded(key, server, end, c.now)
-	c.l.Over(key, c.now)
+	c.l.RequestEnded(key, c.now)
 }
 
 // await moves the time on until a release is due.
-func (c *clock) await() Call {
+func (c *clock) await() ReleaseCall {
 	c.t.Helper()
 	for !c.l.Next().IsZero() {
 		c.now = later(c.now, c.l.Next())
@@ -52,18 +52,18 @@
 		}
 	}
 	c.t.Fatal("nothing more is due")
-	return Call{}
+	return ReleaseCall{}
 }
 
 // take has a server answer a release at once.
-func (c *clock) take(call Call, server string) {
-	c.l.Released(call, Result{Taken: true, Server: server, Sent: c.now}, c.now)
+func (c *clock) take(call ReleaseCall, server string) {
+	c.l.ReleaseEnded(call, ReleaseResult{Acknowledged: true, Server: server, SentAt: c.now}, c.now)
 }
 
 func (c *clock) proven() {
 	c.t.Helper()
-	if c.l.Owed() != 0 || c.l.Len() != 0 || len(c.l.Unheard()) != 0 || !c.l.Next().IsZero() {
-		c.t.Fatalf("owed %d of %d, unheard %v, next %v", c.l.Owed(), c.l.Len(), c.l.Unheard(), c.l.Next())
+	if c.l.PendingCount() != 0 || c.l.Len() != 0 || len(c.l.UnconfirmedServers()) != 0 || !c.l.Next().IsZero() {
+		c.t.Fatalf("owed %d of %d, unheard %v, next %v", c.l.PendingCount(), c.l.Len(), c.l.UnconfirmedServers(), c.l.Next())
 	}
 }
 
@@ -87,19 +87,19 @@
 // A request that is served, and one that nothing arrived of, cost no release.
 func TestNothingHeldNoRelease(t *testing.T) {
 	c := newClock(t)
-	c.l.Began("k", shared, "reader", true, c.now)
-	c.l.Asked("k", shared, "writer", c.now)
-	c.l.Placed("k", "writer", Granted, c.now)
-	c.l.ReadEnded("k", "reader", Answered, c.now)
-	c.l.Began("k", shared, "writer", false, c.now)
-	c.l.Streaming("k", c.now)
-	c.l.WriteEnded("k", "writer", Answered, c.now)
-	c.l.Over("k", c.now)
+	c.l.AttemptStarted("k", shared, "reader", true, c.now)
+	c.l.PlaceRequested("k", shared, "writer", c.now)
+	c.l.PlaceRequestEnded("k", "writer", Granted, c.now)
+	c.l.ReadEnded("k", "reader", Completed, c.now)
+	c.l.AttemptStarted("k", shared, "writer", false, c.now)
+	c.l.StreamStarted("k", c.now)
+	c.l.WriteEnded("k", "writer", Completed, c.now)
+	c.l.RequestEnded("k", c.now)
 	c.proven()
-	for _, end := range []End{NeverArrived, TurnedAway} {
-		c.l.Began("k", shared, "reader", true, c.now)
+	for _, end := range []AttemptEnd{NotSent, Rejected} {
+		c.l.AttemptStarted("k", shared, "reader", true, c.now)
 		c.l.ReadEnded("k", "reader", end, c.now)
-		c.l.Over("k", c.now)
+		c.l.RequestEnded("k", c.now)
 		c.proven()
 	}
 }
@@ -107,10 +107,10 @@
 // A state that nobody takes costs one release, made at once; what holds it is asked first.
 func TestStateThatNobodyTakes(t *testing.T) {
 	c := newClock(t)
-	c.l.Began("k", shared, "reader", true, c.now)
-	c.l.ReadEnded("k", "reader", Answered, c.now)
+	c.l.AttemptStarted("k", shared, "reader", true, c.now)
+	c.l.ReadEnded("k", "reader", Completed, c.now)
 	c.due(0) // its request goes on
-	c.l.Over("k", c.now)
+	c.l.RequestEnded("k", c.now)
 	call := c.due(1)[0]
 	if !slices.Equal(call.Servers, []string{"reader"}) {
 		t.Errorf("%+v", call)
@@ -124,20 +124,20 @@
 // ended.
 func TestReleaseBesideAnAttemptProvesNothing(t *testing.T) {
 	c := newClock(t)
-	c.l.Began("k", shared, "reader", true, c.now)
-	c.l.ReadEnded("k", "reader", Answered, c.now)
-	c.l.Began("k", shared, "writer", false, c.now)
-	c.l.Want("k", c.now)
-	c.l.Settle("k", c.now)
+	c.l.AttemptStarted("k", shared, "reader", true, c.now)
+	c.l.ReadEnded("k", "reader", Completed, c.now)
+	c.l.AttemptStarted("k", shared, "writer", false, c.now)
+	c.l.RequestRelease("k", c.now)
+	c.l.ScheduleRelease("k", c.now)
 	beside := c.due(1)[0]
-	if beside.Beside != BesideWrite {
+	if beside.Concurrent != WriteInFlight {
 		t.Fatalf("%+v", beside)
 	}
 	c.take(beside, "reader")
 	c.pass(399 * ms)
 	c.due(0)
-	c.l.WriteEnded("k", "writer", Answered, c.now)
-	c.l.Over("k", c.now)
+	c.l.WriteEnded("k", "writer", Completed, c.now)
+	c.l.RequestEnded("k", c.now)
 	c.take(c.due(1)[0], "reader")
 	c.proven()
 }
@@ -150,7 +150,7 @@
 			if !call.Probe {
 				times = append(times, c.now.Sub(from))
 			}
-			c.l.Released(call, Result{Taken: !call.Probe, Server: "another", Sent: c.now}, c.now)
+			c.l.ReleaseEnded(call, ReleaseResult{Acknowledged: !call.Probe, Server: "another", SentAt: c.now}, c.now)
 		}
 	}
 	return times
@@ -159,62 +159,62 @@
 // While something may be held, a release is made whenever 0.9 of the pin limit has passed since the last proof that it did
 // not run, whatever has been sent meanwhile: what was sent may not have arrived.
 func TestReleaseBesideWhatMayNotHaveArrived(t *testing.T) {
-	read := func(c *clock, terms Terms, server string) { c.l.Began("k", terms, server, true, c.now) }
+	read := func(c *clock, terms Terms, server string) { c.l.AttemptStarted("k", terms, server, true, c.now) }
 	for name, play := range map[string]func(c *clock, terms Terms){
 		"a place that is not answered": func(c *clock, terms Terms) {
 			read(c, terms, "silent")
-			c.l.Asked("k", terms, "writer", c.now)
+			c.l.PlaceRequested("k", terms, "writer", c.now)
 		},
 		"a place behind a 204": func(c *clock, terms Terms) {
 			read(c, terms, "silent")
-			c.l.Asked("k", terms, "writer", c.now)
-			c.l.Placed("k", "writer", Unknown, c.now)
+			c.l.PlaceRequested("k", terms, "writer", c.now)
+			c.l.PlaceRequestEnded("k", "writer", Unknown, c.now)
 		},
 		"a place whose answer was lost": func(c *clock, terms Terms) {
 			read(c, terms, "silent")
-			c.l.Asked("k", terms, "writer", c.now)
-			c.l.Placed("k", "writer", Unheard, c.now)
+			c.l.PlaceRequested("k", terms, "writer", c.now)
+			c.l.PlaceRequestEnded("k", "writer", NoAnswer, c.now)
 		},
 		"a second place": func(c *clock, terms Terms) {
 			read(c, terms, "silent")
-			c.l.Asked("k", terms, "full", c.now)
-			c.l.Placed("k", "full", Denied, c.now)
-			c.l.Asked("k", terms, "writer", c.now)
+			c.l.PlaceRequested("k", terms, "full", c.now)
+			c.l.PlaceRequestEnded("k", "full", Denied, c.now)
+			c.l.PlaceRequested("k", terms, "writer", c.now)
 		},
 		"a place whose read was known, and its answer lost": func(c *clock, terms Terms) {
 			read(c, terms, "reader")
-			c.l.Asked("k", terms, "writer", c.now)
-			c.l.Placed("k", "writer", Granted, c.now)
+			c.l.PlaceRequested("k", terms, "writer", c.now)
+			c.l.PlaceRequestEnded("k", "writer", Granted, c.now)
 		},
 		"a write": func(c *clock, terms Terms) {
 			read(c, terms, "reader")
-			c.l.ReadEnded("k", "reader", Answered, c.now)
-			c.l.Began("k", terms, "silent", false, c.now)
+			c.l.ReadEnded("k", "reader", Completed, c.now)
+			c.l.AttemptStarted("k", terms, "silent", false, c.now)
 		},
 		"a write behind another that was called off": func(c *clock, terms Terms) {
 			read(c, terms, "reader")
-			c.l.ReadEnded("k", "reader", Answered, c.now)
-			c.l.Began("k", terms, "writer", false, c.now)
-			c.l.WriteEnded("k", "writer", Closed, c.now)
-			c.l.Began("k", terms, "silent", false, c.now)
+			c.l.ReadEnded("k", "reader", Completed, c.now)
+			c.l.AttemptStarted("k", terms, "writer", false, c.now)
+			c.l.WriteEnded("k", "writer", ClosedByRouter, c.now)
+			c.l.AttemptStarted("k", terms, "silent", false, c.now)
 		},
 		"a read behind a write that was called off": func(c *clock, terms Terms) {
 			read(c, terms, "reader")
-			c.l.ReadEnded("k", "reader", Answered, c.now)
-			c.l.Began("k", terms, "writer", false, c.now)
-			c.l.WriteEnded("k", "writer", Closed, c.now)
+			c.l.ReadEnded("k", "reader", Completed, c.now)
+			c.l.AttemptStarted("k", terms, "writer", false, c.now)
+			c.l.WriteEnded("k", "writer", ClosedByRouter, c.now)
 			read(c, terms, "silent")
 		},
 		"a read behind one that was called off": func(c *clock, terms Terms) {
 			read(c, terms, "reader")
-			c.l.ReadEnded("k", "reader", Closed, c.now)
+			c.l.ReadEnded("k", "reader", ClosedByRouter, c.now)
 			read(c, terms, "silent")
 		},
 	} {
 		for _, pin := range []time.Duration{250 * ms, 500 * ms, time.Second} {
 			c := newClock(t)
 			terms := shared
-			terms.Pin = pin
+			terms.PinLimit = pin
 			play(c, terms)
 			part := pin * 9 / 10
 			if got, want := c.released(3*part+ms), []time.Duration{part, 2 * part, 3 * part}; !slices.Equal(got, want) {
@@ -229,14 +229,14 @@
 func TestSparedReleaseIsRepeatedBesideTheNextAttempt(t *testing.T) {
 	for _, reads := range []bool{false, true} {
 		c := newClock(t)
-		c.l.Began("k", shared, "reader", true, c.now)
+		c.l.AttemptStarted("k", shared, "reader", true, c.now)
 		c.pass(500 * ms)
-		c.l.ReadEnded("k", "reader", Answered, c.now)
+		c.l.ReadEnded("k", "reader", Completed, c.now)
 		c.pass(283 * ms)
-		c.l.Began("k", shared, "writer", false, c.now)
+		c.l.AttemptStarted("k", shared, "writer", false, c.now)
 		spared := c.released(1692 * ms)
-		c.l.WriteEnded("k", "writer", Closed, c.now)
-		c.l.Began("k", shared, "silent", reads, c.now)
+		c.l.WriteEnded("k", "writer", ClosedByRouter, c.now)
+		c.l.AttemptStarted("k", shared, "silent", reads, c.now)
 		closed := c.now
 		next := c.released(3500 * ms)
 		if len(spared) != 4 || len(next) < 8 || next[0] > 400*ms {
@@ -249,8 +249,8 @@
 func TestOnlyAnswersMoveTheTime(t *testing.T) {
 	start := func() *clock {
 		c := newClock(t)
-		c.l.Began("k", shared, "reader", true, c.now)
-		c.l.Asked("k", shared, "writer", c.now)
+		c.l.AttemptStarted("k", shared, "reader", true, c.now)
+		c.l.PlaceRequested("k", shared, "writer", c.now)
 		c.pass(300 * ms)
 		return c
 	}
@@ -260,25 +260,25 @@
 	}{
 		"nothing": {func(*clock) {}, 150 * ms},
 		"a read that is answered": {func(c *clock) {
-			c.l.ReadEnded("k", "reader", Answered, c.now)
-			c.l.Began("k", shared, "writer", false, c.now)
+			c.l.ReadEnded("k", "reader", Completed, c.now)
+			c.l.AttemptStarted("k", shared, "writer", false, c.now)
 		}, 450 * ms},
 		"a read that is turned away": {func(c *clock) {
-			c.l.ReadEnded("k", "reader", TurnedAway, c.now)
-			c.l.Began("k", shared, "other", true, c.now)
+			c.l.ReadEnded("k", "reader", Rejected, c.now)
+			c.l.AttemptStarted("k", shared, "other", true, c.now)
 		}, 450 * ms},
 		"a read that is closed": {func(c *clock) {
-			c.l.ReadEnded("k", "reader", Closed, c.now)
-			c.l.Began("k", shared, "other", true, c.now)
+			c.l.ReadEnded("k", "reader", ClosedByRouter, c.now)
+			c.l.AttemptStarted("k", shared, "other", true, c.now)
 		}, 150 * ms},
 		"a read that was not sent": {func(c *clock) {
-			c.l.ReadEnded("k", "reader", NeverArrived, c.now)
-			c.l.Began("k", shared, "other", true, c.now)
+			c.l.ReadEnded("k", "reader", NotSent, c.now)
+			c.l.AttemptStarted("k", shared, "other", true, c.now)
 		}, 150 * ms},
-		"a place that is not known": {func(c *clock) { c.l.Placed("k", "writer", Unknown, c.now) }, 150 * ms},
+		"a place that is not known": {func(c *clock) { c.l.PlaceRequestEnded("k", "writer", Unknown, c.now) }, 150 * ms},
 		"another place that is held": {func(c *clock) {
-			c.l.Asked("k", shared, "second", c.now)
-			c.l.Placed("k", "second", Granted, c.now)
+			c.l.PlaceRequested("k", shared, "second", c.now)
+			c.l.PlaceRequestEnded("k", "second", Granted, c.now)
 		}, 450 * ms},
 	} {
 		c := start()
@@ -293,34 +293,34 @@
 // that no request has, and the release is made in time once the server is not heard.
 func TestReadThatIsHeardOf(t *testing.T) {
 	c := newClock(t)
-	c.l.Began("k", shared, "reader", true, c.now)
-	c.l.Asked("k", shared, "writer", c.now)
-	c.l.Placed("k", "writer", Granted, c.now)
+	c.l.AttemptStarted("k", shared, "reader", true, c.now)
+	c.l.PlaceRequested("k", shared, "writer", c.now)
+	c.l.PlaceRequestEnded("k", "writer", Granted, c.now)
 	for range 10 {
 		c.pass(375*ms - ms)
 		c.due(0)
 		c.pass(ms)
 		call := c.due(1)[0]
-		if !call.Reach || call.Key != "" || !slices.Equal(call.Servers, []string{"reader"}) {
+		if !call.Liveness || call.Key != "" || !slices.Equal(call.Servers, []string{"reader"}) {
 			t.Fatalf("%+v", call)
 		}
 		c.take(call, "reader")
 	}
 	proven := c.now
 	c.pass(375 * ms)
-	c.l.Released(c.due(1)[0], Result{}, c.now)
+	c.l.ReleaseEnded(c.due(1)[0], ReleaseResult{}, c.now)
 	c.pass(75 * ms)
 	if call := c.due(1)[0]; call.Probe || c.now.Sub(proven) != 450*ms {
 		t.Fatalf("%+v after %v", call, c.now.Sub(proven))
 	}
-	c.l.Heard("reader", c.now, c.now, c.now)
-	c.l.ReadEnded("k", "reader", Answered, c.now)
-	c.l.Streaming("k", c.now)
-	c.l.Began("k2", shared, "reader", true, c.now) // of another that a writer did not know of, its server's being heard proves nothing
-	c.l.Asked("k2", shared, "writer", c.now)
-	c.l.Placed("k2", "writer", Unknown, c.now)
+	c.l.ServerAnswered("reader", c.now, c.now, c.now)
+	c.l.ReadEnded("k", "reader", Completed, c.now)
+	c.l.StreamStarted("k", c.now)
+	c.l.AttemptStarted("k2", shared, "reader", true, c.now) // of another that a writer did not know of, its server's being heard proves nothing
+	c.l.PlaceRequested("k2", shared, "writer", c.now)
+	c.l.PlaceRequestEnded("k2", "writer", Unknown, c.now)
 	c.pass(449 * ms)
-	c.l.Heard("reader", c.now, c.now, c.now)
+	c.l.ServerAnswered("reader", c.now, c.now, c.now)
 	c.pass(ms)
 	call := c.due(1)[0]
 	if call.Key != "k2" || call.Probe {
@@ -328,17 +328,17 @@
 	}
 	c.take(call, "writer") // it has let go of the place, unless the read had arrived
 	c.pass(450*ms - ms)
-	c.l.Heard("reader", c.now, c.now, c.now)
+	c.l.ServerAnswered("reader", c.now, c.now, c.now)
 	c.pass(ms)
 	for _, call := range c.l.Due(c.now) {
-		if !call.Reach {
+		if !call.Liveness {
 			t.Errorf("%+v", call)
 		}
 	}
-	c.l.Asked("k2", shared, "second", c.now) // which may be held although the read has not arrived
-	c.l.Placed("k2", "second", Unknown, c.now)
+	c.l.PlaceRequested("k2", shared, "second", c.now) // which may be held although the read has not arrived
+	c.l.PlaceRequestEnded("k2", "second", Unknown, c.now)
 	for end := c.now.Add(450 * ms); c.now.Before(end); c.pass(ms) {
-		c.l.Heard("reader", c.now, c.now, c.now)
+		c.l.ServerAnswered("reader", c.now, c.now, c.now)
 		for _, call := range c.l.Due(c.now) {
 			if !call.Probe {
 				return
@@ -352,11 +352,11 @@
 // is still in flight then is asked in docs/questions.md; by the stricter reading its state is to be let go in time.
 func TestAnswerLostOnOneConnection(t *testing.T) {
 	c := newClock(t)
-	c.l.Began("k", shared, "reader", true, c.now)
-	c.l.Asked("k", shared, "writer", c.now)
-	c.l.Placed("k", "writer", Granted, c.now)
+	c.l.AttemptStarted("k", shared, "reader", true, c.now)
+	c.l.PlaceRequested("k", shared, "writer", c.now)
+	c.l.PlaceRequestEnded("k", "writer", Granted, c.now)
 	for from := c.now; c.now.Sub(from) < 800*ms; c.pass(100 * ms) {
-		c.l.Heard("reader", c.now, c.now, c.now)
+		c.l.ServerAnswered("reader", c.now, c.now, c.now)
 		for _, call := range c.l.Due(c.now) {
 			if !call.Probe {
 				return
@@ -371,13 +371,13 @@
 // had noticed the close (see TestAttemptGoesOnBehindALostClose).
 func TestReadGoesOnBehindALostClose(t *testing.T) {
 	c := newClock(t)
-	c.l.Began("k", shared, "reader", true, c.now)
+	c.l.AttemptStarted("k", shared, "reader", true, c.now)
 	c.pass(500 * ms)
-	c.l.ReadEnded("k", "reader", Closed, c.now)
-	c.l.Over("k", c.now)
+	c.l.ReadEnded("k", "reader", ClosedByRouter, c.now)
+	c.l.RequestEnded("k", c.now)
 	closed := c.now
 	for ; c.now.Sub(closed) < 1800*ms; c.pass(ms) {
-		c.l.Heard("reader", c.now, c.now, c.now)
+		c.l.ServerAnswered("reader", c.now, c.now, c.now)
 		for _, call := range c.l.Due(c.now) {
 			if !call.Probe && c.now.Sub(closed) > time.Second {
 				return
@@ -391,20 +391,20 @@
 // Nothing is released beside a read whose server is heard where nothing else is held, or where releases take what attempts wait for.
 func TestNothingIsReleasedBeside(t *testing.T) {
 	c := newClock(t)
-	c.l.Began("k", shared, "reader", true, c.now)
+	c.l.AttemptStarted("k", shared, "reader", true, c.now)
 	for end := c.now.Add(5 * time.Second); c.now.Before(end); c.pass(ms) {
 		for _, call := range c.l.Due(c.now) {
-			if !call.Reach {
+			if !call.Liveness {
 				t.Errorf("beside a first read whose server is heard: %+v", call)
 			}
 			c.take(call, call.Servers[0])
 		}
 	}
 	c = newClock(t)
-	terms := Terms{Request: "1", Pin: 500 * ms}
-	c.l.Began("k", terms, "reader", true, c.now)
-	c.l.Asked("k", terms, "writer", c.now)
-	c.l.Placed("k", "writer", Granted, c.now)
+	terms := Terms{Request: "1", PinLimit: 500 * ms}
+	c.l.AttemptStarted("k", terms, "reader", true, c.now)
+	c.l.PlaceRequested("k", terms, "writer", c.now)
+	c.l.PlaceRequestEnded("k", "writer", Granted, c.now)
 	if got := c.released(5 * time.Second); len(got) > 0 {
 		t.Errorf("where it is not spared: released after %v", got)
 	}
@@ -415,13 +415,13 @@
 	for _, pin := range []time.Duration{40 * ms, 250 * ms, 500 * ms, 0} {
 		c := newClock(t)
 		terms := shared
-		terms.Pin = pin
-		c.l.Began("k", terms, "reader", true, c.now)
-		c.l.ReadEnded("k", "reader", Answered, c.now)
-		c.l.Began("k", terms, "writer", false, c.now)
-		c.l.WriteEnded("k", "writer", Closed, c.now)
+		terms.PinLimit = pin
+		c.l.AttemptStarted("k", terms, "reader", true, c.now)
+		c.l.ReadEnded("k", "reader", Completed, c.now)
+		c.l.AttemptStarted("k", terms, "writer", false, c.now)
+		c.l.WriteEnded("k", "writer", ClosedByRouter, c.now)
 		closed := c.now
-		c.l.Over("k", c.now)
+		c.l.RequestEnded("k", c.now)
 		c.due(0)
 		c.now = c.l.Next()
 		if after := c.now.Sub(closed); after != min(25*ms, terms.pin()/4) {
@@ -441,11 +441,11 @@
 
 // unheardWriter leaves a state behind a writer that is silent, with both early releases made.
 func unheardWriter(c *clock) {
-	c.l.Began("k", shared, "reader", true, c.now)
-	c.l.ReadEnded("k", "reader", Answered, c.now)
-	c.l.Began("k", shared, "writer", false, c.now)
-	c.l.WriteEnded("k", "writer", Closed, c.now)
-	c.l.Over("k", c.now)
+	c.l.AttemptStarted("k", shared, "reader", true, c.now)
+	c.l.ReadEnded("k", "reader", Completed, c.now)
+	c.l.AttemptStarted("k", shared, "writer", false, c.now)
+	c.l.WriteEnded("k", "writer", ClosedByRouter, c.now)
+	c.l.RequestEnded("k", c.now)
 	for range 2 {
 		c.take(c.await(), "reader")
 	}
@@ -461,9 +461,9 @@
 		t.Fatalf("%+v", probe)
 	}
 	c.pass(10 * time.Second)
-	c.take(c.due(1)[0], "reader")                         // one more, from time to time, and no second probe
-	c.l.Heard("writer", time.Unix(1000, 0), c.now, c.now) // it had answered this before it was closed
-	if c.l.Owed() != 1 || len(c.l.Unheard()) != 1 {
+	c.take(c.due(1)[0], "reader")                                  // one more, from time to time, and no second probe
+	c.l.ServerAnswered("writer", time.Unix(1000, 0), c.now, c.now) // it had answered this before it was closed
+	if c.l.PendingCount() != 1 || len(c.l.UnconfirmedServers()) != 1 {
 		t.Fatal("an old answer was taken for a new one")
 	}
 	heard := c.now
@@ -479,9 +479,9 @@
 	c := newClock(t)
 	for i := range 20 {
 		key, server := fmt.Sprint("k", i), fmt.Sprint("writer", i%2)
-		c.l.Began(key, shared, server, false, c.now)
-		c.l.WriteEnded(key, server, Closed, c.now)
-		c.l.Over(key, c.now)
+		c.l.AttemptStarted(key, shared, server, false, c.now)
+		c.l.WriteEnded(key, server, ClosedByRouter, c.now)
+		c.l.RequestEnded(key, c.now)
 	}
 	probes, from := 0, c.now
 	for c.now.Sub(from) < 20*time.Second {
@@ -489,7 +489,7 @@
 			if call.Probe {
 				probes++
 			}
-			c.l.Released(call, Result{Taken: !call.Probe, Server: "another", Sent: c.now}, c.now)
+			c.l.ReleaseEnded(call, ReleaseResult{Acknowledged: !call.Probe, Server: "another", SentAt: c.now}, c.now)
 		}
 		if next := c.l.Next(); next.Sub(c.now) > maxProbe {
 			t.Fatalf("next after %v", next.Sub(c.now))
@@ -499,42 +499,42 @@
 	if most := 2 * 20 * 3; probes > most {
 		t.Errorf("%d probes, %d at most", probes, most)
 	}
-	c.l.Gone("writer0", c.now)
-	c.l.Gone("writer1", c.now)
-	for c.l.Owed() > 0 && c.now.Sub(from) < time.Minute {
+	c.l.ServerRemoved("writer0", c.now)
+	c.l.ServerRemoved("writer1", c.now)
+	for c.l.PendingCount() > 0 && c.now.Sub(from) < time.Minute {
 		for _, call := range c.l.Due(c.now) {
 			c.take(call, "another")
 		}
 		c.now = c.l.Next()
 	}
-	if c.l.Owed() != 0 {
-		t.Errorf("%d still owed once their servers have gone", c.l.Owed())
+	if c.l.PendingCount() != 0 {
+		t.Errorf("%d still owed once their servers have gone", c.l.PendingCount())
 	}
 }
 
 // With two servers in doubt, a release follows once either is heard: what waited there is let go, whatever the other does.
 func TestTwoServersInDoubt(t *testing.T) {
 	c := newClock(t)
-	c.l.Began("k", shared, "hung", true, c.now)
-	c.l.ReadEnded("k", "hung", Closed, c.now)
-	c.l.Began("k", shared, "cut", true, c.now)
-	c.l.ReadEnded("k", "cut", Closed, c.now)
-	c.l.Over("k", c.now)
+	c.l.AttemptStarted("k", shared, "hung", true, c.now)
+	c.l.ReadEnded("k", "hung", ClosedByRouter, c.now)
+	c.l.AttemptStarted("k", shared, "cut", true, c.now)
+	c.l.ReadEnded("k", "cut", ClosedByRouter, c.now)
+	c.l.RequestEnded("k", c.now)
 	for range 2 {
 		c.take(c.await(), "another")
 	}
 	probes := c.due(2)
 	c.pass(3 * time.Second)
-	c.l.Heard("hung", c.now, c.now, c.now)
+	c.l.ServerAnswered("hung", c.now, c.now, c.now)
 	c.pass(25 * ms)
 	c.take(c.due(1)[0], "another")
 	c.due(0)
-	c.l.Heard("cut", c.now, c.now, c.now)
+	c.l.ServerAnswered("cut", c.now, c.now, c.now)
 	heard := c.now
 	c.pass(25 * ms)
 	c.take(c.due(1)[0], "another")
 	for _, probe := range probes {
-		c.l.Released(probe, Result{}, c.now)
+		c.l.ReleaseEnded(probe, ReleaseResult{}, c.now)
 	}
 	c.provenBehindCloses(heard, shared)
 }
@@ -542,18 +542,18 @@
 // What a server may come to hold once it runs again outlives the stream that was served elsewhere.
 func TestStreamServedElsewhere(t *testing.T) {
 	c := newClock(t)
-	c.l.Began("k", shared, "hung", true, c.now)
-	c.l.ReadEnded("k", "hung", Closed, c.now)
+	c.l.AttemptStarted("k", shared, "hung", true, c.now)
+	c.l.ReadEnded("k", "hung", ClosedByRouter, c.now)
 	if flushed := c.l.Flush("k"); flushed != nil {
 		t.Errorf("nothing was to be let go: %+v", flushed)
 	}
-	c.l.Began("k", shared, "reader", true, c.now)
-	c.l.ReadEnded("k", "reader", Answered, c.now)
-	c.l.Began("k", shared, "writer", false, c.now)
-	c.l.Streaming("k", c.now)
+	c.l.AttemptStarted("k", shared, "reader", true, c.now)
+	c.l.ReadEnded("k", "reader", Completed, c.now)
+	c.l.AttemptStarted("k", shared, "writer", false, c.now)
+	c.l.StreamStarted("k", c.now)
 	c.pass(30 * ms)
 	probe := c.due(1)[0]
-	c.l.WriteEnded("k", "writer", Closed, c.now) // the client left: its stream waits for nothing
+	c.l.WriteEnded("k", "writer", ClosedByRouter, c.now) // the client left: its stream waits for nothing
 	c.pass(time.Second)
 	heard := c.now
 	c.take(probe, "hung")
@@ -567,20 +567,20 @@
 func TestStreamJustAfterAServerWasHeard(t *testing.T) {
 	for before, releases := range map[time.Duration]int{0: 1, 24 * ms: 1, 25 * ms: 0, time.Second: 0} {
 		c := newClock(t)
-		c.l.Began("k", shared, "hung", true, c.now)
-		c.l.ReadEnded("k", "hung", Closed, c.now)
-		c.l.Began("k", shared, "reader", true, c.now)
-		c.l.ReadEnded("k", "reader", Answered, c.now)
-		c.l.Began("k", shared, "writer", false, c.now)
+		c.l.AttemptStarted("k", shared, "hung", true, c.now)
+		c.l.ReadEnded("k", "hung", ClosedByRouter, c.now)
+		c.l.AttemptStarted("k", shared, "reader", true, c.now)
+		c.l.ReadEnded("k", "reader", Completed, c.now)
+		c.l.AttemptStarted("k", shared, "writer", false, c.now)
 		c.pass(2 * time.Second)
-		c.l.Heard("hung", c.now.Add(-before-ms), c.now.Add(-before), c.now)
-		c.l.Streaming("k", c.now)
+		c.l.ServerAnswered("hung", c.now.Add(-before-ms), c.now.Add(-before), c.now)
+		c.l.StreamStarted("k", c.now)
 		c.due(0)
 		c.pass(25 * ms)
 		for _, call := range c.due(releases) {
 			c.take(call, "reader")
 		}
-		c.l.WriteEnded("k", "writer", Answered, c.now)
+		c.l.WriteEnded("k", "writer", Completed, c.now)
 		c.provenBehindCloses(c.now, shared)
 	}
 }
@@ -590,23 +590,23 @@
 	for _, streams := range []bool{false, true} {
 		for _, held := range []bool{false, true} {
 			c := newClock(t)
-			c.l.Began("k", shared, "reader", true, c.now)
-			c.l.Asked("k", shared, "writer", c.now)
-			c.l.ReadEnded("k", "reader", TurnedAway, c.now)
+			c.l.AttemptStarted("k", shared, "reader", true, c.now)
+			c.l.PlaceRequested("k", shared, "writer", c.now)
+			c.l.ReadEnded("k", "reader", Rejected, c.now)
 			if streams {
-				c.l.Began("k", shared, "writer", false, c.now)
-				c.l.Streaming("k", c.now)
+				c.l.AttemptStarted("k", shared, "writer", false, c.now)
+				c.l.StreamStarted("k", c.now)
 			} else {
-				c.l.Over("k", c.now)
+				c.l.RequestEnded("k", c.now)
 			}
 			c.pass(100 * ms)
 			c.due(0)
-			c.l.Placed("k", "writer", map[bool]Grant{true: Unknown, false: Denied}[held], c.now)
+			c.l.PlaceRequestEnded("k", "writer", map[bool]PlaceResult{true: Unknown, false: Denied}[held], c.now)
 			if held {
 				c.take(c.due(1)[0], "writer")
 			}
-			c.l.WriteEnded("k", "writer", Answered, c.now)
-			c.l.Over("k", c.now)
+			c.l.WriteEnded("k", "writer", Completed, c.now)
+			c.l.RequestEnded("k", c.now)
 			c.proven()
 		}
 	}
@@ -617,14 +617,14 @@
 func TestPlaceAskedTwice(t *testing.T) {
 	for _, lost := range []bool{false, true} {
 		c := newClock(t)
-		c.l.Began("k", shared, "full", true, c.now)
-		c.l.Asked("k", shared, "writer", c.now)
-		c.l.ReadEnded("k", "full", TurnedAway, c.now)
-		c.l.Began("k", shared, "down", true, c.now)
-		c.l.Asked("k", shared, "writer", c.now)
-		c.l.ReadEnded("k", "down", NeverArrived, c.now)
-		c.l.Over("k", c.now)
-		c.l.Placed("k", "writer", Denied, c.now)
+		c.l.AttemptStarted("k", shared, "full", true, c.now)
+		c.l.PlaceRequested("k", shared, "writer", c.now)
+		c.l.ReadEnded("k", "full", Rejected, c.now)
+		c.l.AttemptStarted("k", shared, "down", true, c.now)
+		c.l.PlaceRequested("k", shared, "writer", c.now)
+		c.l.ReadEnded("k", "down", NotSent, c.now)
+		c.l.RequestEnded("k", c.now)
+		c.l.PlaceRequestEnded("k", "writer", Denied, c.now)
 		quiet := c.now
 		c.due(0) // it may be granted yet
 		if lost {
@@ -633,12 +633,12 @@
 				t.Errorf("let go after %v", after)
 			}
 			c.pass(time.Second - c.now.Sub(quiet))
-			c.l.Placed("k", "writer", Unheard, c.now)
+			c.l.PlaceRequestEnded("k", "writer", NoAnswer, c.now)
 		} else {
 			c.pass(300 * ms)
-			c.l.Placed("k", "writer", Granted, c.now)
+			c.l.PlaceRequestEnded("k", "writer", Granted, c.now)
 		}
-		for c.l.Owed() > 0 {
+		for c.l.PendingCount() > 0 {
 			c.take(c.await(), "writer")
 		}
 		c.proven()
@@ -648,11 +648,11 @@
 // A release that nobody takes is made again, at a growing distance, and is not given up with its request.
 func TestReleaseThatNobodyTakes(t *testing.T) {
 	c := newClock(t)
-	c.l.Began("k", shared, "reader", true, c.now)
-	c.l.ReadEnded("k", "reader", Answered, c.now)
-	c.l.Over("k", c.now)
+	c.l.AttemptStarted("k", shared, "reader", true, c.now)
+	c.l.ReadEnded("k", "reader", Completed, c.now)
+	c.l.RequestEnded("k", c.now)
 	for range 10 {
-		c.l.Released(c.await(), Result{}, c.now)
+		c.l.ReleaseEnded(c.await(), ReleaseResult{}, c.now)
 		c.due(0)
 		if in := c.l.Next().Sub(c.now); in > maxRetry {
 			t.Fatalf("next in %v", in)
@@ -665,15 +665,15 @@
 // One server takes a release for all; a holder that was asked and did not answer may not have got it.
 func TestHolderThatDidNotAnswer(t *testing.T) {
 	c := newClock(t)
-	c.l.Began("k", shared, "reader", true, c.now)
-	c.l.ReadEnded("k", "reader", Answered, c.now)
-	c.l.Over("k", c.now)
-	c.l.Released(c.due(1)[0], Result{Taken: true, Server: "another", Sent: c.now, Silent: []string{"reader"}}, c.now)
-	if c.l.Owed() != 1 {
+	c.l.AttemptStarted("k", shared, "reader", true, c.now)
+	c.l.ReadEnded("k", "reader", Completed, c.now)
+	c.l.RequestEnded("k", c.now)
+	c.l.ReleaseEnded(c.due(1)[0], ReleaseResult{Acknowledged: true, Server: "another", SentAt: c.now, Unresponsive: []string{"reader"}}, c.now)
+	if c.l.PendingCount() != 1 {
 		t.Fatal("the holder was not heard, and nothing is owed")
 	}
 	c.pass(time.Second)
-	for c.l.Owed() > 0 && c.now.Before(time.Unix(1010, 0)) {
+	for c.l.PendingCount() > 0 && c.now.Before(time.Unix(1010, 0)) {
 		for _, call := range c.l.Due(c.now) {
 			c.take(call, append(call.Servers, "another")[0])
 		}
@@ -685,22 +685,22 @@
 // Servers that know only what they hold themselves are each told, until each has answered or has gone.
 func TestEachServerIsTold(t *testing.T) {
 	c := newClock(t)
-	terms := Terms{Request: "1", Pin: 500 * ms}
-	c.l.Began("k", terms, "reader", true, c.now)
-	c.l.Asked("k", terms, "writer", c.now)
-	c.l.Placed("k", "writer", Granted, c.now)
-	c.l.ReadEnded("k", "reader", Answered, c.now)
-	c.l.Over("k", c.now)
+	terms := Terms{Request: "1", PinLimit: 500 * ms}
+	c.l.AttemptStarted("k", terms, "reader", true, c.now)
+	c.l.PlaceRequested("k", terms, "writer", c.now)
+	c.l.PlaceRequestEnded("k", "writer", Granted, c.now)
+	c.l.ReadEnded("k", "reader", Completed, c.now)
+	c.l.RequestEnded("k", c.now)
 	for _, call := range c.due(2) {
-		c.l.Released(call, Result{Taken: call.Servers[0] == "reader", Server: call.Servers[0], Sent: c.now}, c.now)
+		c.l.ReleaseEnded(call, ReleaseResult{Acknowledged: call.Servers[0] == "reader", Server: call.Servers[0], SentAt: c.now}, c.now)
 	}
 	c.now = c.l.Next()
 	if call := c.due(1)[0]; call.Servers[0] != "writer" {
 		t.Errorf("%+v", call)
 	} else {
-		c.l.Released(call, Result{}, c.now)
+		c.l.ReleaseEnded(call, ReleaseResult{}, c.now)
 	}
-	c.l.Gone("writer", c.now)
+	c.l.ServerRemoved("writer", c.now)
 	c.proven()
 }
 
@@ -709,29 +709,29 @@
 	c := newClock(t)
 	for i := range maxOwed + 3 {
 		key := fmt.Sprint("k", i)
-		c.l.Began(key, shared, "reader", true, c.now)
-		c.l.ReadEnded(key, "reader", Answered, c.now)
-		c.l.Over(key, c.now)
+		c.l.AttemptStarted(key, shared, "reader", true, c.now)
+		c.l.ReadEnded(key, "reader", Completed, c.now)
+		c.l.RequestEnded(key, c.now)
 	}
-	if f := c.l.Forgotten(); c.l.Owed() != maxOwed || len(f) != 3 || f[0].Key != "k0" || f[0].Why != TooMany {
-		t.Errorf("%d owed, %d forgotten", c.l.Owed(), len(f))
+	if f := c.l.Abandoned(); c.l.PendingCount() != maxOwed || len(f) != 3 || f[0].Key != "k0" || f[0].Reason != LedgerFull {
+		t.Errorf("%d owed, %d forgotten", c.l.PendingCount(), len(f))
 	}
 	if n := len(c.l.Due(c.now)); n != maxReleases {
 		t.Errorf("%d releases out", n)
 	}
 	c.pass(250 * ms)
 	c.l.Due(c.now)
-	if r := c.l.Reports(); len(r) != maxOwed || r[0].Owed != 250*ms {
+	if r := c.l.Reports(); len(r) != maxOwed || r[0].PendingFor != 250*ms {
 		t.Errorf("%d reports", len(r))
 	}
 	c.pass(time.Hour)
 	c.l.Due(c.now)
-	if f := c.l.Forgotten(); c.l.Owed() != maxOwed || len(f) != 0 {
-		t.Errorf("%d owed, %d forgotten for their age", c.l.Owed(), len(f))
+	if f := c.l.Abandoned(); c.l.PendingCount() != maxOwed || len(f) != 0 {
+		t.Errorf("%d owed, %d forgotten for their age", c.l.PendingCount(), len(f))
 	}
 	c.l.Stop(c.now)
-	if f := c.l.Forgotten(); c.l.Owed() != 0 || len(f) != maxOwed || f[0].Why != Stopped {
-		t.Errorf("%d owed, %d forgotten", c.l.Owed(), len(f))
+	if f := c.l.Abandoned(); c.l.PendingCount() != 0 || len(f) != maxOwed || f[0].Reason != RouterStopped {
+		t.Errorf("%d owed, %d forgotten", c.l.PendingCount(), len(f))
 	}
 }
 
@@ -766,23 +766,23 @@
 
 // request has a prompt read, and a write wait in the queue until it is called off.
 func (h *history) request(key string) {
-	h.l.Began(key, shared, "reader", true, h.now)
-	h.l.ReadEnded(key, "reader", Answered, h.now)
+	h.l.AttemptStarted(key, shared, "reader", true, h.now)
+	h.l.ReadEnded(key, "reader", Completed, h.now)
 	h.held[key], h.waits[key] = 0, h.now.Add(time.Hour)
-	h.l.Began(key, shared, "writer", false, h.now)
+	h.l.AttemptStarted(key, shared, "writer", false, h.now)
 	h.after(450*ms, func() {
-		h.l.Want(key, h.now)
-		h.l.Settle(key, h.now)
+		h.l.RequestRelease(key, h.now)
+		h.l.ScheduleRelease(key, h.now)
 	})
 	h.after(h.upTo(2*time.Second), func() {
-		h.waits[key] = later(h.now, h.hungUntil).Add(h.upTo(NoticeGrace))
-		h.l.WriteEnded(key, "writer", Closed, h.now)
-		h.l.Over(key, h.now)
+		h.waits[key] = later(h.now, h.hungUntil).Add(h.upTo(CloseNoticeGrace))
+		h.l.WriteEnded(key, "writer", ClosedByRouter, h.now)
+		h.l.RequestEnded(key, h.now)
 	})
 }
 
 // answer has a server take a release: a probe the decode server, once it runs.
-func (h *history) answer(call Call, sent time.Time) {
+func (h *history) answer(call ReleaseCall, sent time.Time) {
 	server := "reader"
 	if call.Probe {
 		server = call.Servers[0]
@@ -794,7 +794,7 @@
 	if !h.waited(call.Key) {
 		delete(h.held, call.Key)
 	}
-	h.l.Released(call, Result{Taken: true, Server: server, Sent: sent}, h.now)
+	h.l.ReleaseEnded(call, ReleaseResult{Acknowledged: true, Server: server, SentAt: sent}, h.now)
 }
 
 // However writes are called off, and whenever their server hangs and notices, nothing stays held.
@@ -822,8 +822,8 @@
 				h.after(ms, func() { h.answer(call, h.now.Add(-ms)) })
 			}
 		}
-		if len(h.held) > 0 || h.l.Owed() > 0 {
-			t.Fatalf("seed %d: held %v, owed %d", seed, h.held, h.l.Owed())
+		if len(h.held) > 0 || h.l.PendingCount() > 0 {
+			t.Fatalf("seed %d: held %v, owed %d", seed, h.held, h.l.PendingCount())
 		}
 	}
 }
@@ -833,9 +833,9 @@
 	now, l := time.Unix(1000, 0), New()
 	for i := range maxOwed {
 		key, server := fmt.Sprint("k", i), fmt.Sprint("s", i%64)
-		l.Began(key, shared, server, true, now)
-		l.ReadEnded(key, server, Closed, now)
-		l.Over(key, now)
+		l.AttemptStarted(key, shared, server, true, now)
+		l.ReadEnded(key, server, ClosedByRouter, now)
+		l.RequestEnded(key, now)
 	}
 	for b.Loop() {
 		l.Due(now)
@@ -854,7 +854,7 @@
 			if !call.Probe {
 				releases++
 			}
-			c.l.Released(call, Result{Taken: !call.Probe, Server: "another", Sent: c.now}, c.now)
+			c.l.ReleaseEnded(call, ReleaseResult{Acknowledged: !call.Probe, Server: "another", SentAt: c.now}, c.now)
 		}
 	}
 	if releases < 5 {
@@ -865,10 +865,10 @@
 // Before an attempt, a server that knows only what it holds itself is told of it; of others whoever answers soonest.
 func TestFlushNamesTheServer(t *testing.T) {
 	c := newClock(t)
-	terms := Terms{Request: "1", Pin: 500 * ms}
-	c.l.Began("k", terms, "reader", true, c.now)
-	c.l.ReadEnded("k", "reader", Answered, c.now)
-	c.l.Want("k", c.now)
+	terms := Terms{Request: "1", PinLimit: 500 * ms}
+	c.l.AttemptStarted("k", terms, "reader", true, c.now)
+	c.l.ReadEnded("k", "reader", Completed, c.now)
+	c.l.RequestRelease("k", c.now)
 	if flushed := c.l.Flush("k"); len(flushed) != 1 || !slices.Equal(flushed[0].Servers, []string{"reader"}) {
 		t.Errorf("%+v", flushed)
 	}
@@ -879,7 +879,7 @@
 	c := newClock(t)
 	const requests = maxReleases + 40
 	for i := range requests {
-		c.owe(fmt.Sprintf("k%03d", i), shared, "reader", Answered)
+		c.owe(fmt.Sprintf("k%03d", i), shared, "reader", Completed)
 		c.pass(ms)
 	}
 	calls := c.due(maxReleases)
