--- a/internal/heldstate/lostclose_test.go
+++ b/internal/heldstate/lostclose_test.go
@@ -12,7 +12,7 @@
 	from := c.now
 	for ; c.now.Sub(from) < ends+10*time.Second; c.pass(ms) {
 		for _, server := range heard {
-			c.l.Heard(server, c.now, c.now, c.now)
+			c.l.ServerAnswered(server, c.now, c.now, c.now)
 		}
 		for _, call := range c.l.Due(c.now) {
 			server := "another"
@@ -41,60 +41,60 @@
 	const goesOn = 2400 * ms // counted from the close
 	for name, play := range map[string]func(c *clock){
 		"a write, its request over": func(c *clock) {
-			c.l.Began("k", shared, "reader", true, c.now)
-			c.l.ReadEnded("k", "reader", Answered, c.now)
-			c.l.Began("k", shared, "writer", false, c.now)
+			c.l.AttemptStarted("k", shared, "reader", true, c.now)
+			c.l.ReadEnded("k", "reader", Completed, c.now)
+			c.l.AttemptStarted("k", shared, "writer", false, c.now)
 			c.pass(200 * ms)
-			c.l.WriteEnded("k", "writer", Closed, c.now)
-			c.l.Over("k", c.now)
+			c.l.WriteEnded("k", "writer", ClosedByRouter, c.now)
+			c.l.RequestEnded("k", c.now)
 		},
 		"a write, the next attempt a write that never arrives": func(c *clock) {
-			c.l.Began("k", shared, "reader", true, c.now)
-			c.l.ReadEnded("k", "reader", Answered, c.now)
-			c.l.Began("k", shared, "writer", false, c.now)
+			c.l.AttemptStarted("k", shared, "reader", true, c.now)
+			c.l.ReadEnded("k", "reader", Completed, c.now)
+			c.l.AttemptStarted("k", shared, "writer", false, c.now)
 			c.pass(200 * ms)
-			c.l.WriteEnded("k", "writer", Closed, c.now)
-			c.l.Began("k", shared, "silent", false, c.now)
+			c.l.WriteEnded("k", "writer", ClosedByRouter, c.now)
+			c.l.AttemptStarted("k", shared, "silent", false, c.now)
 		},
 		"a write, the next attempt a read that never arrives": func(c *clock) {
-			c.l.Began("k", shared, "reader", true, c.now)
-			c.l.ReadEnded("k", "reader", Answered, c.now)
-			c.l.Began("k", shared, "writer", false, c.now)
+			c.l.AttemptStarted("k", shared, "reader", true, c.now)
+			c.l.ReadEnded("k", "reader", Completed, c.now)
+			c.l.AttemptStarted("k", shared, "writer", false, c.now)
 			c.pass(200 * ms)
-			c.l.WriteEnded("k", "writer", Closed, c.now)
-			c.l.Began("k", shared, "silent", true, c.now)
+			c.l.WriteEnded("k", "writer", ClosedByRouter, c.now)
+			c.l.AttemptStarted("k", shared, "silent", true, c.now)
 		},
 		"a read, its request over": func(c *clock) {
-			c.l.Began("k", shared, "reader", true, c.now)
+			c.l.AttemptStarted("k", shared, "reader", true, c.now)
 			c.pass(200 * ms)
-			c.l.ReadEnded("k", "reader", Closed, c.now)
-			c.l.Over("k", c.now)
+			c.l.ReadEnded("k", "reader", ClosedByRouter, c.now)
+			c.l.RequestEnded("k", c.now)
 		},
 		"a read, behind the first event of an answer": func(c *clock) {
-			c.l.Began("k", shared, "reader", true, c.now)
+			c.l.AttemptStarted("k", shared, "reader", true, c.now)
 			c.pass(200 * ms)
-			c.l.ReadEnded("k", "reader", Closed, c.now)
-			c.l.Began("k", shared, "second", true, c.now)
-			c.l.ReadEnded("k", "second", Answered, c.now)
-			c.l.Heard("reader", c.now.Add(100*ms), c.now.Add(100*ms), c.now.Add(100*ms))
-			c.l.Began("k", shared, "other", false, c.now)
-			c.l.Streaming("k", c.now)
+			c.l.ReadEnded("k", "reader", ClosedByRouter, c.now)
+			c.l.AttemptStarted("k", shared, "second", true, c.now)
+			c.l.ReadEnded("k", "second", Completed, c.now)
+			c.l.ServerAnswered("reader", c.now.Add(100*ms), c.now.Add(100*ms), c.now.Add(100*ms))
+			c.l.AttemptStarted("k", shared, "other", false, c.now)
+			c.l.StreamStarted("k", c.now)
 			c.pass(100 * ms)
-			c.l.WriteEnded("k", "other", Answered, c.now)
-			c.l.Over("k", c.now)
+			c.l.WriteEnded("k", "other", Completed, c.now)
+			c.l.RequestEnded("k", c.now)
 		},
 		"a read and a write, behind the first event of an answer": func(c *clock) {
-			c.l.Began("k", shared, "reader", true, c.now)
-			c.l.ReadEnded("k", "reader", Closed, c.now)
-			c.l.Began("k", shared, "second", true, c.now)
-			c.l.ReadEnded("k", "second", Answered, c.now)
-			c.l.Began("k", shared, "writer", false, c.now)
+			c.l.AttemptStarted("k", shared, "reader", true, c.now)
+			c.l.ReadEnded("k", "reader", ClosedByRouter, c.now)
+			c.l.AttemptStarted("k", shared, "second", true, c.now)
+			c.l.ReadEnded("k", "second", Completed, c.now)
+			c.l.AttemptStarted("k", shared, "writer", false, c.now)
 			c.pass(200 * ms)
-			c.l.WriteEnded("k", "writer", Closed, c.now)
-			c.l.Began("k", shared, "other", false, c.now)
-			c.l.Streaming("k", c.now)
-			c.l.WriteEnded("k", "other", Answered, c.now)
-			c.l.Over("k", c.now)
+			c.l.WriteEnded("k", "writer", ClosedByRouter, c.now)
+			c.l.AttemptStarted("k", shared, "other", false, c.now)
+			c.l.StreamStarted("k", c.now)
+			c.l.WriteEnded("k", "other", Completed, c.now)
+			c.l.RequestEnded("k", c.now)
 		},
 	} {
 		c := newClock(t)
@@ -115,10 +115,10 @@
 	for _, pin := range []time.Duration{250 * ms, 500 * ms, time.Second} {
 		c := newClock(t)
 		terms := shared
-		terms.Pin = pin
-		c.l.Began("k", terms, "reader", true, c.now)
-		c.l.Asked("k", terms, "writer", c.now)
-		c.l.Placed("k", "writer", Granted, c.now)
+		terms.PinLimit = pin
+		c.l.AttemptStarted("k", terms, "reader", true, c.now)
+		c.l.PlaceRequested("k", terms, "writer", c.now)
+		c.l.PlaceRequestEnded("k", "writer", Granted, c.now)
 		if got := c.released(pin + 300*ms); len(got) == 0 {
 			t.Errorf("pin limit %v: nothing was released in time", pin)
 		}
@@ -136,11 +136,11 @@
 		for _, denied := range []bool{false, true} {
 			c := newClock(t)
 			terms := shared
-			terms.Pin = pin
-			c.l.Began("k", terms, "reader", true, c.now)
+			terms.PinLimit = pin
+			c.l.AttemptStarted("k", terms, "reader", true, c.now)
 			if denied { // seed 1136 of the soak: held for 0.65 s with a limit of 0.25 s
-				c.l.Asked("k", terms, "writer", c.now)
-				c.l.Placed("k", "writer", Denied, c.now)
+				c.l.PlaceRequested("k", terms, "writer", c.now)
+				c.l.PlaceRequestEnded("k", "writer", Denied, c.now)
 			}
 			if got := c.released(pin + 300*ms); len(got) == 0 {
 				t.Errorf("pin limit %v, a place denied %v: nothing was released in time", pin, denied)
@@ -156,16 +156,16 @@
 func TestReadLostBesideAWriteThatGoesOn(t *testing.T) {
 	c := newClock(t)
 	terms := shared
-	terms.Left = 200 * ms
-	c.l.Began("k", terms, "reader", true, c.now)
-	c.l.ReadEnded("k", "reader", Answered, c.now)
-	c.l.Began("k", terms, "writer", false, c.now)
-	c.l.Begun("k", "writer", false, c.now)
+	terms.AttemptTimeout = 200 * ms
+	c.l.AttemptStarted("k", terms, "reader", true, c.now)
+	c.l.ReadEnded("k", "reader", Completed, c.now)
+	c.l.AttemptStarted("k", terms, "writer", false, c.now)
+	c.l.AttemptBegunBy("k", "writer", false, c.now)
 	c.pass(200 * ms)
-	c.l.WriteEnded("k", "writer", Closed, c.now)
-	c.l.Heard("writer", c.now.Add(30*ms), c.now.Add(30*ms), c.now.Add(30*ms))
+	c.l.WriteEnded("k", "writer", ClosedByRouter, c.now)
+	c.l.ServerAnswered("writer", c.now.Add(30*ms), c.now.Add(30*ms), c.now.Add(30*ms))
 	c.pass(300 * ms) // beyond the told time
-	c.l.Began("k", shared, "second", true, c.now)
+	c.l.AttemptStarted("k", shared, "second", true, c.now)
 	if held := c.heldBehind(2*time.Second, "reader", "writer", "second"); held > 800*ms {
 		t.Errorf("held for %v after the write's end", held)
 	}
@@ -183,23 +183,23 @@
 			if call.Probe {
 				server = call.Servers[0]
 			}
-			r := Result{Taken: heard || !call.Probe, Server: server, Sent: c.now}
+			r := ReleaseResult{Acknowledged: heard || !call.Probe, Server: server, SentAt: c.now}
 			if heard {
 				let[call.Key] = true
 			}
-			c.l.Released(call, r, c.now)
+			c.l.ReleaseEnded(call, r, c.now)
 		}
 	}
 	for i := range requests {
 		key := fmt.Sprint("k", i)
-		c.l.Began(key, shared, "silent", true, c.now)
-		c.l.ReadEnded(key, "silent", Closed, c.now)
-		c.l.Over(key, c.now)
+		c.l.AttemptStarted(key, shared, "silent", true, c.now)
+		c.l.ReadEnded(key, "silent", ClosedByRouter, c.now)
+		c.l.RequestEnded(key, c.now)
 		c.pass(50 * ms)
 		answer(false)
 	}
 	for end := c.now.Add(2 * time.Second); c.now.Before(end); c.pass(ms) {
-		c.l.Heard("silent", c.now, c.now, c.now)
+		c.l.ServerAnswered("silent", c.now, c.now, c.now)
 		answer(true)
 	}
 	left := 0
@@ -209,7 +209,7 @@
 		}
 	}
 	if left > 0 {
-		t.Errorf("%d of %d stay held at the server that is back; %d were forgotten", left, requests, len(c.l.Forgotten()))
+		t.Errorf("%d of %d stay held at the server that is back; %d were forgotten", left, requests, len(c.l.Abandoned()))
 	}
 }
 
@@ -217,10 +217,10 @@
 // limit behind it, nothing more is released.
 func TestBrokenConnectionIsNotSuspected(t *testing.T) {
 	c := newClock(t)
-	c.l.Began("k", shared, "reader", true, c.now)
+	c.l.AttemptStarted("k", shared, "reader", true, c.now)
 	c.pass(100 * ms)
-	c.l.ReadEnded("k", "reader", Broke, c.now)
-	c.l.Over("k", c.now)
+	c.l.ReadEnded("k", "reader", ClosedByServer, c.now)
+	c.l.RequestEnded("k", c.now)
 	for range 2 {
 		c.take(c.await(), "reader")
 	}
--- a/internal/heldstate/probe.go
+++ b/internal/heldstate/probe.go
@@ -34,12 +34,12 @@
 	}
 }
 
-// Unheard is which servers entries wait to hear, in order.
-func (l *Ledger) Unheard() []string { return slices.Sorted(maps.Keys(l.unheard)) }
+// UnconfirmedServers is which servers entries wait to hear, in order.
+func (l *Ledger) UnconfirmedServers() []string { return slices.Sorted(maps.Keys(l.unheard)) }
 
-// Awaited is which servers' being heard may prove something: those that entries wait to hear, and those of reads in flight for
+// ServersToMonitor is which servers' being heard may prove something: those that entries wait to hear, and those of reads in flight for
 // which all waits that is held.
-func (l *Ledger) Awaited() []string {
+func (l *Ledger) ServersToMonitor() []string {
 	servers := slices.Collect(maps.Keys(l.unheard))
 	for _, e := range l.agenda {
 		if server := e.soleReader(); server != "" {
@@ -64,34 +64,34 @@
 	switch {
 	case server == "" || e.wanted || e.probedAt.Equal(e.proven):
 		return time.Time{}
-	case !e.terms.Shared || !e.terms.Spared || l.reaching[server] || len(l.reaching) >= maxReaches:
+	case !e.terms.Shared || !e.terms.PreservesWaiting || l.reaching[server] || len(l.reaching) >= maxReaches:
 		return time.Time{}
 	}
 	return e.proven.Add(e.part(reachPart))
 }
 
 // reach has the server of a read in flight probed.
-func (l *Ledger) reach(e *entry) Call {
+func (l *Ledger) reach(e *entry) ReleaseCall {
 	server := e.soleReader()
 	e.probedAt = e.proven
 	l.reaching[server] = true
-	return Call{Servers: []string{server}, Probe: true, Reach: true}
+	return ReleaseCall{Servers: []string{server}, Probe: true, Liveness: true}
 }
 
 // dueProbes returns a call to each server that entries wait to hear, if none is
 // in flight: the release of one of them, which that server alone is to answer.
-func (l *Ledger) dueProbes(now time.Time) []Call {
-	var calls []Call
-	for _, server := range l.Unheard() {
+func (l *Ledger) dueProbes(now time.Time) []ReleaseCall {
+	var calls []ReleaseCall
+	for _, server := range l.UnconfirmedServers() {
 		u := l.unheard[server]
 		if u.probing || u.next.After(now) || l.probes >= maxProbes {
 			continue
 		}
-		call := Call{Servers: []string{server}, Probe: true}
+		call := ReleaseCall{Servers: []string{server}, Probe: true}
 		i := slices.IndexFunc(u.entries, (*entry).waitsToHear)
 		switch {
 		case i >= 0:
-			call.Key, call.Beside = u.entries[i].key, u.entries[i].beside()
+			call.Key, call.Concurrent = u.entries[i].key, u.entries[i].beside()
 		case len(u.dormant) > 0:
 			call.Key = u.dormant[0].key
 		default: // a release by the key of a request that goes on would let go of what it needs
@@ -123,11 +123,11 @@
 }
 
 // probed notes the end of a probe. One that was answered is a release too, at the server itself.
-func (l *Ledger) probed(c Call, r Result, now time.Time) {
+func (l *Ledger) probed(c ReleaseCall, r ReleaseResult, now time.Time) {
 	l.probes--
-	server, answered := c.Servers[0], r.Taken
-	if e := l.entries[c.Key]; e != nil && answered && c.Beside == Alone && !e.inFlight() {
-		e.releasedAt(server, r.Sent)
+	server, answered := c.Servers[0], r.Acknowledged
+	if e := l.entries[c.Key]; e != nil && answered && c.Concurrent == NoAttempt && !e.inFlight() {
+		e.releasedAt(server, r.SentAt)
 		l.schedule(e, now)
 	}
 	u := l.unheard[server]
@@ -137,7 +137,7 @@
 	u.probing = false
 	if answered {
 		u.retry = 0
-		u.next = now.Add(NoticeGrace)
+		u.next = now.Add(CloseNoticeGrace)
 	} else {
 		u.retry = min(max(2*u.retry, firstProbe), maxProbe)
 		u.next = now.Add(u.retry)
--- a/internal/heldstate/reference_test.go
+++ b/internal/heldstate/reference_test.go
@@ -204,7 +204,7 @@
 }
 
 // reserve has a writer hold a place, and answer: in one of two also where it knows of no read.
-func (p *reference) reserve(key string, s *refServer) (grant Grant, delay time.Duration) {
+func (p *reference) reserve(key string, s *refServer) (grant PlaceResult, delay time.Duration) {
 	k := p.keys[key]
 	known := slices.ContainsFunc(k.out, func(a *task) bool { return a.reads && !a.over })
 	if known || p.rnd.IntN(2) == 0 {
@@ -243,14 +243,14 @@
 }
 
 // makeReleases carries out the ledger's calls: by a server that answers, once one does.
-func (p *reference) makeReleases(calls []Call) {
+func (p *reference) makeReleases(calls []ReleaseCall) {
 	for _, c := range calls {
 		p.calls++
 		if !c.Probe {
 			p.going[c.Key]++
 		}
 		sent := p.now
-		if later := c.After.Sub(p.now); !c.After.IsZero() && later > 0 {
+		if later := c.NotBefore.Sub(p.now); !c.NotBefore.IsZero() && later > 0 {
 			p.after(later, func() { p.release(c, p.now) })
 			continue
 		}
@@ -259,9 +259,9 @@
 }
 
 // release asks one server, then, each 60 ms, twice as many, until one has answered. A probe asks its server alone.
-func (p *reference) release(c Call, sent time.Time) {
+func (p *reference) release(c ReleaseCall, sent time.Time) {
 	if c.Probe {
-		p.releaseAt(c, p.server(c.Servers[0]), sent, func(Result) bool { return true })
+		p.releaseAt(c, p.server(c.Servers[0]), sent, func(ReleaseResult) bool { return true })
 		return
 	}
 	order := p.rnd.Perm(len(p.servers))
@@ -271,9 +271,9 @@
 		order[0], order[at] = order[at], order[0]
 	}
 	done := false
-	once := func(r Result) bool {
-		first := r.Taken && !done
-		done = done || r.Taken
+	once := func(r ReleaseResult) bool {
+		first := r.Acknowledged && !done
+		done = done || r.Acknowledged
 		return first
 	}
 	var ask func(n int)
@@ -291,28 +291,28 @@
 }
 
 // releaseAt asks one server. The result goes to the ledger where it is the first, or the only one.
-func (p *reference) releaseAt(c Call, s *refServer, sent time.Time, first func(Result) bool) {
+func (p *reference) releaseAt(c ReleaseCall, s *refServer, sent time.Time, first func(ReleaseResult) bool) {
 	if p.silent(s) || !p.runs(s) || p.rnd.IntN(20) == 0 {
 		if c.Probe {
-			p.after(time.Second, func() { p.l.Released(c, Result{}, p.now) })
+			p.after(time.Second, func() { p.l.ReleaseEnded(c, ReleaseResult{}, p.now) })
 		}
 		return
 	}
 	p.after(ms, func() {
 		p.letGo(c.Key)
 		p.logf("release of %s taken by %s", c.Key, s.name)
-		if r := (Result{Taken: true, Server: s.name, Sent: sent, Silent: p.unanswered(c, s)}); first(r) {
+		if r := (ReleaseResult{Acknowledged: true, Server: s.name, SentAt: sent, Unresponsive: p.unanswered(c, s)}); first(r) {
 			if !c.Probe {
 				p.going[c.Key]--
 			}
-			p.l.Released(c, r, p.now)
+			p.l.ReleaseEnded(c, r, p.now)
 		}
 	})
 }
 
 // unanswered is which holders of a release that a server has taken did not answer it: those that are silent, that hang, or that
 // have turned the connection away.
-func (p *reference) unanswered(c Call, by *refServer) (names []string) {
+func (p *reference) unanswered(c ReleaseCall, by *refServer) (names []string) {
 	for _, name := range c.Servers {
 		if s := p.server(name); s != by && (p.silent(s) || !p.runs(s) || p.rnd.IntN(4) == 0) {
 			names = append(names, name)
@@ -327,7 +327,7 @@
 
 // terms are those of a request of the reference.
 func (p *reference) terms(key string, left time.Duration) Terms {
-	return Terms{Request: key, Shared: true, Spared: true, Pin: p.pin, Left: left}
+	return Terms{Request: key, Shared: true, PreservesWaiting: true, PinLimit: p.pin, AttemptTimeout: left}
 }
 
 // watch notes when the server of an attempt has answered something that was sent behind it.
@@ -350,7 +350,7 @@
 func (p *reference) finish(key string) {
 	p.keys[key].over = true
 	p.logf("%s is over", key)
-	p.l.Over(key, p.now)
+	p.l.RequestEnded(key, p.now)
 }
 
 // read sends a read, and asks for a place in one of two.
@@ -359,16 +359,16 @@
 	givenUp := 200*ms + p.upTo(2*time.Second)
 	a, ended, on := &task{server: s, key: key, reads: true, left: p.leftAt(givenUp)}, false, p.link(s)
 	p.makeReleases(p.l.Flush(key))
-	p.l.Began(key, p.terms(key, a.left), s.name, true, p.now)
+	p.l.AttemptStarted(key, p.terms(key, a.left), s.name, true, p.now)
 	p.logf("%s: read sent to %s, %+v", key, s.name, on)
-	finish := func(end End, next func()) {
+	finish := func(end AttemptEnd, next func()) {
 		if ended {
 			return
 		}
 		ended = true
 		p.logf("%s: read at %s ended %d", key, s.name, end)
-		if end == Closed {
-			p.l.Begun(key, s.name, true, a.begun)
+		if end == ClosedByRouter {
+			p.l.AttemptBegunBy(key, s.name, true, a.begun)
 		}
 		p.l.ReadEnded(key, s.name, end, p.now)
 		next()
@@ -383,7 +383,7 @@
 		p.after(2*ms, func() { p.ask(key, p.pick(false)) })
 	}
 	p.after(givenUp, func() {
-		finish(Closed, func() {
+		finish(ClosedByRouter, func() {
 			p.close(a, on, a.answered)
 			p.goOn(key, tries)
 		})
@@ -392,7 +392,7 @@
 
 // readIsDone has a read leave its state, and its answer come back. Where that is lost on its connection alone the read is out
 // until the router closes it (docs/questions.md).
-func (p *reference) readIsDone(a *task, on link, finish func(End, func()), tries int) {
+func (p *reference) readIsDone(a *task, on link, finish func(AttemptEnd, func()), tries int) {
 	if !p.runs(a.server) {
 		p.after(ms, func() { p.readIsDone(a, on, finish, tries) })
 		return
@@ -404,7 +404,7 @@
 	p.keep(a)
 	if p.silent(a.server) { // its answer is lost in the cut, and its connection is reset once that is over
 		p.end(a)
-		p.after(a.server.silentUntil.Sub(p.now), func() { finish(Closed, func() { p.goOn(a.key, tries) }) })
+		p.after(a.server.silentUntil.Sub(p.now), func() { finish(ClosedByRouter, func() { p.goOn(a.key, tries) }) })
 		return
 	}
 	if on.lostBack {
@@ -415,13 +415,13 @@
 	}
 	p.end(a)
 	p.after(ms, func() {
-		finish(Answered, func() { p.write(a.key, tries) })
+		finish(Completed, func() { p.write(a.key, tries) })
 	})
 }
 
 // goOn reads again or gives up, after all was let go.
 func (p *reference) goOn(key string, tries int) {
-	p.l.Want(key, p.now)
+	p.l.RequestRelease(key, p.now)
 	if tries <= 1 {
 		p.finish(key)
 		return
@@ -435,16 +435,16 @@
 	if k.over || k.streamed {
 		return
 	}
-	p.l.Asked(key, p.terms(key, 0), s.name, p.now)
+	p.l.PlaceRequested(key, p.terms(key, 0), s.name, p.now)
 	answered, on := false, p.link(s)
 	p.logf("%s: place asked for at %s", key, s.name)
-	finish := func(grant Grant) {
+	finish := func(grant PlaceResult) {
 		if answered {
 			return
 		}
 		answered = true
 		p.logf("%s: place at %s: %d", key, s.name, grant)
-		p.l.Placed(key, s.name, grant, p.now)
+		p.l.PlaceRequestEnded(key, s.name, grant, p.now)
 	}
 	if !on.lostOut {
 		p.whenItRuns(s, func() {
@@ -456,7 +456,7 @@
 			})
 		})
 	}
-	p.after(500*ms, func() { finish(Unheard) })
+	p.after(500*ms, func() { finish(NoAnswer) })
 }
 
 // write sends a write that waits in its writer's queue, is answered, or is called off.
@@ -464,15 +464,15 @@
 	s := p.pick(false)
 	givenUp := 300*ms + p.upTo(2*time.Second)
 	a, ended, on := &task{server: s, key: key, left: p.leftAt(givenUp)}, false, p.link(s)
-	p.l.Began(key, p.terms(key, a.left), s.name, false, p.now)
+	p.l.AttemptStarted(key, p.terms(key, a.left), s.name, false, p.now)
 	p.logf("%s: write sent to %s, %+v", key, s.name, on)
-	finish := func(end End) bool {
+	finish := func(end AttemptEnd) bool {
 		was := ended
 		if !ended {
 			ended = true
 			p.logf("%s: write at %s ended %d", key, s.name, end)
-			if end == Closed {
-				p.l.Begun(key, s.name, false, a.begun)
+			if end == ClosedByRouter {
+				p.l.AttemptBegunBy(key, s.name, false, a.begun)
 			}
 			p.l.WriteEnded(key, s.name, end, p.now)
 		}
@@ -485,7 +485,7 @@
 		})
 	}
 	p.after(givenUp, func() {
-		if p.keys[key].streamed || !finish(Closed) {
+		if p.keys[key].streamed || !finish(ClosedByRouter) {
 			return
 		}
 		p.close(a, on, false)
@@ -501,7 +501,7 @@
 }
 
 // begin has a write pass its queue and fetch the state; its first event may be lost.
-func (p *reference) begin(a *task, on link, ended func() bool, finish func(End) bool) {
+func (p *reference) begin(a *task, on link, ended func() bool, finish func(AttemptEnd) bool) {
 	if !p.runs(a.server) {
 		p.after(ms, func() { p.begin(a, on, ended, finish) })
 		return
@@ -514,7 +514,7 @@
 		p.end(a)
 		if !on.lostBack && !p.silent(a.server) {
 			p.after(ms, func() {
-				if finish(TurnedAway) {
+				if finish(Rejected) {
 					p.finish(a.key)
 				}
 			})
@@ -526,21 +526,21 @@
 	if on.lostBack || p.silent(a.server) || ended() {
 		return
 	}
-	p.l.Streaming(a.key, p.now)
+	p.l.StreamStarted(a.key, p.now)
 	p.logf("%s: streams", a.key)
 	k.streamed = true
 	p.after(p.upTo(time.Second), func() {
 		p.end(a)
-		finish(Answered)
+		finish(Completed)
 		p.finish(a.key)
 	})
 }
 
 // hear has the ledger told of servers that answer something.
 func (p *reference) hear() {
-	for _, name := range p.l.Awaited() {
+	for _, name := range p.l.ServersToMonitor() {
 		if s := p.server(name); !p.silent(s) && p.runs(s) && p.rnd.IntN(4) == 0 {
-			p.l.Heard(name, p.now, p.now, p.now)
+			p.l.ServerAnswered(name, p.now, p.now, p.now)
 		}
 	}
 }
@@ -624,8 +624,8 @@
 		}
 		p.makeReleases(p.l.Due(p.now))
 	}
-	if p.failed == "" && (p.l.Owed() > 0 || p.l.Len() > 0) {
-		p.failed = fmt.Sprintf("%d owed, %d entries at the end", p.l.Owed(), p.l.Len())
+	if p.failed == "" && (p.l.PendingCount() > 0 || p.l.Len() > 0) {
+		p.failed = fmt.Sprintf("%d owed, %d entries at the end", p.l.PendingCount(), p.l.Len())
 		for key := range p.l.entries {
 			p.failed = key + " is left: " + p.failed
 		}
--- a/internal/heldstate/release.go
+++ b/internal/heldstate/release.go
@@ -6,7 +6,7 @@
 )
 
 // Due returns the releases to be made now.
-func (l *Ledger) Due(now time.Time) []Call {
+func (l *Ledger) Due(now time.Time) []ReleaseCall {
 	l.wakeHeard(now)
 	calls := l.releaseLine(now)
 	for len(l.agenda) > 0 && !l.agenda[0].lookAt.After(now) {
@@ -16,7 +16,7 @@
 }
 
 // releaseLine makes the releases that were due while as many were in flight as may be, in the order in which they came to be due.
-func (l *Ledger) releaseLine(now time.Time) (calls []Call) {
+func (l *Ledger) releaseLine(now time.Time) (calls []ReleaseCall) {
 	waiting := l.line
 	for l.line = nil; len(waiting) > 0 && l.inFlight < maxReleases; waiting = waiting[1:] {
 		e := waiting[0]
@@ -30,7 +30,7 @@
 }
 
 // look does what an entry has to do, and sets when it has something to do next.
-func (l *Ledger) look(e *entry, now time.Time) (calls []Call) {
+func (l *Ledger) look(e *entry, now time.Time) (calls []ReleaseCall) {
 	if !e.owedAt.IsZero() {
 		l.report(e, now)
 	}
@@ -66,8 +66,8 @@
 	return sooner(at, e.reportAt)
 }
 
-// Busy tells whether Due may have something in time.
-func (l *Ledger) Busy() bool { return len(l.agenda) > 0 || len(l.line) > 0 || len(l.unheard) > 0 }
+// MayBeDue tells whether Due may have something in time.
+func (l *Ledger) MayBeDue() bool { return len(l.agenda) > 0 || len(l.line) > 0 || len(l.unheard) > 0 }
 
 // Next is when Due may have something; zero: when something else has come.
 func (l *Ledger) Next() time.Time {
@@ -78,21 +78,21 @@
 	return sooner(sooner(next, l.nextProbe()), l.woken())
 }
 
-// Result is how a call went.
-type Result struct {
-	Taken  bool      // a server answered that it has let go
-	Server string    // which one
-	Sent   time.Time // when it was asked
-	Silent []string  // servers that were asked before it and did not answer
+// ReleaseResult is how a call went.
+type ReleaseResult struct {
+	Acknowledged bool      // a server answered that it has let go
+	Server       string    // which one
+	SentAt       time.Time // when it was asked
+	Unresponsive []string  // servers that were asked before it and did not answer
 }
 
-// Released notes how a call went.
-func (l *Ledger) Released(c Call, r Result, now time.Time) {
-	if r.Taken {
-		l.Heard(r.Server, r.Sent, now, now)
+// ReleaseEnded notes how a call went.
+func (l *Ledger) ReleaseEnded(c ReleaseCall, r ReleaseResult, now time.Time) {
+	if r.Acknowledged {
+		l.ServerAnswered(r.Server, r.SentAt, now, now)
 	}
 	switch {
-	case c.Reach:
+	case c.Liveness:
 		delete(l.reaching, c.Servers[0])
 		return
 	case c.Probe:
@@ -105,7 +105,7 @@
 		return
 	}
 	e.releasing--
-	if r.Taken {
+	if r.Acknowledged {
 		l.taken(e, c, r, now)
 	} else {
 		e.round.failed = true
@@ -118,16 +118,16 @@
 
 // taken notes that a server has answered a release. What was spared then had an attempt in flight, so that the limit began anew
 // in either case.
-func (l *Ledger) taken(e *entry, c Call, r Result, now time.Time) {
-	e.round.sent = sooner(e.round.sent, r.Sent)
-	for _, server := range r.Silent {
-		l.doubtReach(e, server, r.Sent)
+func (l *Ledger) taken(e *entry, c ReleaseCall, r ReleaseResult, now time.Time) {
+	e.round.sent = sooner(e.round.sent, r.SentAt)
+	for _, server := range r.Unresponsive {
+		l.doubtReach(e, server, r.SentAt)
 	}
 	e.missed = slices.ContainsFunc(e.holdings, func(h holding) bool { return h.unreached() })
 	switch {
-	case c.Beside == Alone:
-		e.releasedBy(r.Server, r.Sent)
-	case c.Beside == BesideRead && e.terms.Shared && e.settledBy(r.Sent):
+	case c.Concurrent == NoAttempt:
+		e.releasedBy(r.Server, r.SentAt)
+	case c.Concurrent == ReadInFlight && e.terms.Shared && e.settledBy(r.SentAt):
 		e.setSole(true)
 	}
 }
@@ -156,10 +156,10 @@
 	e.takes++
 }
 
-// Heard notes that a server answered a call that was sent at a time. It ran
+// ServerAnswered notes that a server answered a call that was sent at a time. It ran
 // since: what was closed before it notices within the grace, unless the close
 // was lost.
-func (l *Ledger) Heard(server string, sent, answered, now time.Time) {
+func (l *Ledger) ServerAnswered(server string, sent, answered, now time.Time) {
 	if len(l.reached) >= maxReached {
 		clear(l.reached)
 	}
@@ -177,9 +177,9 @@
 	}
 }
 
-// Gone notes that a server has left the list, or has started anew: nothing
+// ServerRemoved notes that a server has left the list, or has started anew: nothing
 // waits there, and nothing is held there.
-func (l *Ledger) Gone(server string, now time.Time) {
+func (l *Ledger) ServerRemoved(server string, now time.Time) {
 	delete(l.reached, server)
 	if u := l.unheard[server]; u != nil {
 		for _, e := range slices.Clone(u.entries) {
@@ -190,7 +190,7 @@
 			for i := range u.dormant {
 				u.dormant[i].left = 0
 			}
-			u.woken = exchange{now.Add(NoticeGrace), now}
+			u.woken = exchange{now.Add(CloseNoticeGrace), now}
 		}
 	}
 	for _, e := range slices.Clone(l.owed) {
@@ -228,14 +228,14 @@
 // Stop forgets all that is owed.
 func (l *Ledger) Stop(now time.Time) {
 	for _, e := range slices.Clone(l.owed) {
-		l.forget(e, Stopped, now)
+		l.forget(e, RouterStopped, now)
 	}
 	for l.dormant > 0 {
-		l.forgetDormant(Stopped, now)
+		l.forgetDormant(RouterStopped, now)
 	}
 }
 
-func (l *Ledger) forget(e *entry, why Why, now time.Time) {
-	l.forgot = append(l.forgot, Forgotten{Request: e.terms.Request, Key: e.key, Owed: now.Sub(e.owedAt), Servers: e.where(), Why: why})
+func (l *Ledger) forget(e *entry, why AbandonReason, now time.Time) {
+	l.forgot = append(l.forgot, AbandonedEntry{Request: e.terms.Request, Key: e.key, PendingFor: now.Sub(e.owedAt), Servers: e.where(), Reason: why})
 	l.drop(e)
 }
--- a/internal/heldstate/report.go
+++ b/internal/heldstate/report.go
@@ -5,38 +5,38 @@
 	"time"
 )
 
-// Forgotten is an entry that left without proof.
-type Forgotten struct {
+// AbandonedEntry is an entry that left without proof.
+type AbandonedEntry struct {
 	Request, Key string
-	Owed         time.Duration
+	PendingFor   time.Duration
 	Servers      []string
-	Why          Why
+	Reason       AbandonReason
 }
 
-// Why tells why an entry was forgotten.
-type Why uint8
+// AbandonReason tells why an entry was forgotten.
+type AbandonReason uint8
 
 // The reasons.
 const (
-	TooMany Why = iota // the ledger was full
-	Stopped            // the router ended
+	LedgerFull    AbandonReason = iota // the ledger was full
+	RouterStopped                      // the router ended
 )
 
-func (w Why) String() string {
+func (w AbandonReason) String() string {
 	return [...]string{"too many owed", "the router ends"}[w]
 }
 
 // Report tells of an entry that has been owed for half of its time.
 type Report struct {
 	Request, Key string
-	Owed         time.Duration
+	PendingFor   time.Duration
 	Releases     int      // that were answered
 	Holders      []string // servers that may hold something
-	Unheard      []string // servers that may not have noticed a close
+	Unconfirmed  []string // servers that may not have noticed a close
 }
 
-// Forgotten returns what left without proof since the last call.
-func (l *Ledger) Forgotten() []Forgotten {
+// Abandoned returns what left without proof since the last call.
+func (l *Ledger) Abandoned() []AbandonedEntry {
 	list := l.forgot
 	l.forgot = nil
 	return list
@@ -56,7 +56,7 @@
 	if !e.answered() {
 		return // a place that is asked for, and nothing else: its answer may be slow
 	}
-	r := Report{Request: e.terms.Request, Key: e.key, Owed: now.Sub(e.owedAt), Releases: e.takes, Unheard: e.doubted()}
+	r := Report{Request: e.terms.Request, Key: e.key, PendingFor: now.Sub(e.owedAt), Releases: e.takes, Unconfirmed: e.doubted()}
 	r.Holders = slices.DeleteFunc(e.where(), e.doubts)
 	l.reports = append(l.reports, r)
 }
--- a/internal/holdwatch/watch.go
+++ b/internal/holdmonitor/monitor.go
@@ -1,4 +1,4 @@
-// Package holdwatch watches what servers may hold for requests by the calls alone:
+// Package holdmonitor watches what servers may hold for requests by the calls alone:
 // what was sent to a server, and what was heard from it. It decides nothing, and it
 // shares nothing with the ledger of internal/heldstate, so that its reports do not
 // depend on what that ledger believes.
@@ -9,7 +9,7 @@
 // was heard of it for half of the pin limit.
 //
 // The package is pure: it does no I/O and reads no clock.
-package holdwatch
+package holdmonitor
 
 import (
 	"fmt"
@@ -44,10 +44,10 @@
 
 // The outcomes.
 const (
-	Lost       Outcome = iota // no answer came: what it did is not known
-	Answered                  // the server answered, and may hold something
-	TurnedAway                // the server answered that it did nothing
-	NotSent                   // it was not written whole
+	NoAnswer Outcome = iota // no answer came: what it did is not known
+	Answered                // the server answered, and may hold something
+	Rejected                // the server answered that it did nothing
+	NotSent                 // it was not written whole
 )
 
 func (o Outcome) String() string {
@@ -55,10 +55,10 @@
 }
 
 // heard tells that the server answered.
-func (o Outcome) heard() bool { return o == Answered || o == TurnedAway }
+func (o Outcome) heard() bool { return o == Answered || o == Rejected }
 
 // leaves tells that the server may hold something.
-func (o Outcome) leaves() bool { return o == Lost || o == Answered }
+func (o Outcome) leaves() bool { return o == NoAnswer || o == Answered }
 
 // call is one call for a key.
 type call struct {
@@ -86,22 +86,22 @@
 
 // Report tells of a key of which nothing was heard.
 type Report struct {
-	Request string
-	Silent  time.Duration
-	Calls   []string // the last calls, oldest first
+	Request   string
+	SilentFor time.Duration
+	Calls     []string // the last calls, oldest first
 }
 
-// Watch watches keys. It is not safe for concurrent use.
-type Watch struct {
+// Monitor watches keys. It is not safe for concurrent use.
+type Monitor struct {
 	keys map[string]*key
 	next time.Time // no report is due before; zero: none is due
 }
 
 // New returns an empty watch.
-func New() *Watch { return &Watch{keys: map[string]*key{}} }
+func New() *Monitor { return &Monitor{keys: map[string]*key{}} }
 
 // Sent notes that a call is sent. A release alone is not watched: its key holds nothing.
-func (w *Watch) Sent(name, request string, pin time.Duration, kind Kind, server string, now time.Time) {
+func (w *Monitor) Sent(name, request string, pin time.Duration, kind Kind, server string, now time.Time) {
 	k := w.keys[name]
 	if k == nil {
 		if kind == Release || len(w.keys) >= maxKeys {
@@ -121,7 +121,7 @@
 }
 
 // Ended notes how a call ended.
-func (w *Watch) Ended(name string, kind Kind, server string, how Outcome, now time.Time) {
+func (w *Monitor) Ended(name string, kind Kind, server string, how Outcome, now time.Time) {
 	k := w.keys[name]
 	if k == nil {
 		return
@@ -163,15 +163,15 @@
 }
 
 // Streaming notes the first event of an answer, with which all goes that is held.
-func (w *Watch) Streaming(name string) { delete(w.keys, name) }
+func (w *Monitor) Streaming(name string) { delete(w.keys, name) }
 
 // Len is how many keys are watched.
-func (w *Watch) Len() int { return len(w.keys) }
+func (w *Monitor) Len() int { return len(w.keys) }
 
 // Next is when Due may have a report; zero: not before something else is told.
-func (w *Watch) Next() time.Time { return w.next }
+func (w *Monitor) Next() time.Time { return w.next }
 
-func (w *Watch) lookAt(at time.Time) {
+func (w *Monitor) lookAt(at time.Time) {
 	if w.next.IsZero() || at.Before(w.next) {
 		w.next = at
 	}
@@ -179,7 +179,7 @@
 
 // Due returns a report of each key of which nothing was heard for half of its pin
 // limit, once until it is heard again.
-func (w *Watch) Due(now time.Time) []Report {
+func (w *Monitor) Due(now time.Time) []Report {
 	if w.next.IsZero() || now.Before(w.next) {
 		return nil
 	}
@@ -195,7 +195,7 @@
 			at = k.heard.Add(maxAge + time.Millisecond)
 		case !at.After(now):
 			k.reported = true
-			reports = append(reports, Report{Request: k.request, Silent: now.Sub(k.heard), Calls: k.describe(now)})
+			reports = append(reports, Report{Request: k.request, SilentFor: now.Sub(k.heard), Calls: k.describe(now)})
 			at = k.heard.Add(maxAge + time.Millisecond)
 		}
 		w.lookAt(at)
--- a/internal/holdwatch/watch_test.go
+++ b/internal/holdmonitor/monitor_test.go
@@ -1,4 +1,4 @@
-package holdwatch
+package holdmonitor
 
 import (
 	"fmt"
@@ -26,7 +26,7 @@
 	look(249*ms, 0)
 	r := look(20*ms, 1)[0]
 	want := []string{"read at reader sent 269ms ago, in flight", "reservation at writer sent 269ms ago, in flight"}
-	if r.Request != "r" || r.Silent != 269*ms || !slices.Equal(r.Calls, want) {
+	if r.Request != "r" || r.SilentFor != 269*ms || !slices.Equal(r.Calls, want) {
 		t.Errorf("%+v", r)
 	}
 	look(time.Second, 0)
@@ -37,7 +37,7 @@
 	if w.Len() == 0 {
 		t.Error("a release beside a read that is in flight ended the watch")
 	}
-	w.Ended("k", Read, "reader", Lost, now.Add(2*ms))
+	w.Ended("k", Read, "reader", NoAnswer, now.Add(2*ms))
 	w.Sent("k", "r", 500*ms, Release, "", now.Add(30*ms))
 	w.Ended("k", Release, "other", Answered, now.Add(31*ms))
 	if w.Len() != 0 {
@@ -54,7 +54,7 @@
 	if w.Len() != 1 {
 		t.Error("not watched while a reservation is in flight")
 	}
-	w.Ended("k", Reservation, "writer", TurnedAway, now)
+	w.Ended("k", Reservation, "writer", Rejected, now)
 	if w.Len() != 0 {
 		t.Error("watched although nothing can be held")
 	}
--- a/internal/rest/errors.go
+++ b/internal/httpapi/errors.go
@@ -1,8 +1,8 @@
-// Package rest has the published shapes of the HTTP APIs that the router's front
+// Package httpapi has the published shapes of the HTTP APIs that the router's front
 // speaks: OpenAI's chat completions and embeddings, and the rerank that Cohere
 // and Jina have in common. It reads requests, builds what engines are asked, and
 // joins what they answer. It keeps no state and decides nothing.
-package rest
+package httpapi
 
 import (
 	"bytes"
--- a/internal/rest/rest_test.go
+++ b/internal/httpapi/httpapi_test.go
@@ -1,4 +1,4 @@
-package rest
+package httpapi
 
 import (
 	"encoding/json"
@@ -9,10 +9,10 @@
 
 	"pgregory.net/rapid"
 
-	"gannethook/internal/steady"
+	"gannethook/internal/rapidseed"
 )
 
-func TestMain(m *testing.M) { steady.Main(m) }
+func TestMain(m *testing.M) { rapidseed.Main(m) }
 
 // Every bad request has an error that names the place.
 func TestBadRequests(t *testing.T) {
--- a/internal/rest/rerank.go
+++ b/internal/httpapi/rerank.go
@@ -1,4 +1,4 @@
-package rest
+package httpapi
 
 import (
 	"cmp"
--- a/internal/keys/keys.go
+++ b/internal/idempotency/table.go
@@ -1,9 +1,9 @@
-// Package keys decides what becomes of a request whose client names it by an
+// Package idempotency decides what becomes of a request whose client names it by an
 // idempotency key: whether an attempt may start, or whether an earlier one may
 // have run. It guards rule 2 where the module can't see it: a client that tries
 // again on another session, here or at another router, is a new request to the
 // module. It has no I/O and no clock.
-package keys
+package idempotency
 
 import (
 	"container/list"
@@ -17,25 +17,25 @@
 
 // The verdicts.
 const (
-	Go      Verdict = iota + 1 // nothing of it can have run, or a repeat is dropped
-	Open                       // an earlier try is still open here: it gets the answer, this one fails
-	Ran                        // an earlier try was served, or may have run: this one fails
-	Unknown                    // a repeat of a try at another router, or one from before a restart: fails
-	Full                       // too many keys are remembered: refused, nothing has run
+	Proceed    Verdict = iota + 1 // nothing of it can have run, or a repeat is dropped
+	InProgress                    // an earlier try is still open here: it gets the answer, this one fails
+	MayHaveRun                    // an earlier try was served, or may have run: this one fails
+	Unknown                       // a repeat of a try at another router, or one from before a restart: fails
+	TableFull                     // too many keys are remembered: refused, nothing has run
 )
 
 func (v Verdict) String() string {
 	return [...]string{"", "go", "open", "ran", "unknown", "full"}[v]
 }
 
-// Name is a key within its tenant and class: clients of one can't touch another's.
-type Name struct {
+// Scope is a key within its tenant and class: clients of one can't touch another's.
+type Scope struct {
 	Tenant, Class int
 	Key           string
 }
 
 type entry struct {
-	name  Name
+	name  Scope
 	open  bool
 	ran   bool          // a try may have run
 	first time.Duration // when the first try that may have run began
@@ -47,24 +47,24 @@
 type Table struct {
 	remember time.Duration
 	most     int
-	entries  map[Name]*list.Element
+	entries  map[Scope]*list.Element
 	ended    *list.List // oldest first
 }
 
 // New returns an empty table that remembers what may have run for a time, and so many keys at most.
 func New(remember time.Duration, most int) *Table {
-	return &Table{remember: remember, most: most, entries: map[Name]*list.Element{}, ended: list.New()}
+	return &Table{remember: remember, most: most, entries: map[Scope]*list.Element{}, ended: list.New()}
 }
 
 // Len is how many keys are remembered.
 func (t *Table) Len() int { return len(t.entries) }
 
-// Begin decides for a request of a class. On Go the key is open until End.
+// Begin decides for a request of a class. On Proceed the key is open until End.
 // retry tells that the client marks it as a repeat of a try whose end it does
 // not know. Times only increase.
-func (t *Table) Begin(now time.Duration, n Name, class *gannethook.Class, retry bool) Verdict {
+func (t *Table) Begin(now time.Duration, n Scope, class *gannethook.Class, retry bool) Verdict {
 	if class.Effect == gannethook.Safe || n.Key == "" && !retry {
-		return Go
+		return Proceed
 	}
 	t.expire(now)
 	// Guards rule 2: the engines of the group drop repeats, wherever they come from, so a repeat may pass. A
@@ -79,15 +79,15 @@
 	case n.Key == "":
 		return Unknown // a repeat without a name can't be told from a first try
 	case el != nil && el.Value.(*entry).open:
-		return Open
+		return InProgress
 	case el != nil && !dropped:
-		return Ran
+		return MayHaveRun
 	case el == nil && retry && !dropped:
 		return Unknown
 	case el == nil && len(t.entries) >= t.most:
 		// Guards rule 2 with a bounded table: to forget a key that may have run would let it run again.
 		// Harms clients in a flood of failing keyed requests: they are refused until keys expire.
-		return Full
+		return TableFull
 	}
 	e := &entry{name: n, first: now}
 	if el != nil {
@@ -95,11 +95,11 @@
 	}
 	e.open = true
 	t.entries[n] = &list.Element{Value: e}
-	return Go
+	return Proceed
 }
 
 // End closes an open key. mayHaveRun tells whether an attempt may have had its effect.
-func (t *Table) End(now time.Duration, n Name, mayHaveRun bool) {
+func (t *Table) End(now time.Duration, n Scope, mayHaveRun bool) {
 	el := t.entries[n]
 	if el == nil || !el.Value.(*entry).open {
 		return
--- a/internal/keys/keys_test.go
+++ b/internal/idempotency/table_test.go
@@ -1,4 +1,4 @@
-package keys
+package idempotency
 
 import (
 	"testing"
@@ -7,12 +7,12 @@
 	"pgregory.net/rapid"
 
 	"gannethook"
-	"gannethook/internal/steady"
+	"gannethook/internal/rapidseed"
 )
 
-func TestMain(m *testing.M) { steady.Main(m) }
+func TestMain(m *testing.M) { rapidseed.Main(m) }
 
-var unsafeName = Name{Key: "k"}
+var unsafeName = Scope{Key: "k"}
 
 var (
 	safeClass   = &gannethook.Class{Effect: gannethook.Safe}
@@ -31,69 +31,69 @@
 		do   func(*Table) Verdict
 		want Verdict
 	}{
-		{"a first try", func(tb *Table) Verdict { return begin(tb, 0, false) }, Go},
+		{"a first try", func(tb *Table) Verdict { return begin(tb, 0, false) }, Proceed},
 		{"a second while the first is open", func(tb *Table) Verdict {
 			begin(tb, 0, false)
 			return begin(tb, s, true)
-		}, Open},
+		}, InProgress},
 		{"after one that may have run", func(tb *Table) Verdict {
 			begin(tb, 0, false)
 			tb.End(s, unsafeName, true)
 			return begin(tb, 2*s, false)
-		}, Ran},
+		}, MayHaveRun},
 		{"after one that did not run", func(tb *Table) Verdict {
 			begin(tb, 0, false)
 			tb.End(s, unsafeName, false)
 			return begin(tb, 2*s, false)
-		}, Go},
+		}, Proceed},
 		{"a repeat of a try at another router", func(tb *Table) Verdict { return begin(tb, 0, true) }, Unknown},
 		{"a repeat without a key", func(tb *Table) Verdict {
-			return tb.Begin(0, Name{}, unsafeClass, true)
+			return tb.Begin(0, Scope{}, unsafeClass, true)
 		}, Unknown},
 		{"a first try without a key", func(tb *Table) Verdict {
-			return tb.Begin(0, Name{}, unsafeClass, false)
-		}, Go},
+			return tb.Begin(0, Scope{}, unsafeClass, false)
+		}, Proceed},
 		{"the window is over", func(tb *Table) Verdict {
 			begin(tb, 0, false)
 			tb.End(s, unsafeName, true)
 			return begin(tb, 12*s, false)
-		}, Go},
+		}, Proceed},
 		{"another tenant's key", func(tb *Table) Verdict {
 			begin(tb, 0, false)
-			return tb.Begin(s, Name{Tenant: 1, Key: "k"}, unsafeClass, false)
-		}, Go},
+			return tb.Begin(s, Scope{Tenant: 1, Key: "k"}, unsafeClass, false)
+		}, Proceed},
 		{"the table is full", func(tb *Table) Verdict {
 			for _, k := range []string{"a", "b", "c"} {
-				tb.Begin(0, Name{Key: k}, unsafeClass, false)
+				tb.Begin(0, Scope{Key: k}, unsafeClass, false)
 			}
 			return begin(tb, s, false)
-		}, Full},
+		}, TableFull},
 		{"safe is never held up", func(tb *Table) Verdict {
 			tb.Begin(0, unsafeName, safeClass, false)
 			return tb.Begin(0, unsafeName, safeClass, true)
-		}, Go},
+		}, Proceed},
 		{"keyed everywhere: the engines drop the repeat", func(tb *Table) Verdict {
 			tb.Begin(0, unsafeName, keyedClass, false)
 			tb.End(s, unsafeName, true)
 			return tb.Begin(2*s, unsafeName, keyedClass, true)
-		}, Go},
+		}, Proceed},
 		{"keyed, but the engines remember it no longer", func(tb *Table) Verdict {
 			tb.Begin(0, unsafeName, keyedClass, false)
 			tb.End(s, unsafeName, true)
 			return tb.Begin(6*s, unsafeName, keyedClass, false)
-		}, Ran},
+		}, MayHaveRun},
 		{"keyed, and a repeat that was refused does not hide the first", func(tb *Table) Verdict {
 			tb.Begin(0, unsafeName, keyedClass, false)
 			tb.End(s, unsafeName, true)
 			tb.Begin(2*s, unsafeName, keyedClass, true)
 			tb.End(3*s, unsafeName, false)
 			return tb.Begin(6*s, unsafeName, keyedClass, false)
-		}, Ran},
+		}, MayHaveRun},
 		{"keyed in a zone: the next server may be outside", func(tb *Table) Verdict {
 			tb.Begin(0, unsafeName, zoneClass, false)
 			tb.End(s, unsafeName, true)
 			return tb.Begin(2*s, unsafeName, zoneClass, false)
-		}, Ran},
+		}, MayHaveRun},
 	} {
 		if got := c.do(New(10*s, 3)); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
@@ -112,7 +112,7 @@
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 4000).Draw(t, "ms")) * time.Millisecond
 			key := rapid.SampledFrom([]string{"a", "b", "c", "d", "e", "f"}).Draw(t, "key")
-			n := Name{Key: key}
+			n := Scope{Key: key}
 			if rapid.Bool().Draw(t, "end") {
 				ran := rapid.Bool().Draw(t, "ran")
 				if tb.End(now, n, ran); open[key] {
@@ -124,10 +124,10 @@
 			}
 			v := tb.Begin(now, n, unsafeClass, rapid.Bool().Draw(t, "retry"))
 			at, ran := ranAt[key]
-			if v == Go && (open[key] || ran && now-at < remember) {
+			if v == Proceed && (open[key] || ran && now-at < remember) {
 				t.Fatalf("%s goes again at %v: open %v, ran at %v", key, now, open[key], at)
 			}
-			if v == Go {
+			if v == Proceed {
 				open[key] = true
 				delete(ranAt, key)
 			}
--- a/internal/life/life.go
+++ b/internal/lifecycle/lifecycle.go
@@ -1,7 +1,7 @@
-// Package life decides how a router lives: when it takes sessions, drains,
+// Package lifecycle decides how a router lives: when it takes sessions, drains,
 // reloads, stops and ends. It is a state machine without I/O and without a
 // clock: inputs with their time in, effects out.
-package life
+package lifecycle
 
 import (
 	"errors"
@@ -64,12 +64,12 @@
 
 // The effects.
 type (
-	Accept struct{}            // take sessions
-	Turn   struct{}            // take no more, tell the open sessions
-	GiveUp struct{}            // answer all that is open, now
-	Cut    struct{}            // close all connections
-	Load   struct{ ID string } // read and check the settings; then Loaded
-	Spawn  struct {            // start a successor; then Spawned
+	Accept           struct{}            // take sessions
+	StopAccepting    struct{}            // take no more, tell the open sessions
+	FailOpenRequests struct{}            // answer all that is open, now
+	CloseConnections struct{}            // close all connections
+	Load             struct{ ID string } // read and check the settings; then Loaded
+	Spawn            struct {            // start a successor; then Spawned
 		ID, Release string
 		Drained     bool // it starts drained
 	}
@@ -79,23 +79,23 @@
 	Announce struct{ State State }   // the state has changed
 )
 
-func (Accept) isEffect()   {}
-func (Turn) isEffect()     {}
-func (GiveUp) isEffect()   {}
-func (Cut) isEffect()      {}
-func (Load) isEffect()     {}
-func (Spawn) isEffect()    {}
-func (Abort) isEffect()    {}
-func (Exit) isEffect()     {}
-func (Reply) isEffect()    {}
-func (Announce) isEffect() {}
+func (Accept) isEffect()           {}
+func (StopAccepting) isEffect()    {}
+func (FailOpenRequests) isEffect() {}
+func (CloseConnections) isEffect() {}
+func (Load) isEffect()             {}
+func (Spawn) isEffect()            {}
+func (Abort) isEffect()            {}
+func (Exit) isEffect()             {}
+func (Reply) isEffect()            {}
+func (Announce) isEffect()         {}
 
 // Limits are the deadlines that end a state.
 type Limits struct {
-	Start time.Duration // Starting, else Failed; and a successor's start
-	Drain time.Duration // Draining and Stopping, unless the command has its own; then GiveUp
-	Words time.Duration // from GiveUp to Cut
-	Keep  int           // results remembered
+	Start      time.Duration // Starting, else Failed; and a successor's start
+	Drain      time.Duration // Draining and Stopping, unless the command has its own; then FailOpenRequests
+	CloseGrace time.Duration // from FailOpenRequests to CloseConnections
+	MaxResults int           // results remembered
 }
 
 // Machine is one router's life. It is not safe for concurrent use.
@@ -186,7 +186,7 @@
 		// Guards a drain over a restart: what one operator drained, another's restart does not undo. Harms an
 		// operator who forgot the drain: the router takes nothing until it is resumed.
 		m.to(Drained)
-		m.do(Turn{})
+		m.do(StopAccepting{})
 	default:
 		m.to(Ready)
 		m.do(Accept{})
@@ -252,9 +252,9 @@
 		m.giveUp(now)
 	default:
 		// Guards against sessions that never close: their answers are given, so nothing is lost. Harms a client
-		// that reads its last words more slowly than Words.
+		// that reads its last words more slowly than CloseGrace.
 		m.cut = true
-		m.do(Cut{})
+		m.do(CloseConnections{})
 		m.open = 0
 		m.settle()
 	}
@@ -263,8 +263,8 @@
 
 func (m *Machine) giveUp(now time.Duration) {
 	m.gaveUp = true
-	m.deadline = now + m.lim.Words
-	m.do(GiveUp{})
+	m.deadline = now + m.lim.CloseGrace
+	m.do(FailOpenRequests{})
 }
 
 // Loaded tells how reading the settings ended. The old ones stay on any error.
@@ -345,7 +345,7 @@
 		return
 	}
 	m.results[r.ID] = r
-	if m.order = append(m.order, r.ID); len(m.order) > max(m.lim.Keep, 1) {
+	if m.order = append(m.order, r.ID); len(m.order) > max(m.lim.MaxResults, 1) {
 		delete(m.results, m.order[0])
 		m.order = m.order[1:]
 	}
@@ -380,8 +380,8 @@
 	m.gaveUp, m.cut = false, false
 	m.deadline = now + m.limit(c)
 	m.to(s)
-	m.do(Turn{})
-	// What is open is counted after Turn: a session may have come since the last count, and must not be cut.
+	m.do(StopAccepting{})
+	// What is open is counted after StopAccepting: a session may have come since the last count, and must not be cut.
 	m.open = unknown
 }
 
--- a/internal/life/life_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -1,4 +1,4 @@
-package life
+package lifecycle
 
 import (
 	"errors"
@@ -9,19 +9,19 @@
 
 	"pgregory.net/rapid"
 
-	"gannethook/internal/steady"
+	"gannethook/internal/rapidseed"
 )
 
-func TestMain(m *testing.M) { steady.Main(m) }
+func TestMain(m *testing.M) { rapidseed.Main(m) }
 
 const s = time.Second
 
-var lim = Limits{Start: 5 * s, Drain: 30 * s, Words: 1 * s, Keep: 8}
+var lim = Limits{Start: 5 * s, Drain: 30 * s, CloseGrace: 1 * s, MaxResults: 8}
 
 func show(list []Effect) string {
 	var out []string
 	for _, e := range list {
-		out = append(out, strings.TrimPrefix(fmt.Sprintf("%T%v", e, e), "life."))
+		out = append(out, strings.TrimPrefix(fmt.Sprintf("%T%v", e, e), "lifecycle."))
 	}
 	return strings.Join(out, " ")
 }
@@ -49,14 +49,14 @@
 		{"it starts", []func(*Machine) []Effect{started}, "Announce{ready} Accept{}", Ready},
 		{"it can't start", []func(*Machine) []Effect{func(m *Machine) []Effect { return m.Started(0, errors.New("x")) }}, "Announce{failed} Exit{1}", Failed},
 		{"it takes too long to start", []func(*Machine) []Effect{tick(5 * s)}, "Announce{failed} Exit{1}", Failed},
-		{"a drain with nothing open", []func(*Machine) []Effect{started, cmd(1*s, "a", Drain, 0)}, "Announce{draining} Turn{}", Draining},
+		{"a drain with nothing open", []func(*Machine) []Effect{started, cmd(1*s, "a", Drain, 0)}, "Announce{draining} StopAccepting{}", Draining},
 		{"once that is counted", []func(*Machine) []Effect{started, cmd(1*s, "a", Drain, 0), open(1*s, 0)},
 			"Announce{drained} Reply{{a true false }}", Drained},
 		{"a drain with open answers", []func(*Machine) []Effect{started, open(0, 2), cmd(1*s, "a", Drain, 0), open(2*s, 0)},
 			"Announce{drained} Reply{{a true false }}", Drained},
-		{"a drain at its deadline", []func(*Machine) []Effect{started, open(0, 2), cmd(1*s, "a", Drain, 3*s), tick(4 * s)}, "GiveUp{}", Draining},
+		{"a drain at its deadline", []func(*Machine) []Effect{started, open(0, 2), cmd(1*s, "a", Drain, 3*s), tick(4 * s)}, "FailOpenRequests{}", Draining},
 		{"and after the last words", []func(*Machine) []Effect{started, open(0, 2), cmd(1*s, "a", Drain, 3*s), tick(4 * s), tick(5 * s)},
-			"Cut{} Announce{drained} Reply{{a true true }}", Drained},
+			"CloseConnections{} Announce{drained} Reply{{a true true }}", Drained},
 		{"two drains share the earlier deadline", []func(*Machine) []Effect{started, open(0, 2), cmd(1*s, "a", Drain, 20*s), cmd(2*s, "b", Drain, 2*s), tick(4 * s), open(5*s, 0)},
 			"Announce{drained} Reply{{a true true }} Reply{{b true true }}", Drained},
 		{"a resume undoes a drain", []func(*Machine) []Effect{started, open(0, 2), cmd(1*s, "a", Drain, 0), cmd(2*s, "b", Resume, 0)},
@@ -65,7 +65,7 @@
 			"Reply{{a false false a stop came}} Announce{stopping}", Stopping},
 		{"a stop ends it", []func(*Machine) []Effect{started, open(0, 1), cmd(1*s, "a", Stop, 0), open(2*s, 0)},
 			"Announce{ended} Reply{{a true false }} Exit{0}", Ended},
-		{"a second stop cuts it short", []func(*Machine) []Effect{started, open(0, 1), cmd(1*s, "a", Stop, 0), cmd(2*s, "b", Stop, 0)}, "GiveUp{}", Stopping},
+		{"a second stop cuts it short", []func(*Machine) []Effect{started, open(0, 1), cmd(1*s, "a", Stop, 0), cmd(2*s, "b", Stop, 0)}, "FailOpenRequests{}", Stopping},
 		{"a repeat gets the first result", []func(*Machine) []Effect{started, cmd(1*s, "a", Drain, 0), open(1*s, 0), cmd(2*s, "b", Resume, 0), cmd(3*s, "a", Drain, 0)},
 			"Reply{{a true false }}", Ready},
 		{"a drain while stopping", []func(*Machine) []Effect{started, open(0, 1), cmd(1*s, "a", Stop, 0), cmd(2*s, "b", Drain, 0)},
@@ -79,11 +79,11 @@
 		{"a restart of a drained router", []func(*Machine) []Effect{started, cmd(1*s, "d", Drain, 0), open(1*s, 0), cmd(2*s, "a", Restart, 0)},
 			"Spawn{a  true}", Drained},
 		{"a restart that comes up", []func(*Machine) []Effect{started, open(0, 1), cmd(1*s, "a", Restart, 0), spawned(2*s, nil)},
-			"Reply{{a true false }} Announce{stopping} Turn{}", Stopping},
+			"Reply{{a true false }} Announce{stopping} StopAccepting{}", Stopping},
 		{"a restart that does not", []func(*Machine) []Effect{started, open(0, 1), cmd(1*s, "a", Restart, 0), spawned(2*s, errors.New("x"))},
 			"Reply{{a false false x}}", Ready},
 		{"a stop during a restart", []func(*Machine) []Effect{started, open(0, 1), cmd(1*s, "a", Restart, 0), cmd(2*s, "b", Stop, 0)},
-			"Abort{} Reply{{a false false a stop came}} Announce{stopping} Turn{}", Stopping},
+			"Abort{} Reply{{a false false a stop came}} Announce{stopping} StopAccepting{}", Stopping},
 		{"a drain during a restart", []func(*Machine) []Effect{started, open(0, 1), cmd(1*s, "a", Restart, 0), cmd(2*s, "b", Drain, 0), spawned(3*s, nil)},
 			"Reply{{a true false }} Reply{{b false false a restart came}} Announce{stopping}", Stopping},
 		{"a resume while a drained router restarts", []func(*Machine) []Effect{started, cmd(1*s, "d", Drain, 0), open(1*s, 0), cmd(1*s, "a", Restart, 0), cmd(2*s, "b", Resume, 0)},
@@ -93,7 +93,7 @@
 		{"a successor of a drained router", []func(*Machine) []Effect{func(m *Machine) []Effect {
 			m.Inherit([]Result{{ID: "a", Done: true}}, true)
 			return m.Started(0, nil)
-		}}, "Announce{drained} Turn{}", Drained},
+		}}, "Announce{drained} StopAccepting{}", Drained},
 		{"a repeat at a successor", []func(*Machine) []Effect{func(m *Machine) []Effect {
 			m.Inherit([]Result{{ID: "a", Done: true}}, false)
 			return m.Started(0, nil)
@@ -124,9 +124,9 @@
 				switch e := e.(type) {
 				case Exit:
 					exits++
-				case Turn:
+				case StopAccepting:
 					gaveUp = false
-				case GiveUp:
+				case FailOpenRequests:
 					gaveUp = true
 				case Spawn:
 					if heirs++; heirs > 1 {
@@ -134,7 +134,7 @@
 					}
 				case Abort:
 					heirs--
-				case Cut:
+				case CloseConnections:
 					if !gaveUp {
 						t.Fatal("cut before the answers were given")
 					}
@@ -144,7 +144,7 @@
 					}
 				case Announce:
 					if e.State == Draining || e.State == Stopping && due <= now {
-						due = now + lim.Drain + lim.Words
+						due = now + lim.Drain + lim.CloseGrace
 					}
 				}
 			}
@@ -202,7 +202,7 @@
 func TestRepeatsOverLives(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		keep := lim
-		keep.Keep = 100
+		keep.MaxResults = 100
 		now, m := time.Duration(0), New(keep, 0)
 		m.Started(0, nil)
 		first := map[string]Result{}
--- a/internal/limits/limiter.go
+++ b/internal/limits/limiter.go
@@ -28,20 +28,20 @@
 
 // Settings are all that a Limiter is told at its start.
 type Settings struct {
-	Routers  int // that quotas are divided among
-	Classes  []Class
-	Tenants  []Tenant      // requests of no tenant have none of their terms, and share one turn
-	Waiting  int           // requests that may wait
-	WaitPart float64       // part of its aim that a request may wait
-	Least    int           // requests in hand at the least,
-	Start    int           // at first,
-	Most     int           // and at the most
-	Retries  float64       // tries again for each first try of a client; 0: not limited
-	Clients  int           // whose tries are counted, at the most
-	Shed     bool          // work of least worth is shed where there is no room
-	Back     time.Duration // the least wait that a refusal for want of room advises
-	BackMost time.Duration // and the most
-	Seed     uint64        // of this router
+	Routers       int // that quotas are divided among
+	Classes       []Class
+	Tenants       []Tenant      // requests of no tenant have none of their terms, and share one turn
+	MaxWaiting    int           // requests that may wait
+	WaitPart      float64       // part of its aim that a request may wait
+	MinInFlight   int           // requests in hand at the least,
+	StartInFlight int           // at first,
+	MaxInFlight   int           // and at the most
+	Retries       float64       // tries again for each first try of a client; 0: not limited
+	MaxClients    int           // whose tries are counted, at the most
+	Shed          bool          // work of least worth is shed where there is no room
+	MinRetryAfter time.Duration // the least wait that a refusal for want of room advises
+	MaxRetryAfter time.Duration // and the most
+	Seed          uint64        // of this router
 }
 
 // Reason tells why work was turned away.
@@ -65,30 +65,30 @@
 
 // Verdict is the limiter's word on one request, given once.
 type Verdict struct {
-	ID    uint64
-	Pass  bool // it is to be handed to the module now
-	Why   Reason
-	After time.Duration // when to come again; 0 of TooLarge and Revoked: never
-}
-
-// Ask is work that is asked for.
-type Ask struct {
-	ID     uint64
-	Tenant int // -1: none
-	Class  int
-	Client uint64        // whose tries are counted; 0: not known
-	Retry  bool          // the client marks it as a try again
-	Paid   bool          // a part of what Charge has charged
-	Begun  bool          // and others of its parts have run: it is not shed
-	Prompt float64       // tokens
-	Tokens float64       // of prompt and, at the most, answer
-	Price  float64       // of it all: its size in turns
-	Left   time.Duration // until its client gives up
+	ID         uint64
+	Admitted   bool // it is to be handed to the module now
+	Reason     Reason
+	RetryAfter time.Duration // when to come again; 0 of TooLarge and Revoked: never
+}
+
+// Request is work that is asked for.
+type Request struct {
+	ID       uint64
+	Tenant   int // -1: none
+	Class    int
+	Client   uint64        // whose tries are counted; 0: not known
+	Retry    bool          // the client marks it as a try again
+	Charged  bool          // a part of what Charge has charged
+	PartsRun bool          // and others of its parts have run: it is not shed
+	Prompt   float64       // tokens
+	Tokens   float64       // of prompt and, at the most, answer
+	Price    float64       // of it all: its size in turns
+	TimeLeft time.Duration // until its client gives up
 }
 
 // work is a request that waits or is in hand.
 type work struct {
-	Ask
+	Request
 	aim   time.Duration
 	size  float64 // in requests of mean size, while in hand
 	since time.Duration
@@ -128,9 +128,9 @@
 // New returns a limiter that has seen nothing.
 func New(set Settings) *Limiter {
 	l := &Limiter{set: set, fleet: routers{now: max(set.Routers, 1), next: max(set.Routers, 1)},
-		room: newRoom(float64(set.Least), float64(set.Start), float64(set.Most), len(set.Classes)), shed: newShed(set.Classes),
+		room: newRoom(float64(set.MinInFlight), float64(set.StartInFlight), float64(set.MaxInFlight), len(set.Classes)), shed: newShed(set.Classes),
 		works: map[uint64]*work{}, meters: map[[2]int]*pair{}, clients: map[uint64]*retries{}, turned: map[Reason]uint64{}}
-	l.queue = NewQueue(set.Waiting, l.weight)
+	l.queue = NewQueue(set.MaxWaiting, l.weight)
 	return l
 }
 
@@ -148,16 +148,16 @@
 	return out
 }
 
-// Ask takes a request in and gives its verdict, or none while it waits; others
+// Admit takes a request in and gives its verdict, or none while it waits; others
 // may come with it, in order.
-func (l *Limiter) Ask(now time.Duration, a Ask) []Verdict {
+func (l *Limiter) Admit(now time.Duration, a Request) []Verdict {
 	l.drain(now)
 	if l.works[a.ID] != nil || a.Class < 0 || a.Class >= len(l.set.Classes) {
 		return l.verdicts()
 	}
 	class := &l.set.Classes[a.Class]
-	w := &work{Ask: a, since: now, aim: class.Aim + time.Duration(a.Prompt/1000*float64(class.AimPer1000))}
-	if v := l.Charge(now, a); v.Pass {
+	w := &work{Request: a, since: now, aim: class.Aim + time.Duration(a.Prompt/1000*float64(class.AimPer1000))}
+	if v := l.Charge(now, a); v.Admitted {
 		l.admit(now, w)
 	} else {
 		l.out = append(l.out, v)
@@ -167,9 +167,9 @@
 
 // Charge takes a request's budgets, as for a batch that then comes in parts.
 // What it refuses has taken nothing. Charging counts no try again of a part.
-func (l *Limiter) Charge(now time.Duration, a Ask) Verdict {
-	if a.Paid {
-		return Verdict{ID: a.ID, Pass: true}
+func (l *Limiter) Charge(now time.Duration, a Request) Verdict {
+	if a.Charged {
+		return Verdict{ID: a.ID, Admitted: true}
 	}
 	if wait := l.tries(now, a); wait > 0 {
 		return l.refuse(a.ID, Retries, wait)
@@ -182,23 +182,23 @@
 		p.requests.Take(now, requests, 1)
 		p.tokens.Take(now, tokens, a.Tokens)
 	})
-	return Verdict{ID: a.ID, Pass: true}
+	return Verdict{ID: a.ID, Admitted: true}
 }
 
 // refuse words a refusal; the advice is bounded, but for budgets, whose wait is known.
 func (l *Limiter) refuse(id uint64, why Reason, after time.Duration) Verdict {
 	l.turned[why]++
-	return Verdict{ID: id, Why: why, After: after}
+	return Verdict{ID: id, Reason: why, RetryAfter: after}
 }
 
 // tries counts a client's try; it tells how long the next one again is away.
-func (l *Limiter) tries(now time.Duration, a Ask) time.Duration {
+func (l *Limiter) tries(now time.Duration, a Request) time.Duration {
 	if l.set.Retries <= 0 || a.Client == 0 {
 		return 0
 	}
 	b := l.clients[a.Client]
 	if b == nil {
-		if len(l.clients) >= l.set.Clients {
+		if len(l.clients) >= l.set.MaxClients {
 			l.forget(now)
 		}
 		b = &retries{left: retriesMost, at: now}
@@ -219,13 +219,13 @@
 			delete(l.clients, id)
 		}
 	}
-	if len(l.clients) >= l.set.Clients {
+	if len(l.clients) >= l.set.MaxClients {
 		clear(l.clients)
 	}
 }
 
 // each calls f with each budget that a request falls under.
-func (l *Limiter) each(a Ask, f func(b *Budget, p *pair)) {
+func (l *Limiter) each(a Request, f func(b *Budget, p *pair)) {
 	if a.Tenant < 0 || a.Tenant >= len(l.set.Tenants) {
 		return
 	}
@@ -245,14 +245,14 @@
 
 // shares are this router's parts of a budget. The tokens' burst lets one
 // request pass that the whole fleet's would.
-func (l *Limiter) shares(now time.Duration, b *Budget, p *pair, a Ask) (requests, tokens Rate) {
+func (l *Limiter) shares(now time.Duration, b *Budget, p *pair, a Request) (requests, tokens Rate) {
 	own := p.own.left(now)
 	n := l.fleet.now
 	return share(b.Requests, n, own, together(b.Requests, n)), share(b.Tokens, n, own, min(a.Tokens, b.Tokens.Burst))
 }
 
 // budgets tells which budget turns a request away, and for how long.
-func (l *Limiter) budgets(now time.Duration, a Ask) (why Reason, wait time.Duration) {
+func (l *Limiter) budgets(now time.Duration, a Request) (why Reason, wait time.Duration) {
 	l.each(a, func(b *Budget, p *pair) {
 		if !p.known {
 			used := first(b.Requests, l.fleet.now, unit(l.set.Seed, uint64(a.Tenant)))
@@ -277,19 +277,19 @@
 }
 
 // Refund gives back what Charge took for work that did not run.
-func (l *Limiter) Refund(a Ask) {
-	if a.Paid {
+func (l *Limiter) Refund(a Request) {
+	if a.Charged {
 		return
 	}
 	l.each(a, func(_ *Budget, p *pair) {
-		p.requests.Give(1)
-		p.tokens.Give(a.Tokens)
+		p.requests.Refund(1)
+		p.tokens.Refund(a.Tokens)
 	})
 }
 
 // admit hands a request on, has it wait, or turns it away for want of room.
 func (l *Limiter) admit(now time.Duration, w *work) {
-	if l.set.Shed && !w.Begun && l.shed.drops(w.Class, w.Retry, unit(l.set.Seed, w.ID)) {
+	if l.set.Shed && !w.PartsRun && l.shed.drops(w.Class, w.Retry, unit(l.set.Seed, w.ID)) {
 		l.turn(w, Shed, l.back())
 		return
 	}
@@ -324,10 +324,10 @@
 // that a first token usually takes, and its client's own.
 func (l *Limiter) patience(w *work) time.Duration {
 	part := min(l.set.WaitPart, max(1-l.room.usual*1.2, 0))
-	if w.Begun { // what has run of it would be lost
-		return w.Left / 2
+	if w.PartsRun { // what has run of it would be lost
+		return w.TimeLeft / 2
 	}
-	return min(time.Duration(part*float64(w.aim)), w.Left/2)
+	return min(time.Duration(part*float64(w.aim)), w.TimeLeft/2)
 }
 
 // wait is how long a tenant's work that came now would wait, at the pace of late.
@@ -339,8 +339,8 @@
 }
 
 func (l *Limiter) back() time.Duration {
-	back := time.Duration(float64(l.set.Back) * (1 + l.shed.level))
-	return min(back, max(l.set.BackMost, l.set.Back))
+	back := time.Duration(float64(l.set.MinRetryAfter) * (1 + l.shed.level))
+	return min(back, max(l.set.MaxRetryAfter, l.set.MinRetryAfter))
 }
 
 func (l *Limiter) free() bool { return l.hands == 0 || l.inHand < l.room.now }
@@ -348,8 +348,8 @@
 // turn gives the final word on work that is not handed on.
 func (l *Limiter) turn(w *work, why Reason, after time.Duration) {
 	delete(l.works, w.ID)
-	l.Refund(w.Ask)
-	l.out = append(l.out, l.refuse(w.ID, why, min(after, max(l.set.BackMost, l.set.Back))))
+	l.Refund(w.Request)
+	l.out = append(l.out, l.refuse(w.ID, why, min(after, max(l.set.MaxRetryAfter, l.set.MinRetryAfter))))
 }
 
 // hand gives a request to the module.
@@ -361,7 +361,7 @@
 	l.room.top = max(l.room.top, l.inHand)
 	l.passed++
 	l.measure(now, w.Price)
-	l.out = append(l.out, Verdict{ID: w.ID, Pass: true})
+	l.out = append(l.out, Verdict{ID: w.ID, Admitted: true})
 }
 
 // measure learns the pace at which work goes through while some waits.
@@ -401,8 +401,8 @@
 	}
 }
 
-// Begun tells that a request's first token has come: it is out of hand.
-func (l *Limiter) Begun(now time.Duration, id uint64) []Verdict {
+// FirstToken tells that a request's first token has come: it is out of hand.
+func (l *Limiter) FirstToken(now time.Duration, id uint64) []Verdict {
 	if w := l.works[id]; w != nil && w.hand && !w.begun {
 		l.begin(now, w)
 		l.room.took(now, w.since, w.Class, float64(now-w.since)/float64(max(w.aim, 1)))
@@ -424,10 +424,10 @@
 
 // The ends.
 const (
-	Served  End = iota + 1
-	Refused     // the module did: nothing has run
-	Failed      // it may have run
-	Gone        // its client left
+	Served     End = iota + 1
+	Refused        // the module did: nothing has run
+	Failed         // it may have run
+	ClientGone     // its client left
 )
 
 // Ended tells that a request is over, or that its client left while it waited.
@@ -441,7 +441,7 @@
 	switch {
 	case !w.hand:
 		l.queue.Remove(w.Tenant, id)
-		l.Refund(w.Ask)
+		l.Refund(w.Request)
 	case !w.begun:
 		l.begin(now, w)
 		part := float64(now-w.since) / float64(max(w.aim, 1))
@@ -450,7 +450,7 @@
 			l.room.took(now, w.since, w.Class, part)
 		case how == Refused:
 			l.room.turned(now, w.since)
-			l.Refund(w.Ask)
+			l.Refund(w.Request)
 		case l.room.slow(w.Class, part): // no first token came: that was late as well
 			l.room.took(now, w.since, w.Class, part)
 		}
@@ -474,9 +474,9 @@
 	return at, some
 }
 
-// Fleet tells how many routers the list has. More count at once, fewer once
+// SetRouters tells how many routers the list has. More count at once, fewer once
 // that has stood for three seconds.
-func (l *Limiter) Fleet(now time.Duration, routers int) {
+func (l *Limiter) SetRouters(now time.Duration, routers int) {
 	before := l.fleet.now
 	if l.fleet.tell(now, routers) {
 		after := l.fleet.now
@@ -494,7 +494,7 @@
 func (l *Limiter) settle(now time.Duration) {
 	for key, p := range l.meters {
 		b := &l.set.Tenants[key[0]].Budgets[key[1]]
-		requests, tokens := l.shares(now, b, p, Ask{})
+		requests, tokens := l.shares(now, b, p, Request{})
 		p.requests.Settle(now, requests)
 		p.tokens.Settle(now, tokens)
 	}
@@ -514,14 +514,14 @@
 		}
 	}
 	if set.Routers != before.Routers { // by the budgets that are left
-		l.Fleet(now, set.Routers)
+		l.SetRouters(now, set.Routers)
 	}
 	level := l.shed.level
 	l.shed = newShed(set.Classes)
 	l.shed.level, l.shed.since = min(level, l.shed.top), now
-	l.room.least, l.room.most = float64(set.Least), float64(set.Most)
+	l.room.least, l.room.most = float64(set.MinInFlight), float64(set.MaxInFlight)
 	l.room.now = min(max(l.room.now, l.room.least), l.room.most)
-	for _, x := range l.queue.Limit(set.Waiting) {
+	for _, x := range l.queue.Limit(set.MaxWaiting) {
 		l.turn(l.works[x.ID], Crowded, l.back())
 	}
 	l.drain(now)
@@ -539,28 +539,28 @@
 	return l.verdicts()
 }
 
-// Left is what a tenant may still ask for, of the fleet's budgets as this router
+// Allowance is what a tenant may still ask for, of the fleet's budgets as this router
 // sees its part of them.
-type Left struct {
+type Allowance struct {
 	Limit, Remaining float64
 	Reset            time.Duration // until all of it may come again
 	Limited          bool
 }
 
 // Remaining tells the tightest budgets of requests and of tokens.
-func (l *Limiter) Remaining(now time.Duration, tenant, class int) (requests, tokens Left) {
-	tighter := func(was Left, whole, part Rate, m *Meter) Left {
+func (l *Limiter) Remaining(now time.Duration, tenant, class int) (requests, tokens Allowance) {
+	tighter := func(was Allowance, whole, part Rate, m *Meter) Allowance {
 		if whole.PerSecond <= 0 {
 			return was
 		}
-		left := Left{Limit: whole.Burst, Reset: m.Full(now, part), Limited: true}
+		left := Allowance{Limit: whole.Burst, Reset: m.Full(now, part), Limited: true}
 		left.Remaining = whole.Burst * m.Left(now, part) / max(part.Burst, 1e-9)
 		if was.Limited && was.Remaining <= left.Remaining {
 			return was
 		}
 		return left
 	}
-	a := Ask{Tenant: tenant, Class: class}
+	a := Request{Tenant: tenant, Class: class}
 	l.each(a, func(b *Budget, p *pair) {
 		r, t := l.shares(now, b, p, a)
 		requests = tighter(requests, b.Requests, r, &p.requests)
--- a/internal/limits/limiter_test.go
+++ b/internal/limits/limiter_test.go
@@ -16,8 +16,8 @@
 )
 
 func settings(change ...func(*Settings)) Settings {
-	set := Settings{Routers: 1, Waiting: 1000, WaitPart: 0.5, Least: 2, Start: 8, Most: 1000, Clients: 100,
-		Back: 100 * ms, BackMost: 2 * s, Shed: true, Seed: 1,
+	set := Settings{Routers: 1, MaxWaiting: 1000, WaitPart: 0.5, MinInFlight: 2, StartInFlight: 8, MaxInFlight: 1000, MaxClients: 100,
+		MinRetryAfter: 100 * ms, MaxRetryAfter: 2 * s, Shed: true, Seed: 1,
 		Classes: []Class{{Aim: s, Worth: 3}, {Aim: s, Worth: 1}, {Aim: s, Worth: 2, Priority: 1}},
 		Tenants: []Tenant{{}, {}, {Weight: 2}}}
 	for _, c := range change {
@@ -26,8 +26,8 @@
 	return set
 }
 
-func request(id uint64, tenant, class int) Ask {
-	return Ask{ID: id, Tenant: tenant, Class: class, Prompt: 100, Tokens: 200, Price: 1, Left: 5 * s}
+func request(id uint64, tenant, class int) Request {
+	return Request{ID: id, Tenant: tenant, Class: class, Prompt: 100, Tokens: 200, Price: 1, TimeLeft: 5 * s}
 }
 
 // only is the one verdict that a call gave.
@@ -44,7 +44,7 @@
 func TestOneVerdict(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := settings(func(set *Settings) {
-			set.Waiting, set.Retries = 5, 0.2
+			set.MaxWaiting, set.Retries = 5, 0.2
 			set.Tenants[1].Budgets = []Budget{{Class: -1, Requests: Rate{5, 5}}, {Class: 1, Tokens: Rate{1000, 2000}}}
 		})
 		l := New(set)
@@ -54,7 +54,7 @@
 				if word[v.ID]++; word[v.ID] > 1 || !asked[v.ID] {
 					t.Fatalf("verdict %+v: number %d, asked %v", v, word[v.ID], asked[v.ID])
 				}
-				passed[v.ID] = v.Pass
+				passed[v.ID] = v.Admitted
 			}
 		}
 		left := map[uint64]bool{}
@@ -63,10 +63,10 @@
 			of := uint64(rapid.IntRange(0, i).Draw(t, "of"))
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0:
-				take(l.Begun(now, of))
+				take(l.FirstToken(now, of))
 			case 1, 2:
 				how := End(rapid.IntRange(1, 4).Draw(t, "how"))
-				if !passed[of] && how != Gone {
+				if !passed[of] && how != ClientGone {
 					continue
 				}
 				left[of] = left[of] || asked[of] && word[of] == 0
@@ -74,10 +74,10 @@
 			case 3:
 				take(l.Tick(now))
 			case 4:
-				l.Fleet(now, rapid.IntRange(0, 4).Draw(t, "routers"))
+				l.SetRouters(now, rapid.IntRange(0, 4).Draw(t, "routers"))
 			case 5:
 				next := set
-				next.Waiting = rapid.IntRange(1, 6).Draw(t, "waiting")
+				next.MaxWaiting = rapid.IntRange(1, 6).Draw(t, "waiting")
 				take(l.Reload(now, next))
 			case 6:
 				take(l.Revoke(now, uint64(rapid.IntRange(1, 3).Draw(t, "client"))))
@@ -86,7 +86,7 @@
 				a.Price, a.Client = rapid.Float64Range(0, 50).Draw(t, "price"), uint64(rapid.IntRange(0, 3).Draw(t, "of client"))
 				a.Retry = rapid.Bool().Draw(t, "retry")
 				asked[a.ID] = true
-				take(l.Ask(now, a))
+				take(l.Admit(now, a))
 			}
 			if v := l.View(); v.Waiting > 6 || v.Hands < 0 || v.InHand < -1e-6 {
 				t.Fatalf("%+v", v)
@@ -98,7 +98,7 @@
 			if word[id] == 0 && !left[id] {
 				t.Fatalf("request %d has no verdict", id)
 			}
-			take(l.Ended(now, id, Gone))
+			take(l.Ended(now, id, ClientGone))
 		}
 		if v := l.View(); v.Waiting != 0 || v.Hands != 0 || v.InHand != 0 || len(l.works) != 0 {
 			t.Fatalf("at the end %+v, %d works", v, len(l.works))
@@ -110,38 +110,38 @@
 // and what the module refused is given back.
 func TestBudgets(t *testing.T) {
 	l := New(settings(func(set *Settings) {
-		set.Start = 100
+		set.StartInFlight = 100
 		set.Tenants[0].Budgets = []Budget{{Class: -1, Requests: Rate{1, 2}}, {Class: 1, Tokens: Rate{100, 500}}}
 	}))
 	for id := range uint64(2) {
-		if v := only(t, l.Ask(0, request(id, 0, 0))); !v.Pass {
+		if v := only(t, l.Admit(0, request(id, 0, 0))); !v.Admitted {
 			t.Fatalf("%+v", v)
 		}
 	}
 	for id := range uint64(10) { // turned away, again and again
-		if v := only(t, l.Ask(0, request(10+id, 0, 0))); v.Pass || v.Why != Requests || v.After != s {
+		if v := only(t, l.Admit(0, request(10+id, 0, 0))); v.Admitted || v.Reason != Requests || v.RetryAfter != s {
 			t.Fatalf("%+v", v)
 		}
 	}
-	if v := only(t, l.Ask(s, request(20, 0, 0))); !v.Pass {
+	if v := only(t, l.Admit(s, request(20, 0, 0))); !v.Admitted {
 		t.Fatalf("the wait that was told does not pass: %+v", v)
 	}
 	l.Ended(s, 20, Refused)
-	if v := only(t, l.Ask(s, request(21, 0, 0))); !v.Pass {
+	if v := only(t, l.Admit(s, request(21, 0, 0))); !v.Admitted {
 		t.Fatalf("what the module refused was not given back: %+v", v)
 	}
 	big := request(30, 0, 1)
-	if big.Tokens = 600; only(t, l.Ask(5*s, big)).Why != TooLarge {
+	if big.Tokens = 600; only(t, l.Admit(5*s, big)).Reason != TooLarge {
 		t.Error("work larger than the burst passes")
 	}
-	if big.ID, big.Tokens = 31, 400; !only(t, l.Ask(5*s, big)).Pass {
+	if big.ID, big.Tokens = 31, 400; !only(t, l.Admit(5*s, big)).Admitted {
 		t.Error("work within the burst does not pass")
 	}
 	big.ID = 32
-	if v := only(t, l.Ask(5*s, big)); v.Why != Tokens || v.After != 3*s {
+	if v := only(t, l.Admit(5*s, big)); v.Reason != Tokens || v.RetryAfter != 3*s {
 		t.Errorf("%+v", v)
 	}
-	if v := only(t, l.Ask(5*s, request(33, 1, 1))); !v.Pass {
+	if v := only(t, l.Admit(5*s, request(33, 1, 1))); !v.Admitted {
 		t.Errorf("another tenant's budget: %+v", v)
 	}
 	if r, tk := l.Remaining(5*s, 0, 1); r.Remaining != 1 || tk.Remaining != 100 || tk.Reset != 4*s || tk.Limit != 500 {
@@ -152,15 +152,15 @@
 // What waits and is then turned away, pushed out or late, has its budget back.
 func TestTurnedAwayIsGivenBack(t *testing.T) {
 	l := New(settings(func(set *Settings) {
-		set.Start, set.Least, set.Most, set.Waiting = 1, 1, 1, 1
+		set.StartInFlight, set.MinInFlight, set.MaxInFlight, set.MaxWaiting = 1, 1, 1, 1
 		set.Tenants[0].Budgets = []Budget{{Class: -1, Requests: Rate{0.001, 3}}}
 	}))
-	l.Ask(0, request(1, 0, 0))
-	l.Ask(0, request(2, 0, 0))
-	if v := only(t, l.Ask(0, request(3, 0, 0))); v.Why != Crowded {
+	l.Admit(0, request(1, 0, 0))
+	l.Admit(0, request(2, 0, 0))
+	if v := only(t, l.Admit(0, request(3, 0, 0))); v.Reason != Crowded {
 		t.Fatalf("%+v", v)
 	}
-	if v := only(t, l.Tick(10*s)); v.ID != 2 || v.Why != Waited {
+	if v := only(t, l.Tick(10*s)); v.ID != 2 || v.Reason != Waited {
 		t.Fatalf("%+v", v)
 	}
 	if r, _ := l.Remaining(10*s, 0, 0); r.Remaining < 2 {
@@ -171,21 +171,21 @@
 // What is owed was forgiven at the rate of its time: a change of routers changes nothing of it.
 func TestDivideSettles(t *testing.T) {
 	l := New(settings(func(set *Settings) {
-		set.Routers, set.Start = 2, 100
+		set.Routers, set.StartInFlight = 2, 100
 		set.Tenants[0].Budgets = []Budget{{Class: -1, Requests: Rate{100, 100}}}
 	}))
 	for id := range uint64(50) {
-		l.Ask(0, request(id, 0, 0))
+		l.Admit(0, request(id, 0, 0))
 	}
-	l.Fleet(500*ms, 100)
+	l.SetRouters(500*ms, 100)
 	if used := l.meters[[2]int{0, 0}].requests.used; used > 25 {
 		t.Errorf("%.1f of 50 are owed after half a second at 50 a second", used)
 	}
 	l = New(l.set)
 	for id := range uint64(50) {
-		l.Ask(0, request(id, 0, 0))
+		l.Admit(0, request(id, 0, 0))
 	}
-	l.Fleet(0, 1) // the other has died
+	l.SetRouters(0, 1) // the other has died
 	l.Tick(3 * s)
 	if p := l.meters[[2]int{0, 0}]; p.requests.at != 3*s || p.requests.used != 0 || l.fleet.now != 1 {
 		t.Errorf("%+v, %d routers", p, l.fleet.now)
@@ -198,10 +198,10 @@
 		set.Tenants[0].Budgets = []Budget{{Class: -1, Requests: Rate{10, 10}}, {Class: 0, Requests: Rate{5, 5}}}
 	})
 	l := New(set)
-	l.Ask(0, request(1, 0, 0))
+	l.Admit(0, request(1, 0, 0))
 	next := settings(func(set *Settings) { set.Routers = 7 })
 	l.Reload(ms, next)
-	if v := only(t, l.Ask(2*ms, request(2, 0, 0))); !v.Pass || l.View().Routers != 7 {
+	if v := only(t, l.Admit(2*ms, request(2, 0, 0))); !v.Admitted || l.View().Routers != 7 {
 		t.Errorf("%+v, %d routers", v, l.View().Routers)
 	}
 }
@@ -209,16 +209,16 @@
 // A batch pays once; its parts then pass, and count no try of its client.
 func TestPaid(t *testing.T) {
 	l := New(settings(func(set *Settings) {
-		set.Start, set.Retries = 100, 0.1
+		set.StartInFlight, set.Retries = 100, 0.1
 		set.Tenants[0].Budgets = []Budget{{Class: -1, Requests: Rate{1, 1}}}
 	}))
-	if !l.Charge(0, request(0, 0, 0)).Pass {
+	if !l.Charge(0, request(0, 0, 0)).Admitted {
 		t.Fatal("the batch does not pass")
 	}
 	for id := range uint64(30) {
 		a := request(1+id, 0, 0)
-		a.Paid, a.Retry, a.Client = true, true, 7
-		if v := only(t, l.Ask(0, a)); !v.Pass {
+		a.Charged, a.Retry, a.Client = true, true, 7
+		if v := only(t, l.Admit(0, a)); !v.Admitted {
 			t.Fatalf("part %d: %+v", id, v)
 		}
 	}
@@ -227,20 +227,20 @@
 // A client that comes again at once after each refusal is turned away itself; one
 // that seldom does is not, and others are not touched.
 func TestRetryBudget(t *testing.T) {
-	l := New(settings(func(set *Settings) { set.Retries, set.Start, set.Most = 0.1, 1e6, 1e6 }))
+	l := New(settings(func(set *Settings) { set.Retries, set.StartInFlight, set.MaxInFlight = 0.1, 1e6, 1e6 }))
 	id, passed := uint64(0), 0
 	try := func(now time.Duration, client uint64, again bool) Verdict {
 		id++
 		a := request(id, 0, 0)
 		a.Client, a.Retry = client, again
-		return only(t, l.Ask(now, a))
+		return only(t, l.Admit(now, a))
 	}
 	for i := range 100 {
 		try(time.Duration(i)*ms, 1, false)
 		for range 9 {
-			if v := try(time.Duration(i)*ms, 1, true); v.Pass {
+			if v := try(time.Duration(i)*ms, 1, true); v.Admitted {
 				passed++
-			} else if v.Why != Retries || v.After <= 0 {
+			} else if v.Reason != Retries || v.RetryAfter <= 0 {
 				t.Fatalf("%+v", v)
 			}
 		}
@@ -248,7 +248,7 @@
 	if passed < 15 || passed > 21 { // ten saved up, a tenth of 100
 		t.Errorf("%d of 900 tries again passed, 20 are due", passed)
 	}
-	if !try(s, 2, true).Pass || !try(2*s, 1, false).Pass {
+	if !try(s, 2, true).Admitted || !try(2*s, 1, false).Admitted {
 		t.Error("another client's try, or a first one, is turned away")
 	}
 }
@@ -256,13 +256,13 @@
 // When half the routers die, the requests that they had open come again at once at
 // the others: a client with many requests has saved up enough for them.
 func TestRetriesAfterDeaths(t *testing.T) {
-	l := New(settings(func(set *Settings) { set.Retries, set.Start, set.Most = 0.2, 1e6, 1e6 }))
+	l := New(settings(func(set *Settings) { set.Retries, set.StartInFlight, set.MaxInFlight = 0.2, 1e6, 1e6 }))
 	id, refused := uint64(0), 0
 	try := func(now time.Duration, again bool) {
 		id++
 		a := request(id, 0, 0)
 		a.Client, a.Retry = 1, again
-		if !only(t, l.Ask(now, a)).Pass {
+		if !only(t, l.Admit(now, a)).Admitted {
 			refused++
 		}
 	}
@@ -285,11 +285,11 @@
 
 // Clients are forgotten within their bound.
 func TestClientsBounded(t *testing.T) {
-	l := New(settings(func(set *Settings) { set.Retries, set.Start, set.Most = 0.1, 1e6, 1e6 }))
+	l := New(settings(func(set *Settings) { set.Retries, set.StartInFlight, set.MaxInFlight = 0.1, 1e6, 1e6 }))
 	for id := range uint64(10000) {
 		a := request(id, 0, 0)
 		a.Client, a.Retry = id+1, true
-		l.Ask(time.Duration(id)*ms, a)
+		l.Admit(time.Duration(id)*ms, a)
 		if len(l.clients) > 100 {
 			t.Fatalf("%d clients", len(l.clients))
 		}
@@ -300,7 +300,7 @@
 // come back, at once. A list that flaps enlarges nothing.
 func TestFleetFollows(t *testing.T) {
 	l := New(settings(func(set *Settings) {
-		set.Routers, set.Start, set.Most = 10, 1e6, 1e6
+		set.Routers, set.StartInFlight, set.MaxInFlight = 10, 1e6, 1e6
 		set.Tenants[0].Budgets = []Budget{{Class: -1, Requests: Rate{1000, 100}}}
 	}))
 	id := uint64(0)
@@ -308,7 +308,7 @@
 		n := 0
 		for at := from; at < from+10*s; at += ms {
 			id++
-			if only(t, l.Ask(at, request(id, 0, 0))).Pass {
+			if only(t, l.Admit(at, request(id, 0, 0))).Admitted {
 				n++
 			}
 			l.Ended(at, id, Served)
@@ -316,22 +316,22 @@
 		return float64(n) / 10
 	}
 	whole := rate(0)
-	l.Fleet(20*s, 5)
+	l.SetRouters(20*s, 5)
 	l.Tick(22 * s)
 	if l.View().Routers != 10 {
 		t.Error("fewer routers count at once")
 	}
 	for at := 20 * s; at < 23*s; at += 100 * ms { // it flaps
-		l.Fleet(at, 5+5*int(at/(100*ms)%2))
+		l.SetRouters(at, 5+5*int(at/(100*ms)%2))
 	}
 	l.Tick(22500 * ms)
 	if l.View().Routers != 10 {
 		t.Errorf("a list that flaps made it %d routers", l.View().Routers)
 	}
-	l.Fleet(30*s, 5)
+	l.SetRouters(30*s, 5)
 	l.Tick(33 * s)
 	half := rate(40 * s)
-	l.Fleet(60*s, 10)
+	l.SetRouters(60*s, 10)
 	back := rate(60 * s)
 	for _, c := range []struct{ got, want float64 }{{whole, 100}, {half, 200}, {back, 100}} {
 		if c.got < c.want || c.got > c.want*1.12 { // own arrivals of 10,000 in ten seconds: chance is a hundredth; and the burst
@@ -380,7 +380,7 @@
 	var list []*Limiter
 	for i := range n {
 		list = append(list, New(settings(func(set *Settings) {
-			set.Routers, set.Start, set.Most, set.Seed = n, 1e6, 1e6, uint64(i)
+			set.Routers, set.StartInFlight, set.MaxInFlight, set.Seed = n, 1e6, 1e6, uint64(i)
 			set.Tenants[0].Budgets = []Budget{{Class: -1, Requests: Rate{quota, quota}}}
 		})))
 	}
@@ -388,8 +388,8 @@
 		at += rnd.ExpFloat64() / (quota * load)
 		l := list[rnd.IntN(n)]
 		now := time.Duration(at * float64(s))
-		for _, v := range l.Ask(now, request(id, 0, 0)) {
-			if v.Pass {
+		for _, v := range l.Admit(now, request(id, 0, 0)) {
+			if v.Admitted {
 				passed++
 			}
 		}
@@ -443,7 +443,7 @@
 	classes := map[uint64]int{}
 	apply := func(list []Verdict, at time.Duration) {
 		for _, verdict := range list {
-			if verdict.Pass {
+			if verdict.Admitted {
 				ends = append(ends, ending{v.done(at, prices[verdict.ID]), verdict.ID, classes[verdict.ID]})
 			}
 		}
@@ -472,7 +472,7 @@
 		a.Price = size
 		if limited {
 			apply(l.Tick(now), now)
-			apply(l.Ask(now, a), now)
+			apply(l.Admit(now, a), now)
 		} else {
 			ends = append(ends, ending{v.done(now, size), id, class})
 		}
@@ -549,11 +549,11 @@
 
 // A reload while requests wait keeps them, in the turns of the new weights.
 func TestReloadWhileWaiting(t *testing.T) {
-	set := settings(func(set *Settings) { set.Start, set.Least, set.Most = 1, 1, 1 })
+	set := settings(func(set *Settings) { set.StartInFlight, set.MinInFlight, set.MaxInFlight = 1, 1, 1 })
 	l := New(set)
-	l.Ask(0, request(0, -1, 0))
+	l.Admit(0, request(0, -1, 0))
 	for id := range uint64(20) {
-		if list := l.Ask(0, request(1+id, int(id%2), 0)); len(list) > 0 {
+		if list := l.Admit(0, request(1+id, int(id%2), 0)); len(list) > 0 {
 			t.Fatalf("%v", list)
 		}
 	}
@@ -572,25 +572,25 @@
 	if of[0] < 8 {
 		t.Errorf("turns %v after the first's weight became nine times the second's", of)
 	}
-	next.Waiting = 3
+	next.MaxWaiting = 3
 	list := l.Reload(3*ms, next)
-	if len(list) != 7 || list[0].Pass || list[0].Why != Crowded {
+	if len(list) != 7 || list[0].Admitted || list[0].Reason != Crowded {
 		t.Errorf("%v; three may wait on", list)
 	}
 }
 
 // A key that is revoked takes back what waits; what is in hand ends as usual.
 func TestRevoke(t *testing.T) {
-	l := New(settings(func(set *Settings) { set.Start, set.Least, set.Most = 1, 1, 1 }))
+	l := New(settings(func(set *Settings) { set.StartInFlight, set.MinInFlight, set.MaxInFlight = 1, 1, 1 }))
 	for id := range uint64(4) {
 		a := request(id, 0, 0)
 		a.Client = 1 + id%2
-		l.Ask(0, a)
+		l.Admit(0, a)
 	}
-	if v := only(t, l.Revoke(ms, 1)); v.ID != 2 || v.Why != Revoked || v.Pass {
+	if v := only(t, l.Revoke(ms, 1)); v.ID != 2 || v.Reason != Revoked || v.Admitted {
 		t.Errorf("%+v", v)
 	}
-	if v := only(t, l.Ended(2*ms, 0, Served)); v.ID != 1 || !v.Pass {
+	if v := only(t, l.Ended(2*ms, 0, Served)); v.ID != 1 || !v.Admitted {
 		t.Errorf("%+v", v)
 	}
 }
@@ -601,7 +601,7 @@
 	for _, tenants := range []int{10, 1000, 100000} {
 		b.Run(fmt.Sprint(tenants), func(b *testing.B) {
 			set := settings(func(set *Settings) {
-				set.Waiting, set.Start, set.Most, set.Shed, set.WaitPart = 2*tenants, 64, 64, false, 1e9
+				set.MaxWaiting, set.StartInFlight, set.MaxInFlight, set.Shed, set.WaitPart = 2*tenants, 64, 64, false, 1e9
 				set.Tenants = make([]Tenant, tenants)
 				for i := range set.Tenants {
 					set.Tenants[i] = Tenant{Weight: 1, Budgets: []Budget{{Class: -1, Requests: Rate{1e9, 1e9}, Tokens: Rate{1e9, 1e9}}}}
@@ -614,9 +614,9 @@
 				id++
 				now += 1000
 				a := request(id, int(id*7919%uint64(tenants)), 0)
-				a.Left = time.Hour
-				for _, v := range l.Ask(now, a) {
-					if v.Pass {
+				a.TimeLeft = time.Hour
+				for _, v := range l.Admit(now, a) {
+					if v.Admitted {
 						hand = append(hand, v.ID)
 					}
 				}
@@ -625,8 +625,8 @@
 				}
 				of := hand[0]
 				hand = hand[1:]
-				for _, v := range append(l.Begun(now, of), l.Ended(now, of, Served)...) {
-					if v.Pass {
+				for _, v := range append(l.FirstToken(now, of), l.Ended(now, of, Served)...) {
+					if v.Admitted {
 						hand = append(hand, v.ID)
 					}
 				}
--- a/internal/limits/rate.go
+++ b/internal/limits/rate.go
@@ -56,9 +56,9 @@
 	}
 }
 
-// Give gives work back that was taken and did not run: it must not count
+// Refund gives work back that was taken and did not run: it must not count
 // against its tenant. What time has forgiven meanwhile is not given twice.
-func (m *Meter) Give(size float64) { m.used = max(m.used-size, 0) }
+func (m *Meter) Refund(size float64) { m.used = max(m.used-size, 0) }
 
 // Left is how much may come at once now.
 func (m *Meter) Left(now time.Duration, r Rate) float64 {
--- a/internal/limits/rate_test.go
+++ b/internal/limits/rate_test.go
@@ -6,10 +6,10 @@
 
 	"pgregory.net/rapid"
 
-	"gannethook/internal/steady"
+	"gannethook/internal/rapidseed"
 )
 
-func TestMain(m *testing.M) { steady.Main(m) }
+func TestMain(m *testing.M) { rapidseed.Main(m) }
 
 // Over any arrivals, what passed in any window is no more than the burst and
 // the window's rate; what was told to wait so long passes then; and a tenant
@@ -63,13 +63,13 @@
 	if m.Wait(0, r, 1) == 0 {
 		t.Fatal("more than the burst passes")
 	}
-	m.Give(10)
+	m.Refund(10)
 	if m.Left(0, r) != 10 || m.Full(0, r) != 0 {
 		t.Errorf("%g left after all was given back", m.Left(0, r))
 	}
 	m.Take(0, r, 10)
 	now := 3 * time.Second // time has forgiven it
-	m.Give(10)
+	m.Refund(10)
 	if m.Left(now, r) > r.Burst {
 		t.Errorf("%g left, the burst is %g", m.Left(now, r), r.Burst)
 	}
--- a/internal/platform/clients/clients_test.go
+++ b/internal/platform/clients/clients_test.go
@@ -37,7 +37,7 @@
 		t.Fatal(bad)
 	}
 	if job.Name != "9b1f" || job.Class != 1 || job.Session != keyOf("7f3a") || job.Prefix != keyOf("5c0f") || job.Session == job.Prefix ||
-		job.PromptSize != 5120 || job.Kept != 2048 || job.MaxTokens != 800 || job.GiveUp.Milliseconds() != 4800 {
+		job.PromptSize != 5120 || job.PrefixTokens != 2048 || job.MaxTokens != 800 || job.Timeout.Milliseconds() != 4800 {
 		t.Errorf("%+v", job)
 	}
 	job, bad = readJob(parse(t, strings.Replace(head, "X-Attrs", "X-Tenant-Id: norte\r\nX-Attrs", 1)), classes)
@@ -69,7 +69,7 @@
 		if job == nil {
 			return
 		}
-		if !isName(job.Name) || job.GiveUp <= 0 || job.PromptSize > maxTokens || strings.ContainsAny(job.Path, "\r\n ") {
+		if !isName(job.Name) || job.Timeout <= 0 || job.PromptSize > maxTokens || strings.ContainsAny(job.Path, "\r\n ") {
 			t.Errorf("%+v", job)
 		}
 		if b, err := http1.RequestBody(br, req.Header); err == nil {
--- a/internal/platform/clients/closing.go
+++ b/internal/platform/clients/closing.go
@@ -68,6 +68,6 @@
 
 // mayClose asks the guard, as an exchange ends, whether its request was seen to.
 func (x *exchange) mayClose() {
-	why := guard.MayClose(guard.CloseFacts{Taken: true, Answered: x.answered, ClientGone: x.left.Load()})
+	why := guard.MayClose(guard.CloseFacts{Accepted: true, Answered: x.answered, ClientGone: x.left.Load()})
 	x.conn.s.cfg.Guard.Check(guard.Close, why, x.name)
 }
--- a/internal/platform/clients/conn.go
+++ b/internal/platform/clients/conn.go
@@ -114,7 +114,7 @@
 	if l.hasBuffered() {
 		return nil
 	}
-	return connpool.Await(l.nc)
+	return connpool.AwaitReadable(l.nc)
 }
 
 // serveOne serves one request; it tells whether another may follow.
--- a/internal/platform/clients/exchange.go
+++ b/internal/platform/clients/exchange.go
@@ -82,10 +82,10 @@
 	defer x.mayClose()
 	if e := s.cfg.Log.Check(zap.DebugLevel, "came"); e != nil {
 		e.Write(zap.String("id", job.Name), zap.Uint64("conn", x.conn.id), zap.String("session", job.SessionID), zap.String("class", job.ClassName), zap.String("tenant", job.TenantName),
-			zap.Duration("give-up", job.GiveUp), zap.String("retried", x.req.Header.Get("X-Retried")),
+			zap.Duration("give-up", job.Timeout), zap.String("retried", x.req.Header.Get("X-Retried")),
 			zap.String("attrs", x.req.Header.Get("X-Attrs")), zap.Duration("read", time.Since(x.from)))
 	}
-	job.GiveUp, job.Waited, job.Gone = s.timeLeft(job.GiveUp), time.Since(x.from), x.clientGone
+	job.Timeout, job.QueuedFor, job.ClientGone = s.timeLeft(job.Timeout), time.Since(x.from), x.clientGone
 	call, err := s.cfg.Submit(*job, x)
 	if err != nil { // the platform's bounds: nothing has run
 		x.plain("503 Service Unavailable", err.Error()+"\n")
@@ -204,7 +204,7 @@
 // clientGone tells whether the client has left, at the instant at which an attempt is
 // about to begin: the connection's goroutine may not have run since.
 func (x *exchange) clientGone() bool {
-	if faults.Broken(faults.BreakGone) || !connpool.Ended(x.conn.nc) {
+	if faults.Broken(faults.BreakGone) || !connpool.PeerClosed(x.conn.nc) {
 		return false
 	}
 	x.left.Store(true)
@@ -283,22 +283,22 @@
 		return
 	}
 	switch {
-	case a.Kind == driver.Served && x.begun:
+	case a.Outcome == driver.Served && x.begun:
 		x.answered = true
 		if x.stream.chunk(nil) != nil || x.stream.drain(time.Time{}) != nil {
 			x.keep = false
 			x.conn.note(writeFailed)
 		}
-	case x.begun && a.Kind == driver.Failed: // what came before it broke is still its client's
+	case x.begun && a.Outcome == driver.Failed: // what came before it broke is still its client's
 		x.keep, x.answered = false, true
 		x.conn.note(streamBroken)
 		x.stream.drain(time.Now().Add(brokenStreamGrace))
 	case x.begun: // taken back by its client, or ended by the router for its client to go on elsewhere
 		x.keep, x.answered = false, x.left.Load() || x.cut.Load()
 		x.conn.note(streamBroken)
-	case a.Kind == driver.Cancelled:
+	case a.Outcome == driver.Cancelled:
 		x.keep = false
-	case a.Kind == driver.Refused:
+	case a.Outcome == driver.Refused:
 		var more []http1.Field
 		if a.RetryAfter > 0 {
 			more = append(more, http1.Field{Name: "Retry-After", Value: strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', 3, 64)})
--- a/internal/platform/clients/job.go
+++ b/internal/platform/clients/job.go
@@ -68,7 +68,7 @@
 		return bad("X-Timeout-Ms: milliseconds expected")
 	}
 	job := &driver.Job{Name: name, Class: at, ClassName: class, TenantName: tenant, Path: req.Target, Session: keyOf(key),
-		SessionID: key, GiveUp: time.Duration(ms) * time.Millisecond, Header: req.Header.EndToEnd(ownFields...)}
+		SessionID: key, Timeout: time.Duration(ms) * time.Millisecond, Header: req.Header.EndToEnd(ownFields...)}
 	if why := readAttrs(attrs, job); why != "" {
 		return bad(why)
 	}
@@ -125,7 +125,7 @@
 		case "prompt_len":
 			job.PromptSize = float64(n)
 		case "prefix_len":
-			job.Kept = float64(n)
+			job.PrefixTokens = float64(n)
 		case "max_out":
 			job.MaxTokens = int(n)
 		}
--- a/internal/platform/clients/readahead.go
+++ b/internal/platform/clients/readahead.go
@@ -75,7 +75,7 @@
 		switch connpool.Look(a.nc) {
 		case connpool.Quiet:
 			return nil
-		case connpool.Ends:
+		case connpool.PeerClosing:
 			return io.EOF
 		}
 		part := largeBuffers.Get().(*[16 << 10]byte)
--- a/internal/platform/clients/server.go
+++ b/internal/platform/clients/server.go
@@ -158,7 +158,7 @@
 		if e == nil {
 			return false
 		}
-		if l := e.Value.(*clientConn); connpool.Stands(l.nc) {
+		if l := e.Value.(*clientConn); connpool.IsUsable(l.nc) {
 			s.setIdle(l, false)
 			l.evicted = true
 			delete(s.open, l)
@@ -312,9 +312,9 @@
 	defer s.mu.Unlock()
 	open := make([]streamdrain.Stream, 0, len(s.streams))
 	for id, x := range s.streams {
-		open = append(open, streamdrain.Stream{ID: id, Began: x.since})
+		open = append(open, streamdrain.Stream{ID: id, StartedAt: x.since})
 	}
-	cut := plan.Part(passed, open)
+	cut := plan.ToEnd(passed, open)
 	for _, c := range cut {
 		s.streams[c.ID].cutStream()
 		delete(s.streams, c.ID)
--- a/internal/platform/evidence.go
+++ b/internal/platform/evidence.go
@@ -8,7 +8,7 @@
 
 	"gannethook/internal/driver"
 	"gannethook/internal/heldstate"
-	"gannethook/internal/holdwatch"
+	"gannethook/internal/holdmonitor"
 )
 
 // nearClose is how near behind a close a further attempt or a refusal is told of at the default level, where the effect counts.
@@ -36,7 +36,7 @@
 }
 
 // tells whether a request that ended so has a line.
-func (e *evidence) tells(kind driver.Kind) bool {
+func (e *evidence) tells(kind driver.Outcome) bool {
 	return e.traced || kind != driver.Served && e.allows()
 }
 
@@ -61,29 +61,29 @@
 	}
 	if line := e.log.Check(level, "request"); line != nil {
 		line.Write(zap.String("id", s.Name), zap.String("class", s.Class), zap.String("session", s.Session), zap.Stringer("outcome", s.Outcome),
-			zap.String("reason", s.Reason), zap.Strings("ends", s.Ends), zap.Durations("let-go", s.Lets), zap.Float64("read", s.Read), zap.Float64("kept", s.Kept), zap.String("reader", s.Reader),
-			zap.String("writer", s.Writer), zap.Duration("first", s.FirstToken), zap.Duration("whole", s.Whole), zap.Int64("lines-not-written", e.missed.Load()))
+			zap.String("reason", s.Reason), zap.Strings("ends", s.AttemptEnds), zap.Durations("let-go", s.ReleasedAfter), zap.Float64("read", s.Read), zap.Float64("kept", s.CachedTokens), zap.String("reader", s.Reader),
+			zap.String("writer", s.Writer), zap.Duration("first", s.FirstToken), zap.Duration("whole", s.Total), zap.Int64("lines-not-written", e.missed.Load()))
 	}
 }
 
 // owed writes what has been owed for half of its time.
 func (e *evidence) owed(r heldstate.Report) {
 	if e.allows() {
-		e.log.Info("still held", zap.String("id", r.Request), zap.Duration("owed", r.Owed), zap.Int("releases", r.Releases),
-			zap.Strings("at", r.Holders), zap.Strings("unheard", r.Unheard))
+		e.log.Info("still held", zap.String("id", r.Request), zap.Duration("owed", r.PendingFor), zap.Int("releases", r.Releases),
+			zap.Strings("at", r.Holders), zap.Strings("unheard", r.Unconfirmed))
 	}
 }
 
 // silent writes of which request nothing was heard although something may be held for it.
-func (e *evidence) silent(r holdwatch.Report) {
+func (e *evidence) silent(r holdmonitor.Report) {
 	if e.allows() {
-		e.log.Info("nothing heard", zap.String("id", r.Request), zap.Duration("silent", r.Silent), zap.Strings("calls", r.Calls))
+		e.log.Info("nothing heard", zap.String("id", r.Request), zap.Duration("silent", r.SilentFor), zap.Strings("calls", r.Calls))
 	}
 }
 
 // repeated writes which attempt or refusal came behind the close of an earlier attempt, where the effect counts.
 func (e *evidence) repeated(r driver.Repeat) {
-	near := r.InFlight || r.Behind < nearClose
+	near := r.InFlight || r.After < nearClose
 	if !e.traced && !(near && e.allows()) {
 		return
 	}
@@ -92,13 +92,13 @@
 		level = zap.InfoLevel
 	}
 	e.log.Log(level, "behind a close", zap.String("id", r.Request), zap.String("server", r.Server), zap.Bool("reads", r.Reads),
-		zap.Duration("behind", r.Behind), zap.Bool("in-flight", r.InFlight), zap.String("earlier", r.Earlier), zap.String("ended", r.Ended))
+		zap.Duration("behind", r.After), zap.Bool("in-flight", r.InFlight), zap.String("earlier", r.Earlier), zap.String("ended", r.Ended))
 }
 
 // forgot writes what is given up.
-func (e *evidence) forgot(f heldstate.Forgotten) {
+func (e *evidence) forgot(f heldstate.AbandonedEntry) {
 	if e.allows() {
-		e.log.Warn("held, and given up", zap.String("id", f.Request), zap.Duration("owed", f.Owed), zap.Strings("at", f.Servers), zap.Stringer("why", f.Why))
+		e.log.Warn("held, and given up", zap.String("id", f.Request), zap.Duration("owed", f.PendingFor), zap.Strings("at", f.Servers), zap.Stringer("why", f.Reason))
 	}
 }
 
--- a/internal/platform/log.go
+++ b/internal/platform/log.go
@@ -53,8 +53,8 @@
 			s := seen[string(v.ID)]
 			r.log.Debug("belief", zap.String("worker", string(v.ID)), zap.Int("kind", v.Kind), zap.Int("state", int(v.State)),
 				zap.Float64("freeness", v.Freeness), zap.Float64("charge", v.Charge), zap.Float64("backlog", v.Backlog),
-				zap.Int("holds", v.Holds), zap.Int("out", s.Out), zap.Int("sent", s.Sent), zap.Int("failed", s.Failed),
-				zap.Int("full", s.Full), zap.Duration("first", s.First), zap.Int("kept", s.Kept), zap.Int("unused", s.Idle))
+				zap.Int("holds", v.Holds), zap.Int("out", s.InFlight), zap.Int("sent", s.Sent), zap.Int("failed", s.Failed),
+				zap.Int("full", s.Rejected), zap.Duration("first", s.TimeToHead), zap.Int("kept", s.Reused), zap.Int("unused", s.Idle))
 		}
 	}
 }
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -73,7 +73,7 @@
 	var err error
 	r.driver, err = driver.New(driver.Config{Settings: cfg.Profile.Settings, Names: names(cfg), Name: cfg.Name, Seed: cfg.Seed,
 		Inbox: 4096, MaxOpen: maxConns(cfg), Engines: r.workers, Guard: r.monitor,
-		Traced: traced, Tell: r.evidence.tells, Done: r.done, Owed: r.evidence.owed, Forgot: r.evidence.forgot, Silent: r.evidence.silent, Repeated: r.evidence.repeated})
+		Trace: traced, WantsSummary: r.evidence.tells, OnSummary: r.done, OnPendingRelease: r.evidence.owed, OnAbandoned: r.evidence.forgot, OnSilence: r.evidence.silent, OnRepeat: r.evidence.repeated})
 	if err != nil {
 		return nil, err
 	}
@@ -100,7 +100,7 @@
 	m := l.Membership(r.cfg.Profile)
 	for i, t := range l.Targets {
 		list = append(list, workers.Worker{ID: t.UID, Addr: t.Endpoint, Boot: t.Boot,
-			Draining: t.State == "DRAINING", Gone: t.State == "DELETED"})
+			Draining: t.State == "DRAINING", Removed: t.State == "DELETED"})
 		if m.Servers[i].Kind < 0 {
 			r.log.Warn("a worker's model is not known", zap.String("worker", t.UID), zap.String("model", t.Model))
 		}
--- a/internal/platform/stop.go
+++ b/internal/platform/stop.go
@@ -23,7 +23,7 @@
 	kill := min(time.Duration(p.GiveUp*1e6), longestGrace) + killAfter
 	plan := streamdrain.NewPlan(kill, p.Resume)
 	r.clients.Drain(kill - lastAnswers)
-	r.driver.Linger(from.Add(kill - lastReleases))
+	r.driver.SetReleaseDeadline(from.Add(kill - lastReleases))
 	done := make(chan struct{})
 	defer close(done)
 	go func() {
--- a/internal/platform/wallclock_test.go
+++ b/internal/platform/wallclock_test.go
@@ -17,7 +17,7 @@
 // at the driver's start, and runs on from there by the monotonic one.
 func TestTheWallClockIsReadOnce(t *testing.T) {
 	var found []string
-	for _, dir := range []string{".", "../driver", "../heldstate", "../holdwatch", "../connpool", "../connreuse", "../streamdrain", "../attempt", "../guard",
+	for _, dir := range []string{".", "../driver", "../heldstate", "../holdmonitor", "../connpool", "../connreuse", "../streamdrain", "../attempt", "../guard",
 		"../http1", "../profile"} {
 		err := filepath.WalkDir(dir, func(path string, _ fs.DirEntry, err error) error {
 			if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
--- a/internal/platform/workers/crossing_test.go
+++ b/internal/platform/workers/crossing_test.go
@@ -27,9 +27,9 @@
 			cl.Update(false, []Worker{{ID: "w", Addr: cl.byID["w"].addr, Draining: true}})
 		},
 			gannethook.ConnectFailed},
-		{"gone", func(cl *Client, _ *attempt.Call) { cl.Update(false, []Worker{{ID: "w", Gone: true}}) }, gannethook.ConnectFailed},
-		{"too late", func(_ *Client, a *attempt.Call) { a.Before = time.Now().Add(-time.Millisecond) }, gannethook.ConnectFailed},
-		{"client left", func(_ *Client, a *attempt.Call) { a.Gone = func() bool { return true } }, gannethook.Cancelled},
+		{"gone", func(cl *Client, _ *attempt.Call) { cl.Update(false, []Worker{{ID: "w", Removed: true}}) }, gannethook.ConnectFailed},
+		{"too late", func(_ *Client, a *attempt.Call) { a.WriteDeadline = time.Now().Add(-time.Millisecond) }, gannethook.ConnectFailed},
+		{"client left", func(_ *Client, a *attempt.Call) { a.ClientGone = func() bool { return true } }, gannethook.Cancelled},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var work, let atomic.Int32
@@ -42,7 +42,7 @@
 				io.WriteString(nc, "HTTP/1.1 204 No Content\r\n\r\n")
 			}))
 			a := call(1)
-			a.Before, a.Gone = time.Now().Add(time.Hour), func() bool { return false }
+			a.WriteDeadline, a.ClientGone = time.Now().Add(time.Hour), func() bool { return false }
 			if r := cl.Read(context.Background(), a); r.Outcome != gannethook.Failed || work.Load() != 1 {
 				t.Fatalf("as nothing has changed: %+v, %d requests", r, work.Load())
 			}
--- a/internal/platform/workers/exchange.go
+++ b/internal/platform/workers/exchange.go
@@ -23,7 +23,7 @@
 func (c *Client) wantsNewConn(call *attempt.Call) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.reuse.Fresh(time.Since(c.from), call.Unsafe, call.Left)
+	return c.reuse.UseNewConnection(time.Since(c.from), call.Unsafe, call.RetriesLeft)
 }
 
 // noteReuse notes how a request on a connection went; one that was called off tells nothing.
@@ -34,7 +34,7 @@
 	bad := err != nil && failed(ctx, err).Outcome == gannethook.Broken
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.reuse.Note(time.Since(c.from), cn.Unused > 0, bad)
+	c.reuse.Record(time.Since(c.from), cn.IdleFor > 0, bad)
 }
 
 // exchange is one request on one connection.
@@ -69,12 +69,12 @@
 		}
 		return nil, err
 	}
-	if call.Traced {
-		call.Via = cn.String()
+	if call.Trace {
+		call.Connection = cn.String()
 	}
 	counts := c.traffic.of(ctl)
 	counts.made.Add(1)
-	if cn.Unused == 0 {
+	if cn.IdleFor == 0 {
 		counts.opened.Add(1)
 	}
 	x := &exchange{c: c, addr: addr, conn: cn, sent: time.Now()}
@@ -92,14 +92,14 @@
 		x.close(false)
 		return nil, attempt.NotSent{Err: err}
 	}
-	call.Sent.Set(true)
+	call.Written.Set(true)
 	err = x.head()
 	c.noteReuse(ctx, cn, err)
 	if err != nil {
 		x.noteTurnedAway(id, counts, err)
 		x.close(false)
-		if cn.Unused > 0 {
-			err = fmt.Errorf("on a connection that was unused for %v: %w", cn.Unused.Round(time.Millisecond), err)
+		if cn.IdleFor > 0 {
+			err = fmt.Errorf("on a connection that was unused for %v: %w", cn.IdleFor.Round(time.Millisecond), err)
 		}
 		return nil, err
 	}
@@ -109,7 +109,7 @@
 
 // noteTurnedAway notes whether the worker ended a new connection before it answered anything on it.
 func (x *exchange) noteTurnedAway(id string, counts *callCounts, err error) {
-	if x.conn.Unused == 0 && attempt.EndedByPeer(err) {
+	if x.conn.IdleFor == 0 && attempt.EndedByPeer(err) {
 		counts.turnedAway.Add(1)
 		x.c.turnedAway(id)
 	}
@@ -131,13 +131,13 @@
 	w := c.byID[id]
 	listed, drains := w != nil, w != nil && w.draining
 	c.mu.Unlock()
-	why := guard.MayWrite(guard.WriteFacts{CalledOff: ctx.Err() != nil, Release: method == "DELETE", Listed: listed, Draining: drains,
-		Now: time.Now(), Deadline: call.Until, WindowEnds: call.Before, ClientGone: call.Gone})
+	why := guard.MayWrite(guard.WriteFacts{Cancelled: ctx.Err() != nil, Release: method == "DELETE", Listed: listed, Draining: drains,
+		Now: time.Now(), Deadline: call.Deadline, WindowEnds: call.WriteDeadline, ClientGone: call.ClientGone})
 	if c.monitor.Check(guard.Write, why, call.Key) {
 		return nil
 	}
 	switch why {
-	case guard.CalledOff:
+	case guard.Cancelled:
 		return attempt.NotSent{Err: errCalledOff}
 	case guard.Unlisted, guard.Draining:
 		return attempt.NotSent{Err: errDraining}
@@ -207,7 +207,7 @@
 	if errors.Is(err, errClientGone) {
 		return attempt.Result{Outcome: gannethook.Cancelled, Detail: err.Error()}
 	}
-	r := attempt.Ended(ctx, err, http1.ErrMalformed, http1.ErrTooLarge, os.ErrDeadlineExceeded)
+	r := attempt.ResultOf(ctx, err, http1.ErrMalformed, http1.ErrTooLarge, os.ErrDeadlineExceeded)
 	if r.Outcome == gannethook.Broken && faults.Broken(faults.BreakRepeat) {
 		r.Outcome = gannethook.ConnectFailed
 	}
@@ -218,7 +218,7 @@
 func (x *exchange) statusResult() attempt.Result {
 	status, notRun := x.res.Status, x.res.Header.Get("X-Not-Processed") == "1"
 	err := x.discard()
-	r := attempt.Result{Outcome: gannethook.Failed, Detail: "status " + strconv.Itoa(status), Cut: err != nil}
+	r := attempt.Result{Outcome: gannethook.Failed, Detail: "status " + strconv.Itoa(status), Interrupted: err != nil}
 	switch {
 	case status == 410 && notRun:
 		r.Outcome, r.NoState = gannethook.Full, true
@@ -245,8 +245,8 @@
 	}
 	b = append(b, "X-Request-ID: "...)
 	b = append(b, call.Key...)
-	if !call.Until.IsZero() { // as of now: a connection may have taken its time, or a release that went first
-		left := time.Until(call.Until)
+	if !call.Deadline.IsZero() { // as of now: a connection may have taken its time, or a release that went first
+		left := time.Until(call.Deadline)
 		if faults.Broken(faults.BreakTold) {
 			left += 2 * time.Second
 		}
@@ -270,7 +270,7 @@
 // stream passes events on, each as it comes; only the last chunk makes the answer whole.
 func (x *exchange) stream(ctx context.Context, started func() bool, token func([]byte) bool) attempt.Result {
 	if !x.body.Chunked() || !strings.HasPrefix(x.res.Header.Get("Content-Type"), "text/event-stream") {
-		return attempt.Result{Outcome: gannethook.Failed, Detail: "the answer is not a stream in chunks", Cut: true}
+		return attempt.Result{Outcome: gannethook.Failed, Detail: "the answer is not a stream in chunks", Interrupted: true}
 	}
 	x.body.Bound(maxChunk)
 	events := http1.NewRawEvents(idleReader{x})
@@ -283,7 +283,7 @@
 		}
 		switch {
 		case len(text) == 0 && n == 0:
-			return attempt.Result{Outcome: gannethook.Failed, Detail: "the stream has no event", Cut: true}
+			return attempt.Result{Outcome: gannethook.Failed, Detail: "the stream has no event", Interrupted: true}
 		case len(text) > 0 && n == 0 && !started():
 			return attempt.Result{Outcome: gannethook.Cancelled, Detail: "ended before its first event"}
 		case len(text) > 0 && !token(text):
--- a/internal/platform/workers/holds.go
+++ b/internal/platform/workers/holds.go
@@ -9,8 +9,8 @@
 
 // Hold asks a writer for a place, once the read's last byte is on its way:
 // a worker that knows of no read can't hold one.
-func (c *Client) Hold(ctx context.Context, call *attempt.Call, _ string) attempt.Place {
-	if !call.Sent.Came(ctx) {
+func (c *Client) Hold(ctx context.Context, call *attempt.Call, _ string) attempt.PlaceResult {
+	if !call.Written.Wait(ctx) {
 		return attempt.Denied // nothing was asked
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.lim.Load().ReservationTimeout)
@@ -21,11 +21,11 @@
 	case errors.As(err, &unsent):
 		return attempt.Denied
 	case err != nil:
-		return attempt.Unheard
+		return attempt.NoAnswer
 	}
 	status := x.res.Status
 	if x.discard() != nil {
-		return attempt.Unheard
+		return attempt.NoAnswer
 	}
 	switch status {
 	case 200:
--- a/internal/platform/workers/release.go
+++ b/internal/platform/workers/release.go
@@ -24,9 +24,9 @@
 // Release lets go of everything held for a request. Any worker takes it: one that may hold something and to which a
 // connection waits is asked first, then the one that most likely answers at once. The others that may hold something are
 // asked too: who has taken it may not reach them.
-func (c *Client) Release(ctx context.Context, list []attempt.Held) attempt.Released {
+func (c *Client) Release(ctx context.Context, list []attempt.Held) attempt.ReleaseResult {
 	if faults.Broken(faults.BreakRelease) || len(list) == 0 {
-		return attempt.Released{Taken: true, Sent: time.Now()}
+		return attempt.ReleaseResult{Acknowledged: true, SentAt: time.Now()}
 	}
 	c.traffic.releases.Add(1)
 	ctx, cancel := context.WithTimeout(ctx, releaseWithin)
@@ -40,7 +40,7 @@
 
 // ReleaseAt asks one worker alone to let go of everything held for a request: what counts is to hear it. Where
 // it hangs, the call waits for it. Where none is named it is the one that has answered last, and the call is short.
-func (c *Client) ReleaseAt(ctx context.Context, h attempt.Held) attempt.Released {
+func (c *Client) ReleaseAt(ctx context.Context, h attempt.Held) attempt.ReleaseResult {
 	within := probeWithin
 	if h.Addr == "" {
 		h.Addr, within = c.lastHeard(), c.lim.Load().ReleaseTimeout
@@ -49,7 +49,7 @@
 	defer cancel()
 	c.traffic.releases.Add(1)
 	sent, ok := c.release(ctx, h.Addr, h.Key)
-	return attempt.Released{Taken: ok, Server: h.Addr, Sent: sent}
+	return attempt.ReleaseResult{Acknowledged: ok, Server: h.Addr, SentAt: sent}
 }
 
 // lastHeard is the worker that has answered last; "": none has that is listed, or it turns new connections away.
@@ -63,8 +63,8 @@
 	return c.heardLast
 }
 
-// Heard is when the last call was sent that a worker has answered, and when it was answered; zero: it has answered none.
-func (c *Client) Heard(id string) (sent, answered time.Time) {
+// LastAnswer is when the last call was sent that a worker has answered, and when it was answered; zero: it has answered none.
+func (c *Client) LastAnswer(id string) (sent, answered time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if w := c.byID[id]; w != nil {
@@ -83,7 +83,7 @@
 // releaseOne asks one worker, and more and more others while none answers, until one has let go of all that a
 // request holds, and those that may hold it have been asked as well, or the time is over. Whoever has failed lately
 // is asked last.
-func (c *Client) releaseOne(ctx context.Context, name string, holders []string) attempt.Released {
+func (c *Client) releaseOne(ctx context.Context, name string, holders []string) attempt.ReleaseResult {
 	ctx, cancel := context.WithCancel(ctx) // ends the tries that are still out
 	r := &releasing{c: c, name: name, holders: holders, results: make(chan taken), asked: map[string]int{}, answered: map[string]bool{}}
 	defer r.tries.Wait()
@@ -113,9 +113,9 @@
 		}
 	}
 	if !r.first.ok {
-		return attempt.Released{}
+		return attempt.ReleaseResult{}
 	}
-	return attempt.Released{Taken: true, Server: r.first.id, Sent: r.first.sent, Silent: c.silent(holders, r.asked, r.answered)}
+	return attempt.ReleaseResult{Acknowledged: true, Server: r.first.id, SentAt: r.first.sent, Unresponsive: c.silent(holders, r.asked, r.answered)}
 }
 
 // releasing is one release that is under way.
--- a/internal/platform/workers/release_test.go
+++ b/internal/platform/workers/release_test.go
@@ -80,25 +80,25 @@
 	cl.Update(false, []Worker{{ID: "holder", Addr: answering(t, func(net.Conn, *http.Request) {})}})
 	held := []attempt.Held{{Addr: "holder", Key: "r"}}
 	from := time.Now()
-	if r := cl.Release(context.Background(), held); !r.Taken || r.Server != "w" || len(r.Silent) != 1 || r.Silent[0] != "holder" || r.Sent.Before(from) {
+	if r := cl.Release(context.Background(), held); !r.Acknowledged || r.Server != "w" || len(r.Unresponsive) != 1 || r.Unresponsive[0] != "holder" || r.SentAt.Before(from) {
 		t.Errorf("%+v", r)
 	}
-	if sent, answered := cl.Heard("w"); sent.Before(from) || answered.Before(sent) {
+	if sent, answered := cl.LastAnswer("w"); sent.Before(from) || answered.Before(sent) {
 		t.Errorf("sent %v, answered %v", sent, answered)
 	}
-	if sent, _ := cl.Heard("holder"); !sent.IsZero() {
+	if sent, _ := cl.LastAnswer("holder"); !sent.IsZero() {
 		t.Errorf("the silent one was heard of a call at %v", sent)
 	}
-	if r := cl.Release(context.Background(), []attempt.Held{{Addr: "w", Key: "r"}}); !r.Taken || len(r.Silent) != 0 {
+	if r := cl.Release(context.Background(), []attempt.Held{{Addr: "w", Key: "r"}}); !r.Acknowledged || len(r.Unresponsive) != 0 {
 		t.Errorf("%+v", r)
 	}
 	cl.mu.Lock()
 	cl.byID["holder"].heard, cl.byID["holder"].missed = time.Now(), time.Time{} // it fell silent just now
 	cl.mu.Unlock()
-	if r := cl.Release(context.Background(), []attempt.Held{{Addr: "w", Key: "r"}, held[0]}); !r.Taken || len(r.Silent) != 1 {
+	if r := cl.Release(context.Background(), []attempt.Held{{Addr: "w", Key: "r"}, held[0]}); !r.Acknowledged || len(r.Unresponsive) != 1 {
 		t.Errorf("%+v", r)
 	}
-	if r := cl.ReleaseAt(context.Background(), held[0]); r.Taken {
+	if r := cl.ReleaseAt(context.Background(), held[0]); r.Acknowledged {
 		t.Errorf("%+v", r)
 	}
 }
@@ -132,7 +132,7 @@
 	for i := range releases {
 		all.Go(func() {
 			held := []attempt.Held{{Addr: "w", Key: fmt.Sprint("r", i)}}
-			if r := cl.Release(context.Background(), held); r.Taken {
+			if r := cl.Release(context.Background(), held); r.Acknowledged {
 				t.Errorf("%+v", r)
 			}
 		})
--- a/internal/platform/workers/stats.go
+++ b/internal/platform/workers/stats.go
@@ -13,11 +13,11 @@
 // Stats is what passed between this router and a worker since it was listed.
 type Stats struct {
 	ID           string
-	Out          int           // attempts on its sockets now
+	InFlight     int           // attempts on its sockets now
 	Sent, Failed int           // attempts, and those that ended without an answer of use
-	Full         int           // of these, turned away
-	First        time.Duration // the last time to the head of an answer of use
-	Kept         int           // answers on connections that were used before
+	Rejected     int           // of these, turned away
+	TimeToHead   time.Duration // the last time to the head of an answer of use
+	Reused       int           // answers on connections that were used before
 	Idle         int           // connections that wait
 }
 
@@ -49,8 +49,8 @@
 		w.asked, w.askedHeard = sent, w.heard
 	}
 	w.answers.note(answer{sent, w.heard})
-	if cn.Unused > 0 {
-		w.stats.Kept++
+	if cn.IdleFor > 0 {
+		w.stats.Reused++
 	} else {
 		w.redial.answered()
 	}
@@ -61,7 +61,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if w := c.byID[id]; w != nil {
-		w.stats.First = d
+		w.stats.TimeToHead = d
 	}
 }
 
@@ -73,19 +73,19 @@
 		w = &worker{} // do tells that it is not listed
 	}
 	w.stats.Sent++
-	w.stats.Out++
+	w.stats.InFlight++
 	c.mu.Unlock()
 	r := do()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	w.stats.Out--
-	if written := call.Sent.When(); !written.IsZero() {
-		r.Begun = w.answers.begunBy(written)
+	w.stats.InFlight--
+	if written := call.Written.Time(); !written.IsZero() {
+		r.BegunBy = w.answers.begunBy(written)
 	}
 	switch r.Outcome {
 	case gannethook.Served, gannethook.ReadDone, gannethook.Cancelled, gannethook.Moot:
 	case gannethook.Full:
-		w.stats.Full++
+		w.stats.Rejected++
 		w.stats.Failed++
 	default:
 		w.stats.Failed++
--- a/internal/platform/workers/traffic.go
+++ b/internal/platform/workers/traffic.go
@@ -16,9 +16,9 @@
 
 // Calls counts the calls of one kind.
 type Calls struct {
-	Made       int64
-	Opened     int64 // of these, on a new connection
-	TurnedAway int64 // of these, its worker ended the connection before an answer had begun
+	Made        int64
+	Opened      int64 // of these, on a new connection
+	ClosedEarly int64 // of these, its worker ended the connection before an answer had begun
 }
 
 // MarshalLogObject writes the counts to a log.
@@ -29,7 +29,7 @@
 	}{{"attempts", t.Attempts}, {"control", t.Control}} {
 		enc.AddInt64(c.name, c.calls.Made)
 		enc.AddInt64(c.name+"-opened", c.calls.Opened)
-		enc.AddInt64(c.name+"-turned-away", c.calls.TurnedAway)
+		enc.AddInt64(c.name+"-turned-away", c.calls.ClosedEarly)
 	}
 	enc.AddInt64("releases", t.Releases)
 	enc.AddInt64("release-tries", t.ReleaseTries)
@@ -40,7 +40,7 @@
 type callCounts struct{ made, opened, turnedAway atomic.Int64 }
 
 func (c *callCounts) read() Calls {
-	return Calls{Made: c.made.Load(), Opened: c.opened.Load(), TurnedAway: c.turnedAway.Load()}
+	return Calls{Made: c.made.Load(), Opened: c.opened.Load(), ClosedEarly: c.turnedAway.Load()}
 }
 
 // traffic is the counts behind Traffic.
--- a/internal/platform/workers/workers.go
+++ b/internal/platform/workers/workers.go
@@ -52,8 +52,8 @@
 	lim       *atomic.Pointer[Limits]
 	mu        sync.Mutex
 	byID      map[string]*worker
-	heardLast string         // the worker that answered last; guarded by mu
-	reuse     connreuse.Kept // guarded by mu
+	heardLast string           // the worker that answered last; guarded by mu
+	reuse     connreuse.Policy // guarded by mu
 	from      time.Time
 	stop      chan struct{}
 	wg        sync.WaitGroup
@@ -74,7 +74,7 @@
 // Reconfigure sets the limits of what begins from now on.
 func (c *Client) Reconfigure(lim Limits) {
 	c.lim.Store(&lim)
-	c.pool.idle.Bound(lim.Idle, lim.ReuseDelay, lim.IdlePerWorker)
+	c.pool.idle.SetLimits(lim.Idle, lim.ReuseDelay, lim.IdlePerWorker)
 }
 
 // Close closes unused connections; those in use close when their attempts end.
@@ -89,7 +89,7 @@
 	ID, Addr string
 	Boot     float64
 	Draining bool
-	Gone     bool
+	Removed  bool
 }
 
 // Update takes news of the list; whole tells that who is not in it is gone.
@@ -118,7 +118,7 @@
 	}
 	for _, w := range list {
 		o := old[w.ID]
-		if !w.Gone && o != nil && o.addr == w.Addr && o.boot == w.Boot {
+		if !w.Removed && o != nil && o.addr == w.Addr && o.boot == w.Boot {
 			c.byID[w.ID] = o
 			o.draining = w.Draining
 			continue
@@ -127,7 +127,7 @@
 			left[o.addr] = true
 		}
 		delete(c.byID, w.ID)
-		if !w.Gone {
+		if !w.Removed {
 			c.byID[w.ID] = &worker{addr: w.Addr, boot: w.Boot, draining: w.Draining}
 			fresh[c.byID[w.ID]] = true
 		}
@@ -171,7 +171,7 @@
 		return failed(ctx, err)
 	}
 	c.took(call.Addr, time.Since(from))
-	return attempt.Result{Outcome: gannethook.ReadDone, Kept: cachedTokens(text)}
+	return attempt.Result{Outcome: gannethook.ReadDone, CachedTokens: cachedTokens(text)}
 }
 
 // cachedTokens reads how many tokens of a prompt a reader had kept. What is no such number counts as none.
--- a/internal/platform/workers/workers_test.go
+++ b/internal/platform/workers/workers_test.go
@@ -92,7 +92,7 @@
 }
 
 func call(i int) *attempt.Call {
-	return &attempt.Call{Addr: "w", Key: fmt.Sprint("r", i), Path: "/v1/chat/completions", Body: []byte("{}"), Left: 3}
+	return &attempt.Call{Addr: "w", Key: fmt.Sprint("r", i), Path: "/v1/chat/completions", Body: []byte("{}"), RetriesLeft: 3}
 }
 
 const done = "HTTP/1.1 202 Accepted\r\nContent-Length: 2\r\n\r\n{}"
@@ -310,7 +310,7 @@
 	cl.Update(true, []Worker{{ID: "w", Addr: addr}})
 	for i, until := range []time.Duration{300 * time.Millisecond, 200 * time.Millisecond} {
 		c := call(i)
-		c.Until = time.Now().Add(until)
+		c.Deadline = time.Now().Add(until)
 		if r := cl.Read(context.Background(), c); r.Outcome != gannethook.ReadDone {
 			t.Errorf("%+v", r)
 		}
@@ -322,7 +322,7 @@
 		t.Errorf("%d connections", n)
 	}
 	late := call(2)
-	late.Until = time.Now().Add(-time.Second)
+	late.Deadline = time.Now().Add(-time.Second)
 	if r := cl.Read(context.Background(), late); r.Outcome != gannethook.ConnectFailed || requests.Load() != 2 {
 		t.Errorf("with no time left: %+v after %d requests", r, requests.Load())
 	}
@@ -346,7 +346,7 @@
 				fmt.Fprintf(nc, "HTTP/1.1 202 Accepted\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 			}
 		}))
-		if r := cl.Read(context.Background(), call(0)); r.Outcome != gannethook.ReadDone || r.Kept != want {
+		if r := cl.Read(context.Background(), call(0)); r.Outcome != gannethook.ReadDone || r.CachedTokens != want {
 			t.Errorf("%q: %+v, %v kept expected", text, r, want)
 		}
 	}
--- a/internal/steady/steady.go
+++ b/internal/rapidseed/rapidseed.go
@@ -1,5 +1,5 @@
-// Package steady has drawn tests draw the same cases in every run; -rapid.seed draws others.
-package steady
+// Package rapidseed has drawn tests draw the same cases in every run; -rapid.seed draws others.
+package rapidseed
 
 import (
 	"flag"
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -7,10 +7,10 @@
 
 	"pgregory.net/rapid"
 
-	"gannethook/internal/steady"
+	"gannethook/internal/rapidseed"
 )
 
-func TestMain(m *testing.M) { steady.Main(m) }
+func TestMain(m *testing.M) { rapidseed.Main(m) }
 
 const sec = time.Second
 
--- a/internal/day/http.go
+++ b/internal/scenario/http.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"context"
@@ -16,8 +16,8 @@
 	"gannethook/internal/client"
 	"gannethook/internal/front"
 	"gannethook/internal/http1"
+	"gannethook/internal/httpapi"
 	"gannethook/internal/record"
-	"gannethook/internal/rest"
 	"gannethook/internal/settings"
 	"gannethook/internal/standin"
 )
@@ -158,11 +158,11 @@
 	}
 	t := tried{why: e.Error.Message}
 	switch e.Error.Code {
-	case rest.CodeRefused, rest.CodeLimited:
+	case httpapi.CodeRefused, httpapi.CodeLimited:
 		t.kind = "refused"
 		ms, _ := strconv.Atoi(res.Header.Get("Retry-After-Ms"))
 		t.retryAfter = time.Duration(ms) * time.Millisecond
-	case rest.CodeFailed:
+	case httpapi.CodeFailed:
 		t.kind = "failed"
 	default:
 		return g.goneHTTP(a, n, fmt.Sprintf("error %d %s", res.Status, body), cut)
--- a/internal/day/loads.go
+++ b/internal/scenario/loads.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	_ "embed"
--- a/internal/day/script.go
+++ b/internal/scenario/script.go
@@ -1,7 +1,7 @@
-// Package day plays a scripted day: routers as processes of their own, stand-in
+// Package scenario plays a scripted day: routers as processes of their own, stand-in
 // engines and a roster, clients at a rate, and faults at their times. What
 // passed on the sockets is recorded and judged by package rules.
-package day
+package scenario
 
 import (
 	_ "embed"
--- a/internal/settings/admit.go
+++ b/internal/settings/admit.go
@@ -106,10 +106,10 @@
 // Limiter is what package limits is told.
 func (f *File) Limiter() limits.Settings {
 	a := &f.Admit
-	s := limits.Settings{Routers: f.Routers, Waiting: a.Waiting, WaitPart: a.WaitPart, Least: a.Least, Start: a.Start,
-		Most: a.Most, Retries: a.Retries, Clients: a.Clients, Shed: a.Shed, Back: a.Back, BackMost: a.BackMost, Seed: f.Seed}
+	s := limits.Settings{Routers: f.Routers, MaxWaiting: a.Waiting, WaitPart: a.WaitPart, MinInFlight: a.Least, StartInFlight: a.Start,
+		MaxInFlight: a.Most, Retries: a.Retries, MaxClients: a.Clients, Shed: a.Shed, MinRetryAfter: a.Back, MaxRetryAfter: a.BackMost, Seed: f.Seed}
 	if !a.On {
-		s.Least, s.Start, s.Most, s.Shed, s.Retries = math.MaxInt32, math.MaxInt32, math.MaxInt32, false, 0
+		s.MinInFlight, s.StartInFlight, s.MaxInFlight, s.Shed, s.Retries = math.MaxInt32, math.MaxInt32, math.MaxInt32, false, 0
 	}
 	for _, c := range f.Classes {
 		s.Classes = append(s.Classes, limits.Class{Aim: c.Aim, AimPer1000: c.AimPer1000, Worth: c.Worth, Priority: c.Priority})
--- a/internal/streamdrain/streamdrain.go
+++ b/internal/streamdrain/streamdrain.go
@@ -39,14 +39,14 @@
 
 // Stream is an open stream.
 type Stream struct {
-	ID    uint64
-	Began time.Duration // since any moment, the same for all
+	ID        uint64
+	StartedAt time.Duration // since any moment, the same for all
 }
 
-// Part picks the streams to end now, so long after the stop. The youngest go
+// ToEnd picks the streams to end now, so long after the stop. The youngest go
 // first: the older ones are more likely to end by themselves, and have more that
 // must be read again.
-func (p *Plan) Part(passed time.Duration, open []Stream) []Stream {
+func (p *Plan) ToEnd(passed time.Duration, open []Stream) []Stream {
 	if !p.resumes || passed < p.From {
 		return nil
 	}
@@ -61,6 +61,6 @@
 		return nil
 	}
 	open = slices.Clone(open)
-	slices.SortFunc(open, func(a, b Stream) int { return cmp.Compare(a.Began, b.Began) })
+	slices.SortFunc(open, func(a, b Stream) int { return cmp.Compare(a.StartedAt, b.StartedAt) })
 	return open[keep:]
 }
--- a/internal/streamdrain/streamdrain_test.go
+++ b/internal/streamdrain/streamdrain_test.go
@@ -11,7 +11,7 @@
 
 func TestWithoutRest(t *testing.T) {
 	open := []Stream{{ID: 1}}
-	if p := NewPlan(4*sec, false); p.Part(3*sec, open) != nil {
+	if p := NewPlan(4*sec, false); p.ToEnd(3*sec, open) != nil {
 		t.Error("a stream was cut whose client does not ask for the rest")
 	}
 }
@@ -22,14 +22,14 @@
 	for i := range 100 {
 		open = append(open, Stream{uint64(i), time.Duration(i)})
 	}
-	if got := p.Part(p.From-1, open); len(got) != 0 {
+	if got := p.ToEnd(p.From-1, open); len(got) != 0 {
 		t.Errorf("%d cut too soon", len(got))
 	}
-	got := p.Part((p.From+p.Until)/2, open)
+	got := p.ToEnd((p.From+p.Until)/2, open)
 	if len(got) != 50 || got[0].ID != 50 {
 		t.Errorf("half way %d cut from %v, the 50 youngest expected", len(got), got)
 	}
-	if got := p.Part(p.Until, open[:50]); len(got) != 50 {
+	if got := p.ToEnd(p.Until, open[:50]); len(got) != 50 {
 		t.Errorf("%d cut at the end, all expected", len(got))
 	}
 }
@@ -51,7 +51,7 @@
 			for _, s := range open {
 				list = append(list, s)
 			}
-			cut := p.Part(at, list)
+			cut := p.ToEnd(at, list)
 			if len(cut) > 0 && at < p.From {
 				t.Fatal("cut before its time")
 			}
@@ -72,7 +72,7 @@
 		for _, s := range open {
 			rest = append(rest, s)
 		}
-		if got := p.Part(p.Until, rest); len(got) != len(rest) {
+		if got := p.ToEnd(p.Until, rest); len(got) != len(rest) {
 			t.Fatalf("%d of %d are left", len(rest)-len(got), len(rest))
 		}
 	})
