--- a/internal/attempt/ended.go
+++ b/internal/attempt/result.go
@@ -28,7 +28,7 @@
 
 // ResultOf maps an error of the connection to how the attempt ended; spoilt are
 // the errors of an answer that came and can't be read.
-func ResultOf(ctx context.Context, err error, spoilt ...error) Result {
+func ResultOf(ctx context.Context, err error, malformed ...error) Result {
 	r := Result{Outcome: gannethook.Broken, Detail: err.Error(), Interrupted: true, ClosedByServer: EndedByPeer(err)}
 	var unsent NotSent
 	switch {
@@ -39,7 +39,7 @@
 		}
 	case ctx.Err() != nil:
 		r = Result{Outcome: gannethook.Cancelled, Detail: ctx.Err().Error(), Interrupted: true}
-	case slices.ContainsFunc(spoilt, func(bad error) bool { return errors.Is(err, bad) }):
+	case slices.ContainsFunc(malformed, func(bad error) bool { return errors.Is(err, bad) }):
 		r.Outcome = gannethook.Failed
 	}
 	return r
--- a/internal/driver/driver.go
+++ b/internal/driver/driver.go
@@ -44,40 +44,40 @@
 
 // Driver runs one router.
 type Driver struct {
-	cfg     Config
-	router  Decider
-	inbox   chan func()
-	stopped chan struct{}
-	start   time.Time
-	startMS float64
-	boot    string
-	open    atomic.Int64
-	maxOpen atomic.Int64
-	work    sync.WaitGroup // attempts, holds and releases on their way
+	cfg         Config
+	router      Decider
+	inbox       chan func()
+	stopped     chan struct{}
+	start       time.Time
+	startWallMS float64
+	incarnation string
+	open        atomic.Int64
+	maxOpen     atomic.Int64
+	background  sync.WaitGroup // attempts, holds and releases on their way
 
 	// Of the goroutine alone:
-	ctx       context.Context
-	set       *gannethook.Settings // of requests that come now
-	names     Names
-	lastID    uint64
-	loose     []*Call // answered, or an attempt ended: perhaps to be forgotten
-	calls     map[gannethook.RequestID]*Call
-	roles     map[gannethook.ServerID]gannethook.Role
-	held      *heldstate.Ledger
-	probeKey  string // that no request has
-	watch     *holdmonitor.Monitor
-	oldFaults oldFaults
-	anyOver   bool                     // some request is over
-	wanted    []string                 // keys of which all is to be let go, since the last event
-	going     map[string]chan struct{} // closed once the last release by a key has gone out
-	lookedAt  time.Time                // when what is owed was looked through last
-	heldAt    time.Time                // when what is owed is looked through next
-	hearAt    time.Time                // when servers that are in doubt are looked at next
-	timers    timers
-	turn      uint64
-	over      bool // nothing more is taken
+	ctx              context.Context
+	settings         *gannethook.Settings // of requests that come now
+	names            Names
+	lastID           uint64
+	unsettled        []*Call // answered, or an attempt ended: perhaps to be forgotten
+	calls            map[gannethook.RequestID]*Call
+	roles            map[gannethook.ServerID]gannethook.Role
+	ledger           *heldstate.Ledger
+	livenessKey      string // that no request has
+	holdMonitor      *holdmonitor.Monitor
+	regressions      regressions
+	anyRequestEnded  bool                     // some request is over
+	releaseRequests  []string                 // keys of which all is to be let go, since the last event
+	releasesInFlight map[string]chan struct{} // closed once the last release by a key has gone out
+	lastLedgerCheck  time.Time                // when what is owed was looked through last
+	nextLedgerCheck  time.Time                // when what is owed is looked through next
+	nextLivenessPoll time.Time                // when servers that are in doubt are looked at next
+	timers           timers
+	timerSeq         uint64
+	closed           bool // nothing more is taken
 
-	lingerUntil atomic.Pointer[time.Time] // until when Run lets go of what is held after its context has ended; nil: lingerShort
+	releaseDeadline atomic.Pointer[time.Time] // until when Run lets go of what is held after its context has ended; nil: defaultReleaseTimeout
 }
 
 // New returns a driver; Run starts it.
@@ -93,10 +93,10 @@
 	now := time.Now()
 	wall := faults.WallClock()
 	d := &Driver{cfg: cfg, router: router, inbox: make(chan func(), max(cfg.Inbox, 1)), stopped: make(chan struct{}),
-		start: now, startMS: float64(wall.UnixMicro()) / 1000,
-		boot: cfg.Name + "-" + strconv.FormatInt(wall.UnixNano(), 36), set: &cfg.Settings, names: cfg.Names,
+		start: now, startWallMS: float64(wall.UnixMicro()) / 1000,
+		incarnation: cfg.Name + "-" + strconv.FormatInt(wall.UnixNano(), 36), settings: &cfg.Settings, names: cfg.Names,
 		calls: map[gannethook.RequestID]*Call{}, roles: map[gannethook.ServerID]gannethook.Role{},
-		held: heldstate.New(), probeKey: newProbeKey(), watch: holdmonitor.New(), oldFaults: oldFaults{}, going: map[string]chan struct{}{}}
+		ledger: heldstate.New(), livenessKey: newLivenessKey(), holdMonitor: holdmonitor.New(), regressions: regressions{}, releasesInFlight: map[string]chan struct{}{}}
 	d.maxOpen.Store(int64(cfg.MaxOpen))
 	return d, nil
 }
@@ -107,69 +107,69 @@
 // now is the module's clock: wall time at the start, so that servers' start
 // times mean something, and monotonic from there on.
 func (d *Driver) now() gannethook.Millis {
-	return gannethook.Millis(d.startMS + float64(time.Since(d.start).Microseconds())/1000)
+	return gannethook.Millis(d.startWallMS + float64(time.Since(d.start).Microseconds())/1000)
 }
 
 // Run drives until the context ends; then every open request is failed, and Run
 // waits for the attempts to be cut and for what is held to be let go.
 func (d *Driver) Run(ctx context.Context) {
-	defer d.clear()
+	defer d.finishStop()
 	var cancel context.CancelFunc
 	d.ctx, cancel = context.WithCancel(ctx)
 	defer cancel()
-	alarm := time.NewTimer(time.Hour)
-	defer alarm.Stop()
+	wakeTimer := time.NewTimer(time.Hour)
+	defer wakeTimer.Stop()
 	for {
-		d.fireDue()
-		d.releaseDue()
-		alarm.Reset(d.nextAlarm())
+		d.fireDueTimers()
+		d.startDueReleases()
+		wakeTimer.Reset(d.untilNextEvent())
 		select {
 		case f := <-d.inbox:
-			d.run(f)
-		case <-alarm.C:
+			d.runTask(f)
+		case <-wakeTimer.C:
 		case <-ctx.Done():
-			d.failAll()
-			d.linger(alarm)
+			d.failOpen()
+			d.releaseUntilDeadline(wakeTimer)
 			return
 		}
 	}
 }
 
-// clear ends what still comes in while the driver stops: a request that was not
+// finishStop ends what still comes in while the driver stops: a request that was not
 // taken is refused, a grant is let go.
-func (d *Driver) clear() {
-	d.over = true
+func (d *Driver) finishStop() {
+	d.closed = true
 	close(d.stopped)
-	d.work.Wait()
+	d.background.Wait()
 	for len(d.inbox) > 0 {
 		(<-d.inbox)()
 	}
-	d.work.Wait()
+	d.background.Wait()
 }
 
-func (d *Driver) run(f func()) {
+func (d *Driver) runTask(f func()) {
 	if d.cfg.Took == nil {
 		f()
 		return
 	}
-	from := time.Now()
+	start := time.Now()
 	f()
-	d.cfg.Took(time.Since(from))
+	d.cfg.Took(time.Since(start))
 }
 
 // Timeout fails every open request, as when the time of a stop is over.
-func (d *Driver) FailOpenRequests() { d.post(d.failAll) }
+func (d *Driver) FailOpenRequests() { d.post(d.failOpen) }
 
-// failAll ends what is open when the router stops; a failure promises nothing.
-func (d *Driver) failAll() {
+// failOpen ends what is open when the router stops; a failure promises nothing.
+func (d *Driver) failOpen() {
 	for _, c := range d.calls {
 		c.answer(Answer{Outcome: Failed, Reason: "the router stops"})
 		for _, a := range c.attempts {
-			c.end(a.n, attempt.Result{Outcome: gannethook.Cancelled, Detail: "the router stops"})
+			c.endAttempt(a.index, attempt.Result{Outcome: gannethook.Cancelled, Detail: "the router stops"})
 		}
 		c.release()
 	}
-	d.settle()
+	d.settleCalls()
 }
 
 // post hands the goroutine something to do; it waits while the inbox is full.
@@ -183,9 +183,9 @@
 }
 
 // pause waits, but not beyond the driver's end.
-func (d *Driver) pause(span time.Duration) {
+func (d *Driver) pause(duration time.Duration) {
 	select {
-	case <-time.After(span):
+	case <-time.After(duration):
 	case <-d.ctx.Done():
 	}
 }
@@ -200,9 +200,9 @@
 		d.open.Add(-1)
 		return nil, ErrBusy
 	}
-	c := &Call{d: d, job: job, sink: sink, came: time.Now().Add(-job.QueuedFor)}
+	c := &Call{d: d, job: job, sink: sink, arrivedAt: time.Now().Add(-job.QueuedFor)}
 	select {
-	case d.inbox <- func() { d.take(c) }:
+	case d.inbox <- func() { d.accept(c) }:
 		return c, nil
 	case <-d.stopped:
 		d.open.Add(-1)
@@ -221,24 +221,24 @@
 // View asks the module for the servers as it sees them, and how many requests
 // wait or run. It waits its turn in the inbox; a decider that shows nothing gives none.
 func (d *Driver) View(ctx context.Context) ([]gannethook.View, error) {
-	got := make(chan []gannethook.View, 1)
-	ask := func() {
-		var list []gannethook.View
+	result := make(chan []gannethook.View, 1)
+	query := func() {
+		var views []gannethook.View
 		if v, ok := d.router.(Viewer); ok {
-			list = v.View(d.now())
+			views = v.View(d.now())
 		}
-		got <- list
+		result <- views
 	}
 	select {
-	case d.inbox <- ask:
+	case d.inbox <- query:
 	case <-d.stopped:
 		return nil, ErrStopped
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 	select {
-	case list := <-got:
-		return list, nil
+	case views := <-result:
+		return views, nil
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
@@ -247,92 +247,92 @@
 // Swap has new settings take the place of the old ones, between two events.
 // They number classes, tenants and kinds as the old ones do; maxOpen bounds the
 // open requests from now on.
-func (d *Driver) Swap(set gannethook.Settings, maxOpen int) {
+func (d *Driver) Swap(settings gannethook.Settings, maxOpen int) {
 	d.maxOpen.Store(int64(maxOpen))
 	d.post(func() {
-		d.set = &set
-		d.tell(gannethook.Reconfigure{Settings: set})
+		d.settings = &settings
+		d.handleEvent(gannethook.Reconfigure{Settings: settings})
 	})
 }
 
 // Reconfigure has requests that come from now on go by other settings; those
 // under way keep theirs. list is the whole list of servers in the terms of the
 // new settings.
-func (d *Driver) Reconfigure(set gannethook.Settings, names Names, list gannethook.Membership, maxOpen int) {
+func (d *Driver) Reconfigure(settings gannethook.Settings, names Names, servers gannethook.Membership, maxOpen int) {
 	d.maxOpen.Store(int64(maxOpen))
 	d.post(func() {
-		d.set, d.names = &set, names
-		d.tell(gannethook.Reconfigure{Settings: set})
-		d.update(list)
+		d.settings, d.names = &settings, names
+		d.handleEvent(gannethook.Reconfigure{Settings: settings})
+		d.applyMembership(servers)
 	})
 }
 
 // Update brings news of the list of servers.
 func (d *Driver) Update(m gannethook.Membership) {
-	d.post(func() { d.update(m) })
+	d.post(func() { d.applyMembership(m) })
 }
 
-func (d *Driver) update(m gannethook.Membership) {
+func (d *Driver) applyMembership(m gannethook.Membership) {
 	if m.Whole {
-		d.goneFrom(m.Servers)
+		d.removeUnlisted(m.Servers)
 		clear(d.roles)
 	}
 	for _, s := range m.Servers {
 		if s.State == gannethook.Gone {
-			d.heldGone(s.ID)
+			d.serverRemoved(s.ID)
 		}
-		if s.State == gannethook.Gone || s.Kind < 0 || s.Kind >= len(d.set.Kinds) {
+		if s.State == gannethook.Gone || s.Kind < 0 || s.Kind >= len(d.settings.Kinds) {
 			delete(d.roles, s.ID) // the module sends nothing there
 		} else {
-			d.roles[s.ID] = d.set.Kinds[s.Kind].Role
+			d.roles[s.ID] = d.settings.Kinds[s.Kind].Role
 		}
 	}
-	d.tell(m)
+	d.handleEvent(m)
 }
 
-// goneFrom has servers that a whole list lacks count as gone.
-func (d *Driver) goneFrom(list []gannethook.Server) {
-	listed := make(map[gannethook.ServerID]bool, len(list))
-	for _, s := range list {
+// removeUnlisted has servers that a whole list lacks count as gone.
+func (d *Driver) removeUnlisted(servers []gannethook.Server) {
+	listed := make(map[gannethook.ServerID]bool, len(servers))
+	for _, s := range servers {
 		listed[s.ID] = true
 	}
 	for id := range d.roles {
 		if !listed[id] {
-			d.heldGone(id)
+			d.serverRemoved(id)
 		}
 	}
 }
 
-// heldGone tells the ledger that nothing is held at a server any more.
-func (d *Driver) heldGone(id gannethook.ServerID) {
-	d.held.ServerRemoved(string(id), time.Now())
-	d.heldChanged()
+// serverRemoved tells the ledger that nothing is held at a server any more.
+func (d *Driver) serverRemoved(id gannethook.ServerID) {
+	d.ledger.ServerRemoved(string(id), time.Now())
+	d.scheduleLedgerCheck()
 }
 
-func (d *Driver) take(c *Call) {
-	if d.over {
+func (d *Driver) accept(c *Call) {
+	if d.closed {
 		c.answer(Answer{Outcome: Refused, Reason: ErrStopped.Error()})
-		d.settle()
+		d.settleCalls()
 		return
 	}
-	if !d.number(&c.job) {
+	if !d.resolveNames(&c.job) {
 		c.answer(Answer{Outcome: Refused, Reason: "the settings have no such class any more"})
-		d.settle()
+		d.settleCalls()
 		return
 	}
-	c.set = d.set
+	c.settings = d.settings
 	d.lastID++
 	c.id = gannethook.RequestID(d.lastID)
 	d.calls[c.id] = c
-	budget := c.job.Timeout - time.Since(c.came) // it has waited in the inbox
-	d.tell(gannethook.Request{ID: c.id, Class: c.job.Class, Tenant: c.job.Tenant, Session: c.job.Session,
+	budget := c.job.Timeout - time.Since(c.arrivedAt) // it has waited in the inbox
+	d.handleEvent(gannethook.Request{ID: c.id, Class: c.job.Class, Tenant: c.job.Tenant, Session: c.job.Session,
 		Prefix: c.job.Prefix, Budget: gannethook.Millis(max(budget, 0).Seconds() * 1000),
 		Prompt: c.job.PromptSize, PrefixLen: c.job.PrefixTokens, MaxOut: float64(c.job.MaxTokens)})
 }
 
-// number looks up the numbers of a job's class and tenant; it is false where the
+// resolveNames looks up the numbers of a job's class and tenant; it is false where the
 // class is not known. A tenant that is not known is none.
-func (d *Driver) number(job *Job) bool {
+func (d *Driver) resolveNames(job *Job) bool {
 	if d.names.Classes == nil {
 		return true
 	}
@@ -340,35 +340,35 @@
 	return job.Class >= 0
 }
 
-// tell hands the module one event and carries out what it wants. An action may
+// handleEvent hands the module one event and carries out what it wants. An action may
 // cause an event of its own (a cancelled attempt ends); it follows in its turn.
-func (d *Driver) tell(ev gannethook.Event) {
+func (d *Driver) handleEvent(ev gannethook.Event) {
 	queue := []gannethook.Event{ev}
 	for len(queue) > 0 {
 		ev, queue = queue[0], queue[1:]
-		for _, act := range d.router.Handle(d.now(), ev) {
-			if next := d.carryOut(act); next != nil {
-				queue = append(queue, next)
+		for _, action := range d.router.Handle(d.now(), ev) {
+			if followUp := d.execute(action); followUp != nil {
+				queue = append(queue, followUp)
 			}
 		}
 	}
-	d.settle()
+	d.settleCalls()
 }
 
-// carryOut does one action.
-func (d *Driver) carryOut(act gannethook.Action) gannethook.Event {
-	switch a := act.(type) {
+// execute does one action.
+func (d *Driver) execute(action gannethook.Action) gannethook.Event {
+	switch a := action.(type) {
 	case gannethook.Send:
 		if c := d.calls[a.ID]; c != nil {
 			return c.send(a)
 		}
 	case gannethook.Cancel:
 		if c := d.calls[a.ID]; c != nil {
-			c.callOff(a.Attempt, attempt.Result{Outcome: gannethook.Cancelled, Detail: "called off"})
+			c.cancelAttempt(a.Attempt, attempt.Result{Outcome: gannethook.Cancelled, Detail: "called off"})
 		}
 	case gannethook.Hold:
 		if c := d.calls[a.ID]; c != nil {
-			c.hold(a.Server)
+			c.holdPlace(a.Server)
 		}
 	case gannethook.Release:
 		if c := d.calls[a.ID]; c != nil {
@@ -383,35 +383,35 @@
 			c.answer(Answer{Outcome: Failed})
 		}
 	case gannethook.Wake:
-		d.after(time.Duration(float64(a.In)*1e6), timer{ref: a.Ref})
+		d.schedule(time.Duration(float64(a.In)*1e6), timer{ref: a.Ref})
 	case gannethook.Subscribe: // news of the list come by themselves
 	default:
-		panic(fmt.Sprintf("driver: unknown action %T", act))
+		panic(fmt.Sprintf("driver: unknown action %T", action))
 	}
 	return nil
 }
 
-// settle forgets the requests that are answered and have no attempt out.
-func (d *Driver) settle() {
-	for _, c := range d.loose {
-		if !c.answered || c.forgotten {
+// settleCalls forgets the requests that are answered and have no attempt out.
+func (d *Driver) settleCalls() {
+	for _, c := range d.unsettled {
+		if !c.answered || c.removed {
 			continue
 		}
-		if c.out > 0 {
-			if c.leftOut() {
-				c.owe()
+		if c.inFlight > 0 {
+			if c.hasUncancelledAttempt() {
+				c.recordRequestEnd()
 			}
 			continue
 		}
-		c.forgotten = true
-		c.owe()
+		c.removed = true
+		c.recordRequestEnd()
 		delete(d.calls, c.id)
 		d.open.Add(-1)
-		if d.cfg.OnSummary != nil && (d.cfg.WantsSummary == nil || d.cfg.WantsSummary(c.final.Outcome)) {
+		if d.cfg.OnSummary != nil && (d.cfg.WantsSummary == nil || d.cfg.WantsSummary(c.finalAnswer.Outcome)) {
 			d.cfg.OnSummary(c.summary())
 		}
 	}
-	clear(d.loose)
-	d.loose = d.loose[:0]
-	d.settleHeld()
+	clear(d.unsettled)
+	d.unsettled = d.unsettled[:0]
+	d.scheduleReleases()
 }
--- a/internal/driver/driver_test.go
+++ b/internal/driver/driver_test.go
@@ -18,33 +18,33 @@
 
 const ms = time.Millisecond
 
-// fake are engines whose steps take as long as told, on the test's clock.
-type fake struct {
-	read, first, hold  time.Duration
-	tokens             int
-	gap                time.Duration
-	holdOK             bool
-	writeEnds          attempt.Result // in place of a stream, if it has an outcome
-	readEnds           attempt.Result
-	failFirst          bool          // the first read fails
-	stall              bool          // the stream never goes on after its first token
-	leaving            time.Duration // what was called off takes so long to leave its connection,
-	left               time.Time     // and has left it
-	lateState          time.Duration // a read that was called off hears of it so late, and has ended well by then; 0: it is dropped
-	mu                 sync.Mutex
-	writes, reads      int
-	params             []bool // whether each write came with a state
-	releases           int
-	slowRelease        time.Duration // a release takes so long,
-	releasing          bool          // is under way,
-	released           bool          // has ended,
-	readWhileReleasing bool
-	held, let          map[string]int // places and states by server and read
-}
-
-func newFake() *fake {
-	return &fake{read: 20 * ms, first: 10 * ms, hold: ms, tokens: 5, gap: 10 * ms, holdOK: true,
-		held: map[string]int{}, let: map[string]int{}}
+// fakeEngines are engines whose steps take as long as told, on the test's clock.
+type fakeEngines struct {
+	readTime, firstTokenTime, holdTime time.Duration
+	tokens                             int
+	tokenGap                           time.Duration
+	holdOK                             bool
+	writeResult                        attempt.Result // in place of a stream, if it has an outcome
+	readResult                         attempt.Result
+	failFirstRead                      bool          // the first read fails
+	stallStream                        bool          // the stream never goes on after its first token
+	closeDelay                         time.Duration // what was called off takes so long to leave its connection,
+	closedAt                           time.Time     // and has left it
+	lateStateDelay                     time.Duration // a read that was called off hears of it so late, and has ended well by then; 0: it is dropped
+	mu                                 sync.Mutex
+	writes, reads                      int
+	writeHadParams                     []bool // whether each write came with a state
+	releases                           int
+	releaseTime                        time.Duration // a release takes so long,
+	releaseInProgress                  bool          // is under way,
+	releaseDone                        bool          // has ended,
+	readDuringRelease                  bool
+	held, released                     map[string]int // places and states by server and read
+}
+
+func newFakeEngines() *fakeEngines {
+	return &fakeEngines{readTime: 20 * ms, firstTokenTime: 10 * ms, holdTime: ms, tokens: 5, tokenGap: 10 * ms, holdOK: true,
+		held: map[string]int{}, released: map[string]int{}}
 }
 
 func wait(ctx context.Context, d time.Duration) bool {
@@ -56,86 +56,86 @@
 	}
 }
 
-var calledOff = attempt.Result{Outcome: gannethook.Cancelled}
+var cancelledResult = attempt.Result{Outcome: gannethook.Cancelled}
 
-func (f *fake) count(m map[string]int, server, key string) {
+func (f *fakeEngines) count(m map[string]int, server, key string) {
 	f.mu.Lock()
 	m[server+" "+key]++
 	f.mu.Unlock()
 }
 
-func (f *fake) Read(ctx context.Context, call *attempt.Call) attempt.Result {
+func (f *fakeEngines) Read(ctx context.Context, call *attempt.Call) attempt.Result {
 	f.mu.Lock()
 	f.reads++
-	f.readWhileReleasing = f.readWhileReleasing || f.releasing
+	f.readDuringRelease = f.readDuringRelease || f.releaseInProgress
 	n := f.reads
 	f.mu.Unlock()
-	if !wait(ctx, f.read) {
-		time.Sleep(f.leaving)
+	if !wait(ctx, f.readTime) {
+		time.Sleep(f.closeDelay)
 		f.mu.Lock()
-		f.left = time.Now()
+		f.closedAt = time.Now()
 		f.mu.Unlock()
-		if f.lateState > 0 {
-			time.AfterFunc(f.lateState, func() { f.count(f.held, call.Addr, call.Key) })
+		if f.lateStateDelay > 0 {
+			time.AfterFunc(f.lateStateDelay, func() { f.count(f.held, call.Addr, call.Key) })
 		}
-		return calledOff
+		return cancelledResult
 	}
-	if f.failFirst && n == 1 {
+	if f.failFirstRead && n == 1 {
 		return attempt.Result{Outcome: gannethook.Failed}
 	}
-	if f.readEnds.Outcome != 0 {
-		if f.lateState > 0 {
-			time.AfterFunc(f.lateState, func() { f.count(f.held, call.Addr, call.Key) })
+	if f.readResult.Outcome != 0 {
+		if f.lateStateDelay > 0 {
+			time.AfterFunc(f.lateStateDelay, func() { f.count(f.held, call.Addr, call.Key) })
 		}
 		f.mu.Lock()
-		f.left = time.Now()
+		f.closedAt = time.Now()
 		f.mu.Unlock()
-		return f.readEnds
+		return f.readResult
 	}
 	f.count(f.held, call.Addr, call.Key)
 	return attempt.Result{Outcome: gannethook.ReadDone, Params: json.RawMessage(`{}`)}
 }
 
-func (f *fake) Do(ctx context.Context, call *attempt.Call) attempt.Result {
+func (f *fakeEngines) Do(ctx context.Context, call *attempt.Call) attempt.Result {
 	f.mu.Lock()
 	f.writes++
 	f.mu.Unlock()
-	if !wait(ctx, f.first) {
-		return calledOff
+	if !wait(ctx, f.firstTokenTime) {
+		return cancelledResult
 	}
-	if f.writeEnds.Outcome != 0 {
-		return f.writeEnds
+	if f.writeResult.Outcome != 0 {
+		return f.writeResult
 	}
 	return attempt.Result{Outcome: gannethook.Served, Body: call.Body}
 }
 
-func (f *fake) Write(ctx context.Context, call *attempt.Call, started func() bool, token func([]byte) bool) attempt.Result {
+func (f *fakeEngines) Write(ctx context.Context, call *attempt.Call, started func() bool, token func([]byte) bool) attempt.Result {
 	f.mu.Lock()
 	f.writes++
-	f.params = append(f.params, call.Params != nil)
+	f.writeHadParams = append(f.writeHadParams, call.Params != nil)
 	f.mu.Unlock()
-	if !wait(ctx, f.first) {
-		return calledOff
+	if !wait(ctx, f.firstTokenTime) {
+		return cancelledResult
 	}
-	if f.writeEnds.Outcome != 0 {
-		return f.writeEnds
+	if f.writeResult.Outcome != 0 {
+		return f.writeResult
 	}
 	for i := range f.tokens {
 		if i == 0 && !started() || !token([]byte(`"t"`)) {
-			return calledOff
+			return cancelledResult
 		}
-		if f.stall {
+		if f.stallStream {
 			<-ctx.Done()
 		}
-		if !wait(ctx, f.gap) {
-			return calledOff
+		if !wait(ctx, f.tokenGap) {
+			return cancelledResult
 		}
 	}
 	return attempt.Result{Outcome: gannethook.Served, Tokens: f.tokens}
 }
 
-func (f *fake) Hold(ctx context.Context, call *attempt.Call, _ string) attempt.PlaceResult {
-	if wait(ctx, f.hold); f.holdOK {
+func (f *fakeEngines) Hold(ctx context.Context, call *attempt.Call, _ string) attempt.PlaceResult {
+	if wait(ctx, f.holdTime); f.holdOK {
 		f.count(f.held, call.Addr, call.Key)
 	}
 	if f.holdOK {
@@ -144,44 +144,44 @@
 	return attempt.Denied
 }
 
-func (f *fake) LastAnswer(string) (sent, answered time.Time) { return time.Now(), time.Now() }
+func (f *fakeEngines) LastAnswer(string) (sent, answered time.Time) { return time.Now(), time.Now() }
 
-func (f *fake) ReleaseAt(ctx context.Context, h attempt.Held) attempt.ReleaseResult {
+func (f *fakeEngines) ReleaseAt(ctx context.Context, h attempt.Held) attempt.ReleaseResult {
 	return f.Release(ctx, []attempt.Held{h})
 }
 
-func (f *fake) Release(_ context.Context, list []attempt.Held) attempt.ReleaseResult {
+func (f *fakeEngines) Release(_ context.Context, list []attempt.Held) attempt.ReleaseResult {
 	sent := time.Now()
 	f.mu.Lock()
-	f.releasing = true
+	f.releaseInProgress = true
 	f.mu.Unlock()
-	time.Sleep(f.slowRelease)
+	time.Sleep(f.releaseTime)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.releasing, f.released = false, true
+	f.releaseInProgress, f.releaseDone = false, true
 	for _, h := range list {
 		f.releases++
 		if k := h.Addr + " " + h.Key; f.held[k] > 0 { // what comes before the grant lets nothing go
 			delete(f.held, k)
-			f.let[k]++
+			f.released[k]++
 		}
 	}
 	return attempt.ReleaseResult{Acknowledged: true, Server: list[0].Addr, SentAt: sent}
 }
 
-// sink records what a client would get.
-type sink struct {
-	t      *testing.T
-	mu     sync.Mutex
-	tokens int
-	finals []Answer
-	at     time.Time
-	done   chan struct{}
+// recordingSink records what a client would get.
+type recordingSink struct {
+	t          *testing.T
+	mu         sync.Mutex
+	tokens     int
+	finals     []Answer
+	answeredAt time.Time
+	done       chan struct{}
 }
 
-func newSink(t *testing.T) *sink { return &sink{t: t, done: make(chan struct{})} }
+func newSink(t *testing.T) *recordingSink { return &recordingSink{t: t, done: make(chan struct{})} }
 
-func (s *sink) Token([]byte) bool {
+func (s *recordingSink) Token([]byte) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.finals) > 0 {
@@ -191,24 +191,24 @@
 	return true
 }
 
-func (s *sink) Final(a Answer) {
+func (s *recordingSink) Final(a Answer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.finals = append(s.finals, a); len(s.finals) > 1 {
 		s.t.Errorf("final answers %v", s.finals)
 		return
 	}
-	s.at = time.Now()
+	s.answeredAt = time.Now()
 	close(s.done)
 }
 
 // A place that was asked for a read that failed is let go when it is granted
 // later, although the request goes on.
-func TestGrantOfAnEarlierRead(t *testing.T) {
-	f := newFake()
-	f.hold, f.failFirst, f.tokens = 300*ms, true, 50
-	run(t, f, func(d *Driver) {
-		s, a := ask(t, d, 0)
+func TestLateGrantForFailedRead(t *testing.T) {
+	f := newFakeEngines()
+	f.holdTime, f.failFirstRead, f.tokens = 300*ms, true, 50
+	runDriver(t, f, func(d *Driver) {
+		s, a := submitAndWait(t, d, 0)
 		if a.Outcome != Served || s.tokens != 50 {
 			t.Errorf("%+v", a)
 		}
@@ -223,11 +223,11 @@
 }
 
 // A place that was refused for certain is not let go as well.
-func TestRefusedPlace(t *testing.T) {
-	f := newFake()
+func TestDeniedPlaceIsNotReleased(t *testing.T) {
+	f := newFakeEngines()
 	f.holdOK = false
-	run(t, f, func(d *Driver) {
-		if _, a := ask(t, d, 0); a.Outcome != Served {
+	runDriver(t, f, func(d *Driver) {
+		if _, a := submitAndWait(t, d, 0); a.Outcome != Served {
 			t.Errorf("%+v", a)
 		}
 		synctest.Wait()
@@ -238,7 +238,7 @@
 }
 
 // The state goes with the write whoever writes it, and not once it was let go.
-func TestParamsGoWithTheState(t *testing.T) {
+func TestWriteParamsFollowState(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		role   gannethook.Role
@@ -249,12 +249,12 @@
 		{"a mixed server", gannethook.Mixed, false, true},
 		{"a writer that reads, after the state was let go", gannethook.Writer, true, false},
 	} {
-		f := newFake()
+		f := newFakeEngines()
 		set := testSettings()
 		set.Kinds[1].Role = c.role
 		synctest.Test(t, func(t *testing.T) {
 			d, err := New(Config{Settings: set, Inbox: 10, MaxOpen: 10, Engines: f,
-				Decider: decide(func(ev gannethook.Event) (acts []gannethook.Action) {
+				Decider: deciderFunc(func(ev gannethook.Event) (acts []gannethook.Action) {
 					switch ev := ev.(type) {
 					case gannethook.Request:
 						acts = append(acts, gannethook.Send{ID: ev.ID, Server: "r"})
@@ -268,10 +268,10 @@
 					}
 					return acts
 				})})
-			stop := drive(t, d, err)
+			stop := startDriver(t, d, err)
 			d.Update(gannethook.Membership{Servers: []gannethook.Server{{ID: "r", State: gannethook.Ready}, {ID: "w", Kind: 1, State: gannethook.Ready}}})
-			if _, a := ask(t, d, 0); a.Outcome != Served || len(f.params) != 1 || f.params[0] != c.params {
-				t.Errorf("%s: %+v, state with the write %v", c.name, a, f.params)
+			if _, a := submitAndWait(t, d, 0); a.Outcome != Served || len(f.writeHadParams) != 1 || f.writeHadParams[0] != c.params {
+				t.Errorf("%s: %+v, state with the write %v", c.name, a, f.writeHadParams)
 			}
 			stop()
 		})
@@ -279,13 +279,13 @@
 }
 
 // Where nothing may be called off, an attempt outlives its request; its first token may not pass.
-func TestTokenAfterTheAnswer(t *testing.T) {
-	f := newFake()
-	f.first = 5 * time.Second
+func TestNoTokenAfterFinalAnswer(t *testing.T) {
+	f := newFakeEngines()
+	f.firstTokenTime = 5 * time.Second
 	set := testSettings()
 	set.Cancel = false
-	runWith(t, f, set, func(d *Driver) {
-		s, a := ask(t, d, 1)
+	runWithSettings(t, f, set, func(d *Driver) {
+		s, a := submitAndWait(t, d, 1)
 		if a.Outcome != Failed {
 			t.Errorf("%+v", a)
 		}
@@ -307,8 +307,8 @@
 		Quantum: 10, Cancel: true, Holds: true}
 }
 
-// drive runs a driver that New made; stop ends it and waits.
-func drive(t *testing.T, d *Driver, err error) (stop func()) {
+// startDriver runs a driver that New made; stop ends it and waits.
+func startDriver(t *testing.T, d *Driver, err error) (stop func()) {
 	t.Helper()
 	if err != nil {
 		t.Fatal(err)
@@ -322,14 +322,16 @@
 	}
 }
 
-// run starts a driver on the test's clock with two readers and two writers.
-func run(t *testing.T, f *fake, do func(d *Driver)) { runWith(t, f, testSettings(), do) }
+// runDriver starts a driver on the test's clock with two readers and two writers.
+func runDriver(t *testing.T, f *fakeEngines, do func(d *Driver)) {
+	runWithSettings(t, f, testSettings(), do)
+}
 
-func runWith(t *testing.T, f *fake, set gannethook.Settings, do func(d *Driver)) {
-	runOn(t, f, set, do)
+func runWithSettings(t *testing.T, f *fakeEngines, set gannethook.Settings, do func(d *Driver)) {
+	runWithEngines(t, f, set, do)
 }
 
-func runOn(t *testing.T, engines Engines, set gannethook.Settings, do func(d *Driver)) {
+func runWithEngines(t *testing.T, engines Engines, set gannethook.Settings, do func(d *Driver)) {
 	runWithConfig(t, Config{Settings: set, Engines: engines}, do)
 }
 
@@ -337,7 +339,7 @@
 	cfg.Name, cfg.Seed, cfg.Inbox, cfg.MaxOpen = "r", 1, 100, 50
 	synctest.Test(t, func(t *testing.T) {
 		d, err := New(cfg)
-		stop := drive(t, d, err)
+		stop := startDriver(t, d, err)
 		m := gannethook.Membership{Whole: true}
 		for i := range 4 {
 			m.Servers = append(m.Servers, gannethook.Server{ID: gannethook.ServerID(fmt.Sprintf("s%d", i)), Kind: i / 2,
@@ -352,14 +354,14 @@
 	})
 }
 
-func job(class int) Job {
+func newJob(class int) Job {
 	return Job{Class: class, ClassName: "c", Timeout: 3 * time.Second, PromptSize: 100, MaxTokens: 50, Prompt: "p"}
 }
 
-// ask submits a request and waits for its answer.
-func ask(t *testing.T, d *Driver, class int) (*sink, Answer) {
+// submitAndWait submits a request and waits for its answer.
+func submitAndWait(t *testing.T, d *Driver, class int) (*recordingSink, Answer) {
 	s := newSink(t)
-	if _, err := d.Submit(job(class), s); err != nil {
+	if _, err := d.Submit(newJob(class), s); err != nil {
 		t.Fatal(err)
 	}
 	<-s.done
@@ -368,13 +370,13 @@
 
 // One-stage work is answered by the server that reads it, whole and at once; nothing is held for it.
 func TestOneStage(t *testing.T) {
-	f := newFake()
+	f := newFakeEngines()
 	set := testSettings()
 	for _, e := range []gannethook.Effect{gannethook.Safe, gannethook.Unsafe} {
 		set.Classes = append(set.Classes, gannethook.Class{Aim: 1500, Worth: 1, Effect: e, OneStage: true})
 	}
 	whole := func(d *Driver, class int) Answer {
-		j, s := job(class), newSink(t)
+		j, s := newJob(class), newSink(t)
 		j.Path, j.Body = "/v1/embeddings", []byte("{}")
 		if _, err := d.Submit(j, s); err != nil {
 			t.Fatal(err)
@@ -385,27 +387,27 @@
 		}
 		return s.finals[0]
 	}
-	runWith(t, f, set, func(d *Driver) {
+	runWithSettings(t, f, set, func(d *Driver) {
 		if a := whole(d, 2); a.Outcome != Served || string(a.Body) != "{}" || !a.MayHaveRun {
 			t.Errorf("%+v", a)
 		}
-		f.writeEnds = attempt.Result{Outcome: gannethook.Broken}
+		f.writeResult = attempt.Result{Outcome: gannethook.Broken}
 		if a := whole(d, 3); a.Outcome != Failed || !a.MayHaveRun || f.writes != 2 {
 			t.Errorf("%+v after %d attempts; unsafe work whose attempt broke may have run", a, f.writes)
 		}
-		f.writeEnds.Outcome = gannethook.Full
+		f.writeResult.Outcome = gannethook.Full
 		if a := whole(d, 3); a.Outcome != Refused || a.MayHaveRun {
 			t.Errorf("%+v", a)
 		}
 		synctest.Wait()
-		if left := f.leftOver(); len(left) > 0 || f.reads > 0 {
+		if left := f.stillHeld(); len(left) > 0 || f.reads > 0 {
 			t.Errorf("held %v, %d reads", left, f.reads)
 		}
 	})
 }
 
-// leftOver are what is held and was never let go, but for what the served answer took.
-func (f *fake) leftOver() []string {
+// stillHeld are what is held and was never let go, but for what the served answer took.
+func (f *fakeEngines) stillHeld() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var list []string
@@ -417,14 +419,14 @@
 }
 
 func TestServed(t *testing.T) {
-	f := newFake()
-	run(t, f, func(d *Driver) {
-		s, a := ask(t, d, 1)
+	f := newFakeEngines()
+	runDriver(t, f, func(d *Driver) {
+		s, a := submitAndWait(t, d, 1)
 		if a.Outcome != Served || a.Tokens != 5 || s.tokens != 5 || !a.MayHaveRun {
 			t.Errorf("%+v, %d tokens", a, s.tokens)
 		}
 		synctest.Wait()
-		if left := f.leftOver(); len(left) != 2 { // the state that was fetched and the place that the stream took
+		if left := f.stillHeld(); len(left) != 2 { // the state that was fetched and the place that the stream took
 			t.Errorf("held: %v", left)
 		}
 	})
@@ -432,24 +434,24 @@
 
 // The final answer comes before the client's time is up, whatever is out.
 func TestDeadline(t *testing.T) {
-	for name, slow := range map[string]func(*fake){
-		"a reader hangs":     func(f *fake) { f.read = time.Hour },
-		"a writer hangs":     func(f *fake) { f.first = time.Hour },
-		"holds hang as well": func(f *fake) { f.first, f.hold = time.Hour, time.Hour },
+	for name, slow := range map[string]func(*fakeEngines){
+		"a reader hangs":     func(f *fakeEngines) { f.readTime = time.Hour },
+		"a writer hangs":     func(f *fakeEngines) { f.firstTokenTime = time.Hour },
+		"holds hang as well": func(f *fakeEngines) { f.firstTokenTime, f.holdTime = time.Hour, time.Hour },
 	} {
-		f := newFake()
+		f := newFakeEngines()
 		slow(f)
-		run(t, f, func(d *Driver) {
+		runDriver(t, f, func(d *Driver) {
 			from := time.Now()
-			s, a := ask(t, d, 1)
-			if took := s.at.Sub(from); took > 3*time.Second || a.Outcome == Served {
+			s, a := submitAndWait(t, d, 1)
+			if took := s.answeredAt.Sub(from); took > 3*time.Second || a.Outcome == Served {
 				t.Errorf("%s: %v after %v", name, a.Outcome, took)
 			}
 			if a.Outcome == Refused && a.MayHaveRun {
 				t.Errorf("%s: refused although it may have run", name)
 			}
 		})
-		if left := f.leftOver(); len(left) != 0 {
+		if left := f.stillHeld(); len(left) != 0 {
 			t.Errorf("%s: still held: %v", name, left)
 		}
 	}
@@ -458,22 +460,22 @@
 // An unsafe request that may have run is failed and does not go again; a safe one does.
 func TestMayHaveRun(t *testing.T) {
 	for _, o := range []gannethook.Outcome{gannethook.Failed, gannethook.Broken} {
-		f := newFake()
-		f.writeEnds = attempt.Result{Outcome: o}
-		run(t, f, func(d *Driver) {
-			if _, a := ask(t, d, 1); a.Outcome != Failed || !a.MayHaveRun || f.writes != 1 {
+		f := newFakeEngines()
+		f.writeResult = attempt.Result{Outcome: o}
+		runDriver(t, f, func(d *Driver) {
+			if _, a := submitAndWait(t, d, 1); a.Outcome != Failed || !a.MayHaveRun || f.writes != 1 {
 				t.Errorf("unsafe after %v: %+v, %d writes", o, a, f.writes)
 			}
 			f.writes = 0
-			if ask(t, d, 0); f.writes < 2 {
+			if submitAndWait(t, d, 0); f.writes < 2 {
 				t.Errorf("safe after %v: %d writes", o, f.writes)
 			}
 		})
 	}
-	f := newFake()
-	f.writeEnds = attempt.Result{Outcome: gannethook.Full}
-	run(t, f, func(d *Driver) {
-		if _, a := ask(t, d, 1); a.Outcome != Refused || a.MayHaveRun || a.RetryAfter <= 0 || f.writes < 2 {
+	f := newFakeEngines()
+	f.writeResult = attempt.Result{Outcome: gannethook.Full}
+	runDriver(t, f, func(d *Driver) {
+		if _, a := submitAndWait(t, d, 1); a.Outcome != Refused || a.MayHaveRun || a.RetryAfter <= 0 || f.writes < 2 {
 			t.Errorf("unsafe after being turned away: %+v, %d writes", a, f.writes)
 		}
 	})
@@ -481,11 +483,11 @@
 
 // A place that is granted after its request has ended is let go.
 func TestLateGrant(t *testing.T) {
-	f := newFake()
-	f.hold = 5 * time.Second
-	run(t, f, func(d *Driver) {
+	f := newFakeEngines()
+	f.holdTime = 5 * time.Second
+	runDriver(t, f, func(d *Driver) {
 		s := newSink(t)
-		c, err := d.Submit(job(0), s)
+		c, err := d.Submit(newJob(0), s)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -494,19 +496,19 @@
 		<-s.done
 		time.Sleep(10 * time.Second)
 		synctest.Wait()
-		if len(f.let) == 0 || len(f.leftOver()) != 0 {
-			t.Errorf("let go %v, left %v", f.let, f.leftOver())
+		if len(f.released) == 0 || len(f.stillHeld()) != 0 {
+			t.Errorf("let go %v, left %v", f.released, f.stillHeld())
 		}
 	})
 }
 
 // A client that leaves gets no more, and its attempt is called off at once.
 func TestAbandonStream(t *testing.T) {
-	f := newFake()
-	f.stall = true
-	run(t, f, func(d *Driver) {
+	f := newFakeEngines()
+	f.stallStream = true
+	runDriver(t, f, func(d *Driver) {
 		s := newSink(t)
-		c, _ := d.Submit(job(1), s)
+		c, _ := d.Submit(newJob(1), s)
 		time.Sleep(time.Second)
 		c.Abandon()
 		c.Abandon()
@@ -519,12 +521,12 @@
 }
 
 // The final answer and the client's leaving may cross at any moment: one final answer.
-func TestAbandonAtAnyMoment(t *testing.T) {
+func TestAbandonRacesWithFinalAnswer(t *testing.T) {
 	for at := time.Duration(0); at < 100*ms; at += ms {
-		f := newFake()
-		run(t, f, func(d *Driver) {
+		f := newFakeEngines()
+		runDriver(t, f, func(d *Driver) {
 			s := newSink(t)
-			c, _ := d.Submit(job(1), s)
+			c, _ := d.Submit(newJob(1), s)
 			time.Sleep(at)
 			go c.Abandon()
 			<-s.done
@@ -539,12 +541,12 @@
 
 // Once a client has left, nothing begins for its request: between two attempts, while a release goes first, or while an
 // attempt connects.
-func TestNothingBeginsOnceLeft(t *testing.T) {
+func TestNothingStartsAfterClientDisconnects(t *testing.T) {
 	for at := time.Duration(0); at < 200*ms; at += 7 * ms {
-		f := newFake()
-		f.failFirst, f.slowRelease, f.hold = true, 60*ms, 30*ms
-		run(t, f, func(d *Driver) {
-			s, j := newSink(t), job(1)
+		f := newFakeEngines()
+		f.failFirstRead, f.releaseTime, f.holdTime = true, 60*ms, 30*ms
+		runDriver(t, f, func(d *Driver) {
+			s, j := newSink(t), newJob(1)
 			j.Name = "a"
 			c, _ := d.Submit(j, s)
 			time.Sleep(at)
@@ -559,7 +561,7 @@
 				t.Errorf("left after %v: %d reads and %d writes begun since", at, f.reads-reads, f.writes-writes)
 			}
 		})
-		if left := f.leftOver(); len(left) > 0 && f.writes == 0 {
+		if left := f.stillHeld(); len(left) > 0 && f.writes == 0 {
 			t.Errorf("left after %v: still held: %v", at, left)
 		}
 	}
@@ -567,12 +569,12 @@
 
 // Too many open requests are turned away before the module, with nothing run.
 func TestBusy(t *testing.T) {
-	f := newFake()
-	f.read = time.Hour
-	run(t, f, func(d *Driver) {
+	f := newFakeEngines()
+	f.readTime = time.Hour
+	runDriver(t, f, func(d *Driver) {
 		busy := 0
 		for range 60 {
-			if _, err := d.Submit(job(0), newSink(t)); err == ErrBusy {
+			if _, err := d.Submit(newJob(0), newSink(t)); err == ErrBusy {
 				busy++
 			}
 			synctest.Wait()
@@ -588,14 +590,14 @@
 }
 
 // A stopping driver answers all that is open.
-func TestStopAnswersAll(t *testing.T) {
-	f := newFake()
-	f.first = time.Hour
-	var sinks []*sink
-	run(t, f, func(d *Driver) {
+func TestStopAnswersOpenRequests(t *testing.T) {
+	f := newFakeEngines()
+	f.firstTokenTime = time.Hour
+	var sinks []*recordingSink
+	runDriver(t, f, func(d *Driver) {
 		for i := range 20 {
 			s := newSink(t)
-			if _, err := d.Submit(job(i%2), s); err != nil {
+			if _, err := d.Submit(newJob(i%2), s); err != nil {
 				t.Fatal(err)
 			}
 			sinks = append(sinks, s)
@@ -607,18 +609,18 @@
 			t.Errorf("request %d: %v", i, s.finals)
 		}
 	}
-	if left := f.leftOver(); len(left) != 0 {
+	if left := f.stillHeld(); len(left) != 0 {
 		t.Errorf("still held: %v", left)
 	}
 }
 
 // An attempt that outlasts its time-out ends, and what it brings later counts for nothing.
-func TestTimeout(t *testing.T) {
-	f := newFake()
+func TestAttemptTimeout(t *testing.T) {
+	f := newFakeEngines()
 	synctest.Test(t, func(t *testing.T) {
 		var told []gannethook.Event
 		d, err := New(Config{Settings: testSettings(), Inbox: 10, MaxOpen: 10, Engines: f,
-			Decider: decide(func(ev gannethook.Event) []gannethook.Action {
+			Decider: deciderFunc(func(ev gannethook.Event) []gannethook.Action {
 				told = append(told, ev)
 				switch ev := ev.(type) {
 				case gannethook.Request:
@@ -628,9 +630,9 @@
 				}
 				return nil
 			})})
-		stop := drive(t, d, err)
+		stop := startDriver(t, d, err)
 		d.Update(gannethook.Membership{Servers: []gannethook.Server{{ID: "s2", Kind: 1, State: gannethook.Ready}}})
-		if _, a := ask(t, d, 1); a.Outcome != Failed {
+		if _, a := submitAndWait(t, d, 1); a.Outcome != Failed {
 			t.Errorf("%+v", a)
 		}
 		time.Sleep(time.Second)
@@ -651,14 +653,14 @@
 
 // An attempt that is called off is out until it has left its server's connection: a refusal that crosses it
 // promises that nothing may run while something is on its way.
-func TestRefusedOnceCalledOffHasLeft(t *testing.T) {
+func TestRefusalWaitsForCancelledAttemptToClose(t *testing.T) {
 	for _, timeout := range []gannethook.Millis{0, 10} { // called off by the module, or by its time-out
-		f := newFake()
-		f.read, f.leaving = time.Hour, 30*ms
+		f := newFakeEngines()
+		f.readTime, f.closeDelay = time.Hour, 30*ms
 		synctest.Test(t, func(t *testing.T) {
 			var ended gannethook.Ended
 			d, err := New(Config{Settings: testSettings(), Inbox: 10, MaxOpen: 10, Engines: f,
-				Decider: decide(func(ev gannethook.Event) (acts []gannethook.Action) {
+				Decider: deciderFunc(func(ev gannethook.Event) (acts []gannethook.Action) {
 					switch ev := ev.(type) {
 					case gannethook.Request:
 						acts = append(acts, gannethook.Send{ID: ev.ID, Server: "s0", Timeout: timeout})
@@ -673,11 +675,11 @@
 					}
 					return acts
 				})})
-			stop := drive(t, d, err)
+			stop := startDriver(t, d, err)
 			d.Update(gannethook.Membership{Servers: []gannethook.Server{{ID: "s0", State: gannethook.Ready}}})
-			s, a := ask(t, d, 1)
-			if a.Outcome != Refused || f.left.IsZero() || s.at.Before(f.left.Add(20*ms)) { // and its close has arrived
-				t.Errorf("%v at %v, the attempt left at %v", a.Outcome, s.at, f.left)
+			s, a := submitAndWait(t, d, 1)
+			if a.Outcome != Refused || f.closedAt.IsZero() || s.answeredAt.Before(f.closedAt.Add(20*ms)) { // and its close has arrived
+				t.Errorf("%v at %v, the attempt left at %v", a.Outcome, s.answeredAt, f.closedAt)
 			}
 			if want := map[bool]gannethook.Outcome{true: gannethook.Cancelled, false: gannethook.TimedOut}[timeout == 0]; ended.Outcome != want {
 				t.Errorf("ended with %v, %v expected", ended.Outcome, want)
@@ -688,25 +690,25 @@
 }
 
 // Guards against a refusal that overtakes the close of an answer which the router could not read.
-func TestRefusedOnceAnUnreadableAnswerIsClosed(t *testing.T) {
+func TestRefusalWaitsForCloseOfMalformedAnswer(t *testing.T) {
 	for _, end := range []attempt.Result{
 		{Outcome: gannethook.Failed, Interrupted: true}, // noise, or an answer that stops half-way
 		{Outcome: gannethook.Broken, Interrupted: true}, // an error of this machine: the server has ended nothing
 		{Outcome: gannethook.Failed, Interrupted: true, Detail: "status 500"},
 	} {
-		t.Run(fmt.Sprint(end.Outcome, end.Detail), func(t *testing.T) { refusedBehind(t, end) })
+		t.Run(fmt.Sprint(end.Outcome, end.Detail), func(t *testing.T) { testRefusalAfterClose(t, end) })
 	}
 }
 
-// refusedBehind wants the refusal that follows an end of a read to come once its close has been noticed.
-func refusedBehind(t *testing.T, end attempt.Result) {
-	f := newFake()
-	f.readEnds = end
+// testRefusalAfterClose wants the refusal that follows an end of a read to come once its close has been noticed.
+func testRefusalAfterClose(t *testing.T, end attempt.Result) {
+	f := newFakeEngines()
+	f.readResult = end
 	synctest.Test(t, func(t *testing.T) {
 		var told []Repeat
 		d, err := New(Config{Settings: testSettings(), Inbox: 10, MaxOpen: 10, Engines: f,
 			OnRepeat: func(r Repeat) { told = append(told, r) },
-			Decider: decide(func(ev gannethook.Event) (acts []gannethook.Action) {
+			Decider: deciderFunc(func(ev gannethook.Event) (acts []gannethook.Action) {
 				switch ev := ev.(type) {
 				case gannethook.Request:
 					acts = append(acts, gannethook.Send{ID: ev.ID, Server: "s0"})
@@ -715,11 +717,11 @@
 				}
 				return acts
 			})})
-		stop := drive(t, d, err)
+		stop := startDriver(t, d, err)
 		defer stop()
 		d.Update(gannethook.Membership{Servers: []gannethook.Server{{ID: "s0", State: gannethook.Ready}}})
-		s, a := ask(t, d, 1)
-		if behind := s.at.Sub(f.left); a.Outcome != Refused || behind < heldstate.CloseNoticeGrace {
+		s, a := submitAndWait(t, d, 1)
+		if behind := s.answeredAt.Sub(f.closedAt); a.Outcome != Refused || behind < heldstate.CloseNoticeGrace {
 			t.Errorf("%v, %v behind the close", a.Outcome, behind)
 		}
 		if len(told) != 1 || told[0].Earlier != "s0" || told[0].After != heldstate.CloseNoticeGrace {
@@ -728,13 +730,15 @@
 	})
 }
 
-type decide func(gannethook.Event) []gannethook.Action
+type deciderFunc func(gannethook.Event) []gannethook.Action
 
-func (f decide) Handle(_ gannethook.Millis, ev gannethook.Event) []gannethook.Action { return f(ev) }
+func (f deciderFunc) Handle(_ gannethook.Millis, ev gannethook.Event) []gannethook.Action {
+	return f(ev)
+}
 
 func BenchmarkDecisions(b *testing.B) {
-	f := newFake()
-	f.read, f.first, f.gap, f.hold, f.tokens = 0, 0, 0, 0, 1
+	f := newFakeEngines()
+	f.readTime, f.firstTokenTime, f.tokenGap, f.holdTime, f.tokens = 0, 0, 0, 0, 1
 	events := 0 // on the driver's goroutine alone
 	d, _ := New(Config{Settings: testSettings(), Inbox: 1000, MaxOpen: 1000, Engines: f,
 		Took: func(time.Duration) { events++ }})
@@ -751,7 +755,7 @@
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
 			s := newSink(nil)
-			if _, err := d.Submit(job(0), s); err == nil {
+			if _, err := d.Submit(newJob(0), s); err == nil {
 				<-s.done
 			}
 		}
@@ -764,12 +768,12 @@
 
 // A release lets go of all that a request with a name of its own holds: it is out before the next attempt, which
 // would lose its state to it.
-func TestReleaseGoesFirst(t *testing.T) {
-	f := newFake()
-	f.failFirst = true
-	f.slowRelease = 50 * ms
-	run(t, f, func(d *Driver) {
-		s, j := newSink(t), job(0)
+func TestReleasePrecedesNextAttempt(t *testing.T) {
+	f := newFakeEngines()
+	f.failFirstRead = true
+	f.releaseTime = 50 * ms
+	runDriver(t, f, func(d *Driver) {
+		s, j := newSink(t), newJob(0)
 		j.Name = "a"
 		if _, err := d.Submit(j, s); err != nil {
 			t.Fatal(err)
@@ -780,8 +784,8 @@
 		if a := s.finals[0]; a.Outcome != Served || f.reads != 2 {
 			t.Errorf("%+v after %d reads", a, f.reads)
 		}
-		if !f.released || f.readWhileReleasing {
-			t.Errorf("released %v, read meanwhile %v", f.released, f.readWhileReleasing)
+		if !f.releaseDone || f.readDuringRelease {
+			t.Errorf("released %v, read meanwhile %v", f.releaseDone, f.readDuringRelease)
 		}
 	})
 }
@@ -789,15 +793,15 @@
 // A connection that was closed is closed at the server only once that has arrived, which the release may overtake: what a
 // read that was called off or broke leaves behind is let go all the same, within the pin limit, also where its request was
 // refused for it.
-func TestReleaseBehindLateClose(t *testing.T) {
+func TestReleaseAfterLateClose(t *testing.T) {
 	for _, broken := range []bool{false, true} {
-		f := newFake()
-		f.read, f.lateState, f.holdOK = 300*ms, 60*ms, false
+		f := newFakeEngines()
+		f.readTime, f.lateStateDelay, f.holdOK = 300*ms, 60*ms, false
 		if broken {
-			f.read, f.readEnds = 10*ms, attempt.Result{Outcome: gannethook.Broken}
+			f.readTime, f.readResult = 10*ms, attempt.Result{Outcome: gannethook.Broken}
 		}
-		run(t, f, func(d *Driver) {
-			s, j := newSink(t), job(0)
+		runDriver(t, f, func(d *Driver) {
+			s, j := newSink(t), newJob(0)
 			j.Name = "a"
 			c, err := d.Submit(j, s)
 			if err != nil {
@@ -809,7 +813,7 @@
 			}
 			<-s.done
 			time.Sleep(500 * ms)
-			if left := f.leftOver(); len(left) != 0 {
+			if left := f.stillHeld(); len(left) != 0 {
 				t.Errorf("broken %v: still held: %v", broken, left)
 			}
 		})
@@ -818,11 +822,11 @@
 
 // A release waits a moment for the close of a read that was called off to have arrived: it would spare a place that
 // the read, as far as its server knows, still waits for.
-func TestReleaseWaitsForTheClose(t *testing.T) {
-	f := newFake()
-	f.read, f.hold = 300*ms, ms
-	run(t, f, func(d *Driver) {
-		s, j := newSink(t), job(0)
+func TestReleaseWaitsForClose(t *testing.T) {
+	f := newFakeEngines()
+	f.readTime, f.holdTime = 300*ms, ms
+	runDriver(t, f, func(d *Driver) {
+		s, j := newSink(t), newJob(0)
 		j.Name = "a"
 		c, err := d.Submit(j, s)
 		if err != nil {
@@ -836,7 +840,7 @@
 		early := f.releases
 		f.mu.Unlock()
 		time.Sleep(100 * ms)
-		if left := f.leftOver(); early != 0 || len(left) != 0 {
+		if left := f.stillHeld(); early != 0 || len(left) != 0 {
 			t.Errorf("%d releases within 10 ms of the close; still held: %v", early, left)
 		}
 	})
@@ -844,11 +848,11 @@
 
 // A place of a named request that is granted after its read failed is kept while the next read is out: by the name
 // all would be let go, that read's state too. It is let go with the rest.
-func TestLateGrantOfANamedRequest(t *testing.T) {
-	f := newFake()
-	f.failFirst, f.hold, f.first = true, 30*ms, time.Hour
-	run(t, f, func(d *Driver) {
-		s, j := newSink(t), job(0)
+func TestLateGrantForNamedRequest(t *testing.T) {
+	f := newFakeEngines()
+	f.failFirstRead, f.holdTime, f.firstTokenTime = true, 30*ms, time.Hour
+	runDriver(t, f, func(d *Driver) {
+		s, j := newSink(t), newJob(0)
 		j.Name = "a"
 		if _, err := d.Submit(j, s); err != nil {
 			t.Fatal(err)
@@ -862,42 +866,42 @@
 		}
 		<-s.done
 	})
-	if left := f.leftOver(); len(left) != 0 {
+	if left := f.stillHeld(); len(left) != 0 {
 		t.Errorf("still held: %v", left)
 	}
 }
 
 // The same while another read of the answered request is out, as at a server that fell silent where nothing is called off.
-func TestReleaseBehindLateCloseWithAReadOut(t *testing.T) {
-	f := newFake()
-	f.read, f.lateState, f.holdOK = 10*ms, 60*ms, false
-	f.readEnds = attempt.Result{Outcome: gannethook.Broken}
+func TestReleaseAfterLateCloseWithReadInFlight(t *testing.T) {
+	f := newFakeEngines()
+	f.readTime, f.lateStateDelay, f.holdOK = 10*ms, 60*ms, false
+	f.readResult = attempt.Result{Outcome: gannethook.Broken}
 	synctest.Test(t, func(t *testing.T) {
 		d, err := New(Config{Settings: testSettings(), Inbox: 10, MaxOpen: 10, Engines: f,
-			Decider: decide(func(ev gannethook.Event) (acts []gannethook.Action) {
+			Decider: deciderFunc(func(ev gannethook.Event) (acts []gannethook.Action) {
 				switch ev := ev.(type) {
 				case gannethook.Request:
 					acts = append(acts, gannethook.Send{ID: ev.ID, Server: "s0"})
 				case gannethook.Ended:
 					if ev.Attempt == 0 {
 						f.mu.Lock()
-						f.read, f.lateState = 5*time.Second, 0
+						f.readTime, f.lateStateDelay = 5*time.Second, 0
 						f.mu.Unlock()
 						acts = append(acts, gannethook.Release{ID: ev.ID}, gannethook.Send{ID: ev.ID, Server: "s0"}, gannethook.Refuse{ID: ev.ID})
 					}
 				}
 				return acts
 			})})
-		stop := drive(t, d, err)
+		stop := startDriver(t, d, err)
 		d.Update(gannethook.Membership{Servers: []gannethook.Server{{ID: "s0", State: gannethook.Ready}}})
-		s, j := newSink(t), job(0)
+		s, j := newSink(t), newJob(0)
 		j.Name = "a"
 		if _, err := d.Submit(j, s); err != nil {
 			t.Fatal(err)
 		}
 		<-s.done
 		time.Sleep(500 * ms)
-		if left := f.leftOver(); len(left) != 0 {
+		if left := f.stillHeld(); len(left) != 0 {
 			t.Errorf("still held: %v", left)
 		}
 		stop()
--- a/internal/driver/guard.go
+++ b/internal/driver/guard.go
@@ -10,7 +10,7 @@
 
 // effect is what running the request twice does.
 func (c *Call) effect() guard.Effect {
-	switch c.set.Classes[c.job.Class].Effect {
+	switch c.settings.Classes[c.job.Class].Effect {
 	case gannethook.Unsafe:
 		return guard.Unsafe
 	case gannethook.Keyed:
@@ -21,23 +21,23 @@
 
 // maySend asks the guard whether the module's next attempt may be made.
 func (c *Call) maySend() bool {
-	why := guard.MaySend(guard.SendFacts{Effect: c.effect(), Answered: c.answered, Streaming: c.streaming,
-		EffectInFlight: slices.ContainsFunc(c.attempts, func(a *try) bool { return a.out && !a.reads }),
-		MayHaveRun:     slices.ContainsFunc(c.attempts, func(a *try) bool { return !a.out && a.mayHaveRun() })})
-	return c.d.cfg.Guard.Check(guard.Send, why, c.job.Name)
+	reason := guard.MaySend(guard.SendFacts{Effect: c.effect(), Answered: c.answered, Streaming: c.streaming,
+		EffectInFlight: slices.ContainsFunc(c.attempts, func(a *attemptState) bool { return a.inFlight && !a.isRead }),
+		MayHaveRun:     slices.ContainsFunc(c.attempts, func(a *attemptState) bool { return !a.inFlight && a.mayHaveRun() })})
+	return c.d.cfg.Guard.Check(guard.Send, reason, c.job.Name)
 }
 
 // mayRefuse asks the guard whether a refusal may promise that nothing was done.
 func (c *Call) mayRefuse(retryAfter time.Duration) bool {
-	why := guard.MayRefuse(guard.RefuseFacts{Effect: c.effect(), MayHaveRun: c.mayHaveRun(), Remembered: c.remembered(retryAfter)})
-	return c.d.cfg.Guard.Check(guard.Refuse, why, c.job.Name)
+	reason := guard.MayRefuse(guard.RefuseFacts{Effect: c.effect(), MayHaveRun: c.mayHaveRun(), Remembered: c.remembered(retryAfter)})
+	return c.d.cfg.Guard.Check(guard.Refuse, reason, c.job.Name)
 }
 
 // mayHaveRun tells whether an attempt at a writer is not proven not to have run.
-func (c *Call) mayHaveRun() bool { return slices.ContainsFunc(c.attempts, (*try).mayHaveRun) }
+func (c *Call) mayHaveRun() bool { return slices.ContainsFunc(c.attempts, (*attemptState).mayHaveRun) }
 
-func (a *try) mayHaveRun() bool {
-	if a.reads {
+func (a *attemptState) mayHaveRun() bool {
+	if a.isRead {
 		return false
 	}
 	switch a.outcome {
@@ -50,13 +50,13 @@
 // remembered tells whether any server drops a repeat of the request's key that
 // comes after the advised wait.
 func (c *Call) remembered(retryAfter time.Duration) bool {
-	class := &c.set.Classes[c.job.Class]
-	first := slices.IndexFunc(c.attempts, (*try).mayHaveRun)
+	class := &c.settings.Classes[c.job.Class]
+	first := slices.IndexFunc(c.attempts, (*attemptState).mayHaveRun)
 	if class.Group != gannethook.GroupAll || first < 0 {
 		return first < 0
 	}
-	ends := c.attempts[first].began.Add(time.Duration(float64(class.Window) * 1e6)).Add(clockSlack)
-	return !time.Now().Add(retryAfter).After(ends)
+	windowEnd := c.attempts[first].startedAt.Add(time.Duration(float64(class.Window) * 1e6)).Add(clockSlack)
+	return !time.Now().Add(retryAfter).After(windowEnd)
 }
 
 // clockSlack is by how much the module's clock, which is read once for an event,
--- a/internal/driver/held.go
+++ b/internal/driver/held.go
@@ -21,20 +21,20 @@
 // Here it is told what happened, and its calls are made.
 
 const (
-	lookEvery   = 2 * time.Millisecond  // between two looks through what is owed at the least
-	hearEvery   = 20 * time.Millisecond // between two looks at whether servers in doubt were heard
-	lingerShort = 2 * time.Second       // for which Run lets go after its context has ended, where it is not told
+	ledgerCheckInterval   = 2 * time.Millisecond  // between two looks through what is owed at the least
+	livenessPollInterval  = 20 * time.Millisecond // between two looks at whether servers in doubt were heard
+	defaultReleaseTimeout = 2 * time.Second       // for which Run lets go after its context has ended, where it is not told
 )
 
 // terms are those of what is held for the request.
 func (c *Call) terms() heldstate.Terms {
-	return heldstate.Terms{Request: cmp.Or(c.job.Name, strconv.FormatUint(uint64(c.id), 10)), Shared: c.job.Name != "", PreservesWaiting: c.set.SparesWaited,
-		PinLimit: time.Duration(float64(c.set.PinLimit) * float64(time.Millisecond))}
+	return heldstate.Terms{Request: cmp.Or(c.job.Name, strconv.FormatUint(uint64(c.id), 10)), Shared: c.job.Name != "", PreservesWaiting: c.settings.SparesWaited,
+		PinLimit: time.Duration(float64(c.settings.PinLimit) * float64(time.Millisecond))}
 }
 
-// beginHolding notes that an attempt is sent, whose server is told how long it is waited for. It returns what closes once the attempt may be
+// recordAttemptStart notes that an attempt is sent, whose server is told how long it is waited for. It returns what closes once the attempt may be
 // written: a release lets go of all that a named request holds, also of what comes after it, and goes first.
-func (c *Call) beginHolding(a *try, until time.Time) (before chan struct{}) {
+func (c *Call) recordAttemptStart(a *attemptState, deadline time.Time) (releaseDone chan struct{}) {
 	if c.oneStage() {
 		return nil
 	}
@@ -43,49 +43,49 @@
 		c.keys = append(c.keys, c.key)
 	}
 	d := c.d
-	if a.reads {
-		delete(d.oldFaults, a.key)
+	if a.isRead {
+		delete(d.regressions, a.key)
 	}
-	d.makeReleases(d.held.Flush(a.key))
-	d.heldChanged()
+	d.startReleases(d.ledger.Flush(a.key))
+	d.scheduleLedgerCheck()
 	terms := c.terms()
-	terms.AttemptTimeout = max(time.Until(until), time.Millisecond)
+	terms.AttemptTimeout = max(time.Until(deadline), time.Millisecond)
 	if faults.Broken(faults.BreakLost) || faults.Broken(faults.BreakUnheard) {
 		terms.AttemptTimeout = -1
 	}
-	d.held.AttemptStarted(a.key, terms, string(a.server), a.reads, time.Now())
-	d.watch.Sent(a.key, terms.Request, terms.PinLimit, a.watched(), string(a.server), time.Now())
-	return d.going[a.key]
+	d.ledger.AttemptStarted(a.key, terms, string(a.server), a.isRead, time.Now())
+	d.holdMonitor.Sent(a.key, terms.Request, terms.PinLimit, a.monitorKind(), string(a.server), time.Now())
+	return d.releasesInFlight[a.key]
 }
 
-// endHolding notes how an attempt ended.
-func (c *Call) endHolding(a *try, r attempt.Result) {
+// recordAttemptEnd notes how an attempt ended.
+func (c *Call) recordAttemptEnd(a *attemptState, r attempt.Result) {
 	if a.key == "" {
 		return
 	}
-	end := endOf(r)
+	end := attemptEnd(r)
 	if end == heldstate.ClosedByRouter && !r.BegunBy.IsZero() {
-		c.d.held.AttemptBegunBy(a.key, string(a.server), a.reads, r.BegunBy)
+		c.d.ledger.AttemptBegunBy(a.key, string(a.server), a.isRead, r.BegunBy)
 	}
-	if a.reads {
-		c.d.held.ReadEnded(a.key, string(a.server), end, time.Now())
+	if a.isRead {
+		c.d.ledger.ReadEnded(a.key, string(a.server), end, time.Now())
 	} else {
-		c.d.held.WriteEnded(a.key, string(a.server), end, time.Now())
+		c.d.ledger.WriteEnded(a.key, string(a.server), end, time.Now())
 	}
-	c.d.watch.Ended(a.key, a.watched(), string(a.server), watchedEnd(end), time.Now())
-	c.d.heldChanged()
+	c.d.holdMonitor.Ended(a.key, a.monitorKind(), string(a.server), monitorOutcome(end), time.Now())
+	c.d.scheduleLedgerCheck()
 }
 
-// watched is the attempt's kind in reports of silence.
-func (a *try) watched() holdmonitor.Kind {
-	if a.reads {
+// monitorKind is the attempt's kind in reports of silence.
+func (a *attemptState) monitorKind() holdmonitor.Kind {
+	if a.isRead {
 		return holdmonitor.Read
 	}
 	return holdmonitor.Write
 }
 
-// watchedEnd is an end in reports of silence.
-func watchedEnd(end heldstate.AttemptEnd) holdmonitor.Outcome {
+// monitorOutcome is an end in reports of silence.
+func monitorOutcome(end heldstate.AttemptEnd) holdmonitor.Outcome {
 	switch end {
 	case heldstate.NotSent:
 		return holdmonitor.NotSent
@@ -97,8 +97,8 @@
 	return holdmonitor.NoAnswer
 }
 
-// endOf tells what an attempt's outcome means for what it may have left.
-func endOf(r attempt.Result) heldstate.AttemptEnd {
+// attemptEnd tells what an attempt's outcome means for what it may have left.
+func attemptEnd(r attempt.Result) heldstate.AttemptEnd {
 	switch r.Outcome {
 	case gannethook.ConnectFailed, gannethook.NotTried:
 		return heldstate.NotSent
@@ -119,64 +119,64 @@
 	return heldstate.Completed
 }
 
-// hold asks for a place on a goroutine of its own, where servers share what they know once the read is written: what may be
+// holdPlace asks for a place on a goroutine of its own, where servers share what they know once the read is written: what may be
 // held counts from when it is asked for.
-func (c *Call) hold(w gannethook.ServerID) {
-	n := len(c.attempts) - 1
-	if n < 0 || c.key == "" {
+func (c *Call) holdPlace(writer gannethook.ServerID) {
+	index := len(c.attempts) - 1
+	if index < 0 || c.key == "" {
 		return
 	}
-	call := &attempt.Call{Addr: string(w), Key: c.key, PromptSize: c.job.PromptSize, MaxTokens: c.job.MaxTokens,
-		Class: c.job.ClassName, Written: c.attempts[n].sent}
-	reader, epoch, h := string(c.reader), c.releases, attempt.Held{Addr: string(w), Key: c.key}
-	c.d.work.Go(func() {
-		asks := make(chan bool, 1)
+	call := &attempt.Call{Addr: string(writer), Key: c.key, PromptSize: c.job.PromptSize, MaxTokens: c.job.MaxTokens,
+		Class: c.job.ClassName, Written: c.attempts[index].written}
+	reader, epoch, h := string(c.reader), c.releaseEpoch, attempt.Held{Addr: string(writer), Key: c.key}
+	c.d.background.Go(func() {
+		allowed := make(chan bool, 1)
 		written := c.job.Name == "" || call.Written.Wait(c.d.ctx)
-		if !c.d.post(func() { asks <- c.ask(h, n, epoch, written) }) {
+		if !c.d.post(func() { allowed <- c.recordPlaceRequest(h, index, epoch, written) }) {
 			return
 		}
 		select {
-		case ask := <-asks:
-			if !ask {
+		case ok := <-allowed:
+			if !ok {
 				return
 			}
 		case <-c.d.stopped: // the driver may have ended before it came to that
 			return
 		}
 		place := c.d.cfg.Engines.Hold(c.d.ctx, call, reader)
-		if !c.d.post(func() { c.granted(h, n, epoch, place) }) {
+		if !c.d.post(func() { c.placeAnswered(h, index, epoch, place) }) {
 			c.d.cfg.Engines.Release(context.WithoutCancel(c.d.ctx), []attempt.Held{h})
 		}
 	})
 }
 
-// ask notes that a place is asked for, unless its read was not written, or has ended meanwhile.
-func (c *Call) ask(h attempt.Held, n, epoch int, written bool) bool {
-	if c.forgotten || epoch != c.releases || !c.attempts[n].out {
+// recordPlaceRequest notes that a place is asked for, unless its read was not written, or has ended meanwhile.
+func (c *Call) recordPlaceRequest(h attempt.Held, index, epoch int, written bool) bool {
+	if c.removed || epoch != c.releaseEpoch || !c.attempts[index].inFlight {
 		return false
 	}
 	if !written {
-		c.tellPlace(n, attempt.Denied)
+		c.notifyPlace(index, attempt.Denied)
 		return false
 	}
 	terms, now := c.terms(), time.Now()
-	c.d.held.PlaceRequested(h.Key, terms, h.Addr, now)
-	c.d.watch.Sent(h.Key, terms.Request, terms.PinLimit, holdmonitor.Reservation, h.Addr, now)
-	c.d.heldChanged()
+	c.d.ledger.PlaceRequested(h.Key, terms, h.Addr, now)
+	c.d.holdMonitor.Sent(h.Key, terms.Request, terms.PinLimit, holdmonitor.Reservation, h.Addr, now)
+	c.d.scheduleLedgerCheck()
 	return true
 }
 
-// tellPlace tells the module how the asking for a place ended.
-func (c *Call) tellPlace(n int, place attempt.PlaceResult) {
+// notifyPlace tells the module how the asking for a place ended.
+func (c *Call) notifyPlace(index int, place attempt.PlaceResult) {
 	// A named request has one place at most: while it is not known whether it is held, no other is asked for.
 	known := place == attempt.Granted || place == attempt.Denied
-	if c.attempts[n].out && (known || c.job.Name == "") {
-		c.d.tell(gannethook.Held{ID: c.id, Attempt: n, OK: place == attempt.Granted})
+	if c.attempts[index].inFlight && (known || c.job.Name == "") {
+		c.d.handleEvent(gannethook.Held{ID: c.id, Attempt: index, OK: place == attempt.Granted})
 	}
 }
 
-// grants is what the answers to a request for a place mean for what may be held, and for reports of silence.
-var grants = map[attempt.PlaceResult]struct {
+// placeOutcomes is what the answers to a request for a place mean for what may be held, and for reports of silence.
+var placeOutcomes = map[attempt.PlaceResult]struct {
 	grant   heldstate.PlaceResult
 	outcome holdmonitor.Outcome
 }{
@@ -186,249 +186,251 @@
 	attempt.NoAnswer: {heldstate.NoAnswer, holdmonitor.NoAnswer},
 }
 
-// granted takes the answer to a hold that was asked for during attempt n. Where all was let go meanwhile
+// placeAnswered takes the answer to a hold that was asked for during attempt n. Where all was let go meanwhile
 // the ledger has it let go as well.
-func (c *Call) granted(h attempt.Held, n, epoch int, place attempt.PlaceResult) {
-	c.d.placed(h.Key, h.Addr, place)
-	if !c.forgotten && epoch == c.releases {
-		c.tellPlace(n, place)
+func (c *Call) placeAnswered(h attempt.Held, index, epoch int, place attempt.PlaceResult) {
+	c.d.placeRequestEnded(h.Key, h.Addr, place)
+	if !c.removed && epoch == c.releaseEpoch {
+		c.notifyPlace(index, place)
 	}
 }
 
 // release has all let go that may be held.
 func (c *Call) release() {
 	c.params = nil
-	c.releases++
+	c.releaseEpoch++
 	if c.key == "" {
 		return
 	}
-	if c.d.oldFaults.forgets(c.key) {
+	if c.d.regressions.dropsKey(c.key) {
 		return
 	}
-	c.lets = append(c.lets, time.Now())
-	c.d.held.RequestRelease(c.key, time.Now())
-	c.d.wanted = append(c.d.wanted, c.key)
+	c.releasedAt = append(c.releasedAt, time.Now())
+	c.d.ledger.RequestRelease(c.key, time.Now())
+	c.d.releaseRequests = append(c.d.releaseRequests, c.key)
 }
 
-// takenByStream notes the first event of the answer, with which all goes that is held.
-func (c *Call) takenByStream() {
+// recordStreamStart notes the first event of the answer, with which all goes that is held.
+func (c *Call) recordStreamStart() {
 	c.params = nil
-	c.releases++
-	c.d.hear()
-	c.d.held.StreamStarted(c.key, time.Now())
-	c.d.watch.Streaming(c.key)
-	c.d.heldChanged()
+	c.releaseEpoch++
+	c.d.pollLiveness()
+	c.d.ledger.StreamStarted(c.key, time.Now())
+	c.d.holdMonitor.Streaming(c.key)
+	c.d.scheduleLedgerCheck()
 }
 
-// owe has the ledger let go of all that is left of the request, now or later.
-func (c *Call) owe() {
-	c.d.anyOver = true
+// recordRequestEnd has the ledger let go of all that is left of the request, now or later.
+func (c *Call) recordRequestEnd() {
+	c.d.anyRequestEnded = true
 	for _, key := range c.keys {
-		if !c.d.oldFaults.forgets(key) {
-			c.d.held.RequestEnded(key, time.Now())
+		if !c.d.regressions.dropsKey(key) {
+			c.d.ledger.RequestEnded(key, time.Now())
 		}
 	}
-	c.d.heldChanged()
+	c.d.scheduleLedgerCheck()
 }
 
-// leftOut tells whether an attempt stays out although the request is answered, as where nothing may be called off.
-func (c *Call) leftOut() bool {
-	return !c.streaming && slices.ContainsFunc(c.attempts, func(a *try) bool { return a.out && a.off == nil })
+// hasUncancelledAttempt tells whether an attempt stays out although the request is answered, as where nothing may be called off.
+func (c *Call) hasUncancelledAttempt() bool {
+	return !c.streaming && slices.ContainsFunc(c.attempts, func(a *attemptState) bool { return a.inFlight && a.cancelResult == nil })
 }
 
-// newProbeKey returns a key of the form of the platform's request ids that no request has: a release by it lets go of nothing, and
+// newLivenessKey returns a key of the form of the platform's request ids that no request has: a release by it lets go of nothing, and
 // its answer proves that the server runs.
-func newProbeKey() string {
+func newLivenessKey() string {
 	var key [8]byte
 	rand.Read(key[:]) // never fails
 	return hex.EncodeToString(key[:])
 }
 
-// settleHeld schedules the releases that were asked for, where no attempt has followed.
-func (d *Driver) settleHeld() {
-	for _, key := range d.wanted {
-		d.held.ScheduleRelease(key, time.Now())
-		d.heldChanged()
+// scheduleReleases schedules the releases that were asked for, where no attempt has followed.
+func (d *Driver) scheduleReleases() {
+	for _, key := range d.releaseRequests {
+		d.ledger.ScheduleRelease(key, time.Now())
+		d.scheduleLedgerCheck()
 	}
-	d.wanted = d.wanted[:0]
+	d.releaseRequests = d.releaseRequests[:0]
 }
 
-// hear tells the ledger which of the servers that are in doubt have answered.
-func (d *Driver) hear() {
+// pollLiveness tells the ledger which of the servers that are in doubt have answered.
+func (d *Driver) pollLiveness() {
 	now := time.Now()
-	for _, server := range d.held.ServersToMonitor() {
+	for _, server := range d.ledger.ServersToMonitor() {
 		switch {
 		case faults.Broken(faults.BreakUnheard):
-			d.held.ServerAnswered(server, now, now.Add(-time.Second), now)
-		case faults.Broken(faults.BreakFirst) && !d.anyOver:
-			d.held.ServerAnswered(server, now, now, now)
+			d.ledger.ServerAnswered(server, now, now.Add(-time.Second), now)
+		case faults.Broken(faults.BreakFirst) && !d.anyRequestEnded:
+			d.ledger.ServerAnswered(server, now, now, now)
 		}
 		if sent, answered := d.cfg.Engines.LastAnswer(server); !sent.IsZero() {
-			d.held.ServerAnswered(server, sent, answered, now)
+			d.ledger.ServerAnswered(server, sent, answered, now)
 		}
 	}
-	d.hearAt = now.Add(hearEvery)
+	d.nextLivenessPoll = now.Add(livenessPollInterval)
 }
 
-// releaseDue makes the releases that are due, and passes on what the ledger reports. What is owed is looked through
+// startDueReleases makes the releases that are due, and passes on what the ledger reports. What is owed is looked through
 // only when something of it has changed, or is due: there may be thousands.
-func (d *Driver) releaseDue() {
+func (d *Driver) startDueReleases() {
 	now := time.Now()
-	d.reportSilence(now)
-	if !d.held.MayBeDue() || now.Before(d.heldAt) {
+	d.reportUnanswered(now)
+	if !d.ledger.MayBeDue() || now.Before(d.nextLedgerCheck) {
 		return
 	}
-	if !now.Before(d.hearAt) {
-		d.hear()
+	if !now.Before(d.nextLivenessPoll) {
+		d.pollLiveness()
 	}
-	d.makeReleases(d.held.Due(now))
-	d.reportHeld()
-	d.lookedAt, d.heldAt = now, now.Add(time.Hour)
-	if next := d.held.Next(); !next.IsZero() {
-		d.heldAt = next
+	d.startReleases(d.ledger.Due(now))
+	d.deliverReports()
+	d.lastLedgerCheck, d.nextLedgerCheck = now, now.Add(time.Hour)
+	if next := d.ledger.Next(); !next.IsZero() {
+		d.nextLedgerCheck = next
 	}
-	if len(d.held.UnconfirmedServers()) > 0 && d.hearAt.Before(d.heldAt) {
-		d.heldAt = d.hearAt
+	if len(d.ledger.UnconfirmedServers()) > 0 && d.nextLivenessPoll.Before(d.nextLedgerCheck) {
+		d.nextLedgerCheck = d.nextLivenessPoll
 	}
 }
 
-// reportSilence passes on which requests nothing was heard of although servers may hold something for them.
-func (d *Driver) reportSilence(now time.Time) {
-	for _, r := range d.watch.Due(now) {
+// reportUnanswered passes on which requests nothing was heard of although servers may hold something for them.
+func (d *Driver) reportUnanswered(now time.Time) {
+	for _, r := range d.holdMonitor.Due(now) {
 		if d.cfg.OnSilence != nil {
 			d.cfg.OnSilence(r)
 		}
 	}
 }
 
-// heldChanged has what is owed looked through again, soon.
-func (d *Driver) heldChanged() { d.heldAt = d.lookedAt.Add(lookEvery) }
+// scheduleLedgerCheck has what is owed looked through again, soon.
+func (d *Driver) scheduleLedgerCheck() {
+	d.nextLedgerCheck = d.lastLedgerCheck.Add(ledgerCheckInterval)
+}
 
-func (d *Driver) reportHeld() {
-	for _, r := range d.held.Reports() {
+func (d *Driver) deliverReports() {
+	for _, r := range d.ledger.Reports() {
 		if d.cfg.OnPendingRelease != nil {
 			d.cfg.OnPendingRelease(r)
 		}
 	}
-	for _, f := range d.held.Abandoned() {
-		d.cfg.Guard.Check(guard.Abandon, guard.MayAbandon(guard.AbandonFacts{Stopped: f.Reason == heldstate.RouterStopped}), f.Request)
+	for _, entry := range d.ledger.Abandoned() {
+		d.cfg.Guard.Check(guard.Abandon, guard.MayAbandon(guard.AbandonFacts{Stopped: entry.Reason == heldstate.RouterStopped}), entry.Request)
 		if d.cfg.OnAbandoned != nil {
-			d.cfg.OnAbandoned(f)
+			d.cfg.OnAbandoned(entry)
 		}
 	}
 }
 
-// nextRelease is in how long the ledger may have something to do.
-func (d *Driver) nextRelease() time.Duration {
+// untilNextCheck is in how long the ledger may have something to do.
+func (d *Driver) untilNextCheck() time.Duration {
 	wait := time.Hour
-	if next := d.watch.Next(); !next.IsZero() {
+	if next := d.holdMonitor.Next(); !next.IsZero() {
 		wait = time.Until(next)
 	}
-	if d.held.MayBeDue() {
-		wait = min(wait, time.Until(d.heldAt))
+	if d.ledger.MayBeDue() {
+		wait = min(wait, time.Until(d.nextLedgerCheck))
 	}
 	return wait
 }
 
-// makeReleases makes releases on goroutines of their own.
-func (d *Driver) makeReleases(calls []heldstate.ReleaseCall) {
+// startReleases makes releases on goroutines of their own.
+func (d *Driver) startReleases(calls []heldstate.ReleaseCall) {
 	for _, call := range calls {
-		if d.oldFaults.leavesOut(call) {
-			d.held.ReleaseEnded(call, heldstate.ReleaseResult{Acknowledged: true, SentAt: time.Now()}, time.Now())
+		if d.regressions.skips(call) {
+			d.ledger.ReleaseEnded(call, heldstate.ReleaseResult{Acknowledged: true, SentAt: time.Now()}, time.Now())
 			continue
 		}
-		list := make([]attempt.Held, 0, len(call.Servers)+1)
+		targets := make([]attempt.Held, 0, len(call.Servers)+1)
 		for _, server := range call.Servers {
-			list = append(list, attempt.Held{Addr: server, Key: call.Key})
+			targets = append(targets, attempt.Held{Addr: server, Key: call.Key})
 		}
-		if len(list) == 0 {
-			list = append(list, attempt.Held{Key: call.Key})
+		if len(targets) == 0 {
+			targets = append(targets, attempt.Held{Key: call.Key})
 		}
 		if call.Liveness {
-			list[0].Key = d.probeKey
+			targets[0].Key = d.livenessKey
 		}
 		if call.Probe {
-			d.work.Go(func() {
-				r := d.cfg.Engines.ReleaseAt(context.WithoutCancel(d.ctx), list[0])
-				d.post(func() { d.released(call, r) })
+			d.background.Go(func() {
+				r := d.cfg.Engines.ReleaseAt(context.WithoutCancel(d.ctx), targets[0])
+				d.post(func() { d.releaseEnded(call, r) })
 			})
 			continue
 		}
-		d.watch.Sent(call.Key, "", 0, holdmonitor.Release, "", time.Now())
-		earlier, gone := d.going[call.Key], make(chan struct{})
-		d.going[call.Key] = gone
-		d.work.Go(func() {
+		d.holdMonitor.Sent(call.Key, "", 0, holdmonitor.Release, "", time.Now())
+		earlier, done := d.releasesInFlight[call.Key], make(chan struct{})
+		d.releasesInFlight[call.Key] = done
+		d.background.Go(func() {
 			if wait := time.Until(call.NotBefore); !call.NotBefore.IsZero() && wait > 0 {
 				time.Sleep(wait)
 			}
-			r := d.release(call, list)
+			r := d.sendRelease(call, targets)
 			if earlier != nil {
 				<-earlier
 			}
-			close(gone)
+			close(done)
 			d.post(func() {
-				if d.going[call.Key] == gone {
-					delete(d.going, call.Key)
+				if d.releasesInFlight[call.Key] == done {
+					delete(d.releasesInFlight, call.Key)
 				}
-				d.released(call, r)
+				d.releaseEnded(call, r)
 			})
 		})
 	}
 }
 
-// release makes one release.
-func (d *Driver) release(call heldstate.ReleaseCall, list []attempt.Held) attempt.ReleaseResult {
+// sendRelease makes one release.
+func (d *Driver) sendRelease(call heldstate.ReleaseCall, targets []attempt.Held) attempt.ReleaseResult {
 	ctx := context.WithoutCancel(d.ctx)
 	if call.SuspectedOnly {
 		return d.cfg.Engines.ReleaseAt(ctx, attempt.Held{Key: call.Key})
 	}
-	return d.cfg.Engines.Release(ctx, list)
+	return d.cfg.Engines.Release(ctx, targets)
 }
 
-// placed notes how the asking for a place ended.
-func (d *Driver) placed(key, server string, place attempt.PlaceResult) {
-	end, now := grants[place], time.Now()
-	d.held.PlaceRequestEnded(key, server, end.grant, now)
-	d.watch.Ended(key, holdmonitor.Reservation, server, end.outcome, now)
-	d.heldChanged()
+// placeRequestEnded notes how the asking for a place ended.
+func (d *Driver) placeRequestEnded(key, server string, place attempt.PlaceResult) {
+	outcome, now := placeOutcomes[place], time.Now()
+	d.ledger.PlaceRequestEnded(key, server, outcome.grant, now)
+	d.holdMonitor.Ended(key, holdmonitor.Reservation, server, outcome.outcome, now)
+	d.scheduleLedgerCheck()
 }
 
-func (d *Driver) released(call heldstate.ReleaseCall, r attempt.ReleaseResult) {
+func (d *Driver) releaseEnded(call heldstate.ReleaseCall, r attempt.ReleaseResult) {
 	if !r.Acknowledged && !call.Probe && faults.Broken(faults.BreakGiveUp) {
 		r = attempt.ReleaseResult{Acknowledged: true, SentAt: time.Now()}
 	}
-	d.held.ReleaseEnded(call, heldstate.ReleaseResult(r), time.Now())
+	d.ledger.ReleaseEnded(call, heldstate.ReleaseResult(r), time.Now())
 	if !call.Probe {
-		how := holdmonitor.NoAnswer
+		outcome := holdmonitor.NoAnswer
 		if r.Acknowledged {
-			how = holdmonitor.Answered
+			outcome = holdmonitor.Answered
 		}
-		d.watch.Ended(call.Key, holdmonitor.Release, r.Server, how, time.Now())
+		d.holdMonitor.Ended(call.Key, holdmonitor.Release, r.Server, outcome, time.Now())
 	}
-	d.heldChanged()
+	d.scheduleLedgerCheck()
 }
 
 // SetReleaseDeadline sets until when Run goes on letting go of what is held after its context has ended.
-func (d *Driver) SetReleaseDeadline(until time.Time) { d.lingerUntil.Store(&until) }
-
-// linger lets go of what is owed once the context has ended and all is answered, for as long as it may.
-func (d *Driver) linger(alarm *time.Timer) {
-	end := time.Now().Add(lingerShort)
-	if until := d.lingerUntil.Load(); until != nil {
-		end = *until
-	}
-	over := time.NewTimer(time.Until(end))
-	defer over.Stop()
-	for d.held.HasConfirmedPending() {
-		d.releaseDue()
-		alarm.Reset(max(d.nextRelease(), 0))
+func (d *Driver) SetReleaseDeadline(deadline time.Time) { d.releaseDeadline.Store(&deadline) }
+
+// releaseUntilDeadline lets go of what is owed once the context has ended and all is answered, for as long as it may.
+func (d *Driver) releaseUntilDeadline(wakeTimer *time.Timer) {
+	end := time.Now().Add(defaultReleaseTimeout)
+	if deadline := d.releaseDeadline.Load(); deadline != nil {
+		end = *deadline
+	}
+	deadlineTimer := time.NewTimer(time.Until(end))
+	defer deadlineTimer.Stop()
+	for d.ledger.HasConfirmedPending() {
+		d.startDueReleases()
+		wakeTimer.Reset(max(d.untilNextCheck(), 0))
 		select {
 		case f := <-d.inbox:
-			d.run(f)
-		case <-alarm.C:
-		case <-over.C:
-			d.held.Stop(time.Now())
-			d.reportHeld()
+			d.runTask(f)
+		case <-wakeTimer.C:
+		case <-deadlineTimer.C:
+			d.ledger.Stop(time.Now())
+			d.deliverReports()
 			return
 		}
 	}
--- a/internal/driver/reconfigure_test.go
+++ b/internal/driver/reconfigure_test.go
@@ -11,44 +11,44 @@
 	"gannethook/internal/attempt"
 )
 
-// told are engines that keep what they were told of each write.
-type told struct {
-	*fake
+// recordingEngines are engines that keep what they were told of each write.
+type recordingEngines struct {
+	*fakeEngines
 	calls []*attempt.Call
 }
 
-func (e *told) Write(ctx context.Context, call *attempt.Call, started func() bool, token func([]byte) bool) attempt.Result {
+func (e *recordingEngines) Write(ctx context.Context, call *attempt.Call, started func() bool, token func([]byte) bool) attempt.Result {
 	e.mu.Lock()
 	e.calls = append(e.calls, call)
 	e.mu.Unlock()
-	return e.fake.Write(ctx, call, started, token)
+	return e.fakeEngines.Write(ctx, call, started, token)
 }
 
 // Settings that number classes, tenants and kinds otherwise: a job that carries their names gets the numbers of the
 // moment in which it is taken, one whose class is gone is refused, and one under way stays what it was.
 func TestReconfigure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e := &told{fake: newFake()}
-		e.read = time.Second
+		e := &recordingEngines{fakeEngines: newFakeEngines()}
+		e.readTime = time.Second
 		var taken []gannethook.Request
 		module, err := gannethook.New(testSettings(), 1)
 		if err != nil {
 			t.Fatal(err)
 		}
 		d, err := New(Config{Settings: testSettings(), Names: Names{Classes: []string{"safe", "unsafe"}}, Inbox: 10, MaxOpen: 10,
-			Engines: e, Decider: decide(func(ev gannethook.Event) []gannethook.Action {
+			Engines: e, Decider: deciderFunc(func(ev gannethook.Event) []gannethook.Action {
 				if q, ok := ev.(gannethook.Request); ok {
 					taken = append(taken, q)
 				}
 				return module.Handle(gannethook.Millis(time.Now().UnixMilli()), ev)
 			})})
-		stop := drive(t, d, err)
+		stop := startDriver(t, d, err)
 		list := gannethook.Membership{Whole: true, Servers: []gannethook.Server{{ID: "r", State: gannethook.Ready},
 			{ID: "w", Kind: 1, State: gannethook.Ready}}}
 		d.Update(list)
-		named := func(class, tenant string) *sink {
+		named := func(class, tenant string) *recordingSink {
 			s := newSink(t)
-			j := job(0)
+			j := newJob(0)
 			j.ClassName, j.TenantName = class, tenant
 			if _, err := d.Submit(j, s); err != nil {
 				t.Fatal(err)
@@ -84,19 +84,19 @@
 }
 
 // How long a send may take to be written goes to who writes it.
-func TestWithin(t *testing.T) {
+func TestWriteDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e := &told{fake: newFake()}
+		e := &recordingEngines{fakeEngines: newFakeEngines()}
 		d, err := New(Config{Settings: testSettings(), Inbox: 10, MaxOpen: 10, Engines: e,
-			Decider: decide(func(ev gannethook.Event) []gannethook.Action {
+			Decider: deciderFunc(func(ev gannethook.Event) []gannethook.Action {
 				if q, ok := ev.(gannethook.Request); ok {
 					return []gannethook.Action{gannethook.Send{ID: q.ID, Server: "w", Within: 300}}
 				}
 				return nil
 			})})
-		stop := drive(t, d, err)
+		stop := startDriver(t, d, err)
 		from := time.Now()
-		if _, a := ask(t, d, 0); a.Outcome != Served || len(e.calls) != 1 || e.calls[0].WriteDeadline.Sub(from) != 300*ms {
+		if _, a := submitAndWait(t, d, 0); a.Outcome != Served || len(e.calls) != 1 || e.calls[0].WriteDeadline.Sub(from) != 300*ms {
 			t.Errorf("%+v, %+v", a, e.calls)
 		}
 		stop()
--- a/internal/driver/oldfaults.go
+++ b/internal/driver/regressions.go
@@ -5,12 +5,12 @@
 	"gannethook/internal/heldstate"
 )
 
-// oldFaults are the keys beside whose write a release was made, in a build that brings back a fault that was once made: with
+// regressions are the keys beside whose write a release was made, in a build that brings back a fault that was once made: with
 // forget and spared such a release counted as the last one that is needed. In the shipped build nothing is ever added.
-type oldFaults map[string]bool
+type regressions map[string]bool
 
-// leavesOut tells whether a release is not made, as in the fault that is brought back.
-func (o oldFaults) leavesOut(c heldstate.ReleaseCall) bool {
+// skips tells whether a release is not made, as in the fault that is brought back.
+func (o regressions) skips(c heldstate.ReleaseCall) bool {
 	if !faults.Enabled || c.Probe {
 		return false
 	}
@@ -21,7 +21,7 @@
 		return c.Concurrent == heldstate.ReadInFlight
 	case faults.Broken(faults.BreakSpared) && o[c.Key]:
 		return c.Concurrent != heldstate.NoAttempt || c.Flush
-	case o.forgets(c.Key):
+	case o.dropsKey(c.Key):
 		return true
 	}
 	if c.Concurrent == heldstate.WriteInFlight && (faults.Broken(faults.BreakSpared) || faults.Broken(faults.BreakForget)) {
@@ -30,7 +30,7 @@
 	return false
 }
 
-// forgets tells whether nothing more is let go by a key, as in the fault that is brought back.
-func (o oldFaults) forgets(key string) bool {
+// dropsKey tells whether nothing more is let go by a key, as in the fault that is brought back.
+func (o regressions) dropsKey(key string) bool {
 	return faults.Broken(faults.BreakForget) && o[key]
 }
--- a/internal/driver/repeat.go
+++ b/internal/driver/repeat.go
@@ -20,28 +20,28 @@
 	After    time.Duration
 }
 
-// noteEnd notes when the router closed an attempt's connection before its answer had ended.
-func (a *try) noteEnd(r attempt.Result, closed time.Time) {
-	if endOf(r) == heldstate.ClosedByRouter {
-		a.closed = closed
+// recordClose notes when the router closed an attempt's connection before its answer had ended.
+func (a *attemptState) recordClose(r attempt.Result, closedAt time.Time) {
+	if attemptEnd(r) == heldstate.ClosedByRouter {
+		a.closedAt = closedAt
 	}
 }
 
-// noteRepeat tells of the earlier attempt that comes nearest before what was sent at a time: a further attempt, or a refusal.
-func (c *Call) noteRepeat(before int, server string, reads bool, sent time.Time) {
+// reportRepeat tells of the earlier attempt that comes nearest before what was sent at a time: a further attempt, or a refusal.
+func (c *Call) reportRepeat(before int, server string, reads bool, sent time.Time) {
 	if c.d.cfg.OnRepeat == nil || c.effect() == guard.Safe || sent.IsZero() {
 		return
 	}
 	r, found := Repeat{Request: c.job.Name, Server: server, Reads: reads}, false
 	for _, a := range c.attempts[:before] {
 		switch {
-		case a.closed.IsZero() && !a.out:
+		case a.closedAt.IsZero() && !a.inFlight:
 			continue // answered, never sent, or ended by its server
-		case a.out:
+		case a.inFlight:
 			r.Earlier, r.Ended, r.InFlight, r.After = string(a.server), "in flight", true, 0
 			found = true
-		case !found || !r.InFlight && sent.Sub(a.closed) < r.After:
-			r.Earlier, r.Ended, r.After = string(a.server), a.detail, sent.Sub(a.closed)
+		case !found || !r.InFlight && sent.Sub(a.closedAt) < r.After:
+			r.Earlier, r.Ended, r.After = string(a.server), a.detail, sent.Sub(a.closedAt)
 			found = true
 		}
 	}
--- a/internal/driver/timers.go
+++ b/internal/driver/timers.go
@@ -9,11 +9,11 @@
 
 // timer is a wake-up of the module's, or an attempt's time-out.
 type timer struct {
-	at   time.Time
-	turn uint64 // equal times go off in the order of setting
-	ref  uint64
-	call *Call
-	n    int
+	at      time.Time
+	seq     uint64 // equal times go off in the order of setting
+	ref     uint64
+	call    *Call
+	attempt int
 }
 
 type timers []timer
@@ -23,7 +23,7 @@
 func (t timers) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
 
 func (t timers) Less(i, j int) bool {
-	return t[i].at.Before(t[j].at) || t[i].at.Equal(t[j].at) && t[i].turn < t[j].turn
+	return t[i].at.Before(t[j].at) || t[i].at.Equal(t[j].at) && t[i].seq < t[j].seq
 }
 
 func (t *timers) Push(x any) { *t = append(*t, x.(timer)) }
@@ -36,30 +36,30 @@
 	return last
 }
 
-func (d *Driver) after(in time.Duration, t timer) {
-	d.turn++
-	t.at, t.turn = time.Now().Add(max(in, 0)), d.turn
+func (d *Driver) schedule(in time.Duration, t timer) {
+	d.timerSeq++
+	t.at, t.seq = time.Now().Add(max(in, 0)), d.timerSeq
 	heap.Push(&d.timers, t)
 }
 
-func (d *Driver) nextAlarm() time.Duration {
-	next := d.nextRelease()
+func (d *Driver) untilNextEvent() time.Duration {
+	next := d.untilNextCheck()
 	if len(d.timers) > 0 {
 		next = min(next, time.Until(d.timers[0].at))
 	}
 	return max(next, 0)
 }
 
-// fireDue lets due timers go off. They go before what waits in the inbox: a
+// fireDueTimers lets due timers go off. They go before what waits in the inbox: a
 // deadline is kept although much has come in.
-func (d *Driver) fireDue() {
+func (d *Driver) fireDueTimers() {
 	now := time.Now()
 	for len(d.timers) > 0 && !d.timers[0].at.After(now) {
 		t := heap.Pop(&d.timers).(timer)
 		if t.call != nil {
-			t.call.timedOut(t.n)
+			t.call.attemptTimedOut(t.attempt)
 			continue
 		}
-		d.tell(gannethook.Wakeup{Ref: t.ref})
+		d.handleEvent(gannethook.Wakeup{Ref: t.ref})
 	}
 }
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -31,11 +31,11 @@
 	Unanswered            // a request was taken and has no answer
 	HeldAtStop            // something may be held as the router's time to end is over
 	HeldOverLimit         // something may be held, and there is no room to owe more
-	reasons
+	numReasons
 )
 
 func (r Reason) String() string {
-	return [reasons]string{"allowed", "called off", "server not listed", "server draining", "deadline passed", "key window passed",
+	return [numReasons]string{"allowed", "called off", "server not listed", "server draining", "deadline passed", "key window passed",
 		"client gone", "id already open", "already answered", "already streaming", "earlier attempt still out",
 		"earlier attempt may have run", "request unanswered", "held at the stop", "too much held"}[r]
 }
@@ -51,11 +51,11 @@
 	Refuse                // a client is told that nothing was done
 	Close                 // a client's connection is closed
 	Abandon               // what may be held for a request is forgotten without proof
-	actions
+	numActions
 )
 
 func (a Action) String() string {
-	return [actions]string{"start", "send", "write", "refuse", "close", "forget"}[a]
+	return [numActions]string{"start", "send", "write", "refuse", "close", "forget"}[a]
 }
 
 // Effect is what running a request twice does.
--- a/internal/guard/monitor.go
+++ b/internal/guard/monitor.go
@@ -21,7 +21,7 @@
 // concurrent use.
 type Monitor struct {
 	report     func(Denial) // may be called from anywhere, and must not wait
-	denied     [actions][reasons]atomic.Int64
+	denied     [numActions][numReasons]atomic.Int64
 	violations atomic.Int64
 }
 
--- a/internal/holdmonitor/monitor.go
+++ b/internal/holdmonitor/monitor.go
@@ -21,9 +21,9 @@
 	maxKeys  = 4096 // keys watched at once; beyond them a new one is not watched
 	maxCalls = 16   // calls of a key that a report tells of: the last ones
 
-	reportPart = 0.5                    // part of the pin limit after which silence is reported
-	defaultPin = 500 * time.Millisecond // taken where the settings name no limit
-	maxAge     = 2 * time.Minute        // for which a key is watched after it was last heard
+	reportFraction  = 0.5                    // part of the pin limit after which silence is reported
+	defaultPinLimit = 500 * time.Millisecond // taken where the settings name no limit
+	maxAge          = 2 * time.Minute        // for which a key is watched after it was last heard
 )
 
 // Kind is a kind of call.
@@ -54,34 +54,34 @@
 	return [...]string{"no answer", "answered", "turned away", "not sent"}[o]
 }
 
-// heard tells that the server answered.
-func (o Outcome) heard() bool { return o == Answered || o == Rejected }
+// answered tells that the server answered.
+func (o Outcome) answered() bool { return o == Answered || o == Rejected }
 
-// leaves tells that the server may hold something.
-func (o Outcome) leaves() bool { return o == NoAnswer || o == Answered }
+// mayHold tells that the server may hold something.
+func (o Outcome) mayHold() bool { return o == NoAnswer || o == Answered }
 
 // call is one call for a key.
 type call struct {
 	kind    Kind
 	server  string
-	sent    time.Time
-	ended   time.Time // zero: it is in flight
+	sentAt  time.Time
+	endedAt time.Time // zero: it is in flight
 	outcome Outcome
 }
 
-// key is what is known of one key.
-type key struct {
-	request  string
-	pin      time.Duration
-	calls    []call
-	heard    time.Time // when a server last answered one of its calls, or the first was sent
-	reported bool      // since it was last heard
-	left     bool      // a call that has ended may have left something
+// watchedKey is what is known of one key.
+type watchedKey struct {
+	request    string
+	pinLimit   time.Duration
+	calls      []call
+	lastAnswer time.Time // when a server last answered one of its calls, or the first was sent
+	reported   bool      // since it was last heard
+	mayHold    bool      // a call that has ended may have left something
 }
 
 // reportAt is when the key is reported, unless it is heard before.
-func (k *key) reportAt() time.Time {
-	return k.heard.Add(time.Duration(reportPart * float64(k.pin)))
+func (k *watchedKey) reportAt() time.Time {
+	return k.lastAnswer.Add(time.Duration(reportFraction * float64(k.pinLimit)))
 }
 
 // Report tells of a key of which nothing was heard.
@@ -93,69 +93,69 @@
 
 // Monitor watches keys. It is not safe for concurrent use.
 type Monitor struct {
-	keys map[string]*key
-	next time.Time // no report is due before; zero: none is due
+	keys      map[string]*watchedKey
+	nextCheck time.Time // no report is due before; zero: none is due
 }
 
 // New returns an empty watch.
-func New() *Monitor { return &Monitor{keys: map[string]*key{}} }
+func New() *Monitor { return &Monitor{keys: map[string]*watchedKey{}} }
 
 // Sent notes that a call is sent. A release alone is not watched: its key holds nothing.
-func (w *Monitor) Sent(name, request string, pin time.Duration, kind Kind, server string, now time.Time) {
-	k := w.keys[name]
+func (m *Monitor) Sent(keyName, request string, pinLimit time.Duration, kind Kind, server string, now time.Time) {
+	k := m.keys[keyName]
 	if k == nil {
-		if kind == Release || len(w.keys) >= maxKeys {
+		if kind == Release || len(m.keys) >= maxKeys {
 			return
 		}
-		if pin <= 0 {
-			pin = defaultPin
+		if pinLimit <= 0 {
+			pinLimit = defaultPinLimit
 		}
-		k = &key{request: request, pin: pin, heard: now}
-		w.keys[name] = k
-		w.lookAt(k.reportAt())
+		k = &watchedKey{request: request, pinLimit: pinLimit, lastAnswer: now}
+		m.keys[keyName] = k
+		m.scheduleCheck(k.reportAt())
 	}
 	if len(k.calls) >= maxCalls {
 		k.calls = append(k.calls[:0], k.calls[1:]...)
 	}
-	k.calls = append(k.calls, call{kind: kind, server: server, sent: now})
+	k.calls = append(k.calls, call{kind: kind, server: server, sentAt: now})
 }
 
 // Ended notes how a call ended.
-func (w *Monitor) Ended(name string, kind Kind, server string, how Outcome, now time.Time) {
-	k := w.keys[name]
+func (m *Monitor) Ended(keyName string, kind Kind, server string, outcome Outcome, now time.Time) {
+	k := m.keys[keyName]
 	if k == nil {
 		return
 	}
-	sent := k.end(kind, server, how, now)
-	if kind != Release && how.leaves() {
-		k.left = true
+	sentAt := k.recordEnd(kind, server, outcome, now)
+	if kind != Release && outcome.mayHold() {
+		k.mayHold = true
 	}
-	if how.heard() {
-		k.heard, k.reported = now, false
-		w.lookAt(k.reportAt())
+	if outcome.answered() {
+		k.lastAnswer, k.reported = now, false
+		m.scheduleCheck(k.reportAt())
 	}
-	if kind == Release && how == Answered && k.endedBefore(sent) || !k.left && k.endedBefore(now) {
-		delete(w.keys, name)
+	if kind == Release && outcome == Answered && k.attemptsEndedBy(sentAt) || !k.mayHold && k.attemptsEndedBy(now) {
+		delete(m.keys, keyName)
 	}
 }
 
-// end notes the end of a key's last call of a kind that is in flight, and returns when it was sent. A release names its
+// recordEnd notes the end of a key's last call of a kind that is in flight, and returns when it was sent. A release names its
 // server only once one has taken it.
-func (k *key) end(kind Kind, server string, how Outcome, now time.Time) (sent time.Time) {
+func (k *watchedKey) recordEnd(kind Kind, server string, outcome Outcome, now time.Time) (sentAt time.Time) {
 	for i := len(k.calls) - 1; i >= 0; i-- {
 		c := &k.calls[i]
-		if c.kind == kind && c.ended.IsZero() && (kind == Release || c.server == server) {
-			c.ended, c.outcome, c.server = now, how, server
-			return c.sent
+		if c.kind == kind && c.endedAt.IsZero() && (kind == Release || c.server == server) {
+			c.endedAt, c.outcome, c.server = now, outcome, server
+			return c.sentAt
 		}
 	}
 	return time.Time{}
 }
 
-// endedBefore tells whether all calls but releases had ended by a time.
-func (k *key) endedBefore(at time.Time) bool {
+// attemptsEndedBy tells whether all calls but releases had ended by a time.
+func (k *watchedKey) attemptsEndedBy(at time.Time) bool {
 	for _, c := range k.calls {
-		if c.kind != Release && (c.ended.IsZero() || c.ended.After(at)) {
+		if c.kind != Release && (c.endedAt.IsZero() || c.endedAt.After(at)) {
 			return false
 		}
 	}
@@ -163,55 +163,55 @@
 }
 
 // Streaming notes the first event of an answer, with which all goes that is held.
-func (w *Monitor) Streaming(name string) { delete(w.keys, name) }
+func (m *Monitor) Streaming(keyName string) { delete(m.keys, keyName) }
 
 // Len is how many keys are watched.
-func (w *Monitor) Len() int { return len(w.keys) }
+func (m *Monitor) Len() int { return len(m.keys) }
 
 // Next is when Due may have a report; zero: not before something else is told.
-func (w *Monitor) Next() time.Time { return w.next }
+func (m *Monitor) Next() time.Time { return m.nextCheck }
 
-func (w *Monitor) lookAt(at time.Time) {
-	if w.next.IsZero() || at.Before(w.next) {
-		w.next = at
+func (m *Monitor) scheduleCheck(at time.Time) {
+	if m.nextCheck.IsZero() || at.Before(m.nextCheck) {
+		m.nextCheck = at
 	}
 }
 
 // Due returns a report of each key of which nothing was heard for half of its pin
 // limit, once until it is heard again.
-func (w *Monitor) Due(now time.Time) []Report {
-	if w.next.IsZero() || now.Before(w.next) {
+func (m *Monitor) Due(now time.Time) []Report {
+	if m.nextCheck.IsZero() || now.Before(m.nextCheck) {
 		return nil
 	}
-	w.next = time.Time{}
+	m.nextCheck = time.Time{}
 	var reports []Report
-	for name, k := range w.keys {
+	for keyName, k := range m.keys {
 		at := k.reportAt()
 		switch {
-		case now.Sub(k.heard) > maxAge:
-			delete(w.keys, name)
+		case now.Sub(k.lastAnswer) > maxAge:
+			delete(m.keys, keyName)
 			continue
 		case k.reported:
-			at = k.heard.Add(maxAge + time.Millisecond)
+			at = k.lastAnswer.Add(maxAge + time.Millisecond)
 		case !at.After(now):
 			k.reported = true
-			reports = append(reports, Report{Request: k.request, SilentFor: now.Sub(k.heard), Calls: k.describe(now)})
-			at = k.heard.Add(maxAge + time.Millisecond)
+			reports = append(reports, Report{Request: k.request, SilentFor: now.Sub(k.lastAnswer), Calls: k.describe(now)})
+			at = k.lastAnswer.Add(maxAge + time.Millisecond)
 		}
-		w.lookAt(at)
+		m.scheduleCheck(at)
 	}
 	return reports
 }
 
 // describe tells of a key's last calls.
-func (k *key) describe(now time.Time) []string {
+func (k *watchedKey) describe(now time.Time) []string {
 	list := make([]string, 0, len(k.calls))
 	for _, c := range k.calls {
 		state := "in flight"
-		if !c.ended.IsZero() {
-			state = fmt.Sprintf("ended after %v: %s", c.ended.Sub(c.sent).Round(time.Millisecond), c.outcome)
+		if !c.endedAt.IsZero() {
+			state = fmt.Sprintf("ended after %v: %s", c.endedAt.Sub(c.sentAt).Round(time.Millisecond), c.outcome)
 		}
-		list = append(list, fmt.Sprintf("%s at %s sent %v ago, %s", c.kind, c.server, now.Sub(c.sent).Round(time.Millisecond), state))
+		list = append(list, fmt.Sprintf("%s at %s sent %v ago, %s", c.kind, c.server, now.Sub(c.sentAt).Round(time.Millisecond), state))
 	}
 	return list
 }
--- a/internal/holdmonitor/monitor_test.go
+++ b/internal/holdmonitor/monitor_test.go
@@ -10,7 +10,7 @@
 const ms = time.Millisecond
 
 // A request whose read and reservation are not answered is reported while it is open, once, and again after it was heard.
-func TestSilenceIsReported(t *testing.T) {
+func TestUnansweredKeyIsReported(t *testing.T) {
 	w, now := New(), time.Unix(1000, 0)
 	look := func(after time.Duration, want int) []Report {
 		t.Helper()
@@ -46,7 +46,7 @@
 }
 
 // What was not sent or was turned away leaves nothing to watch.
-func TestNothingLeft(t *testing.T) {
+func TestNotMonitoredWhenNothingHeld(t *testing.T) {
 	w, now := New(), time.Unix(1000, 0)
 	w.Sent("k", "r", 0, Read, "reader", now)
 	w.Sent("k", "r", 0, Reservation, "writer", now)
