--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -1,5 +1,5 @@
-// Package attempt has what the driver and its ways out to servers tell each
-// other of one attempt, whatever protocol carries it.
+// Package attempt defines the types that the driver exchanges with the clients for workers: an attempt, its result, and
+// the held state of a request. They do not depend on the protocol that carries the attempt.
 package attempt
 
 import (
@@ -10,69 +10,68 @@
 	"gannethook/internal/http1"
 )
 
-// Call is one attempt at a server.
+// Call describes one attempt at a server.
 type Call struct {
-	Addr          string // or another name that the way out knows the server by
-	Key           string // names the read and its state at the servers
+	Addr          string // address, or another name by which the client for workers knows the server
+	Key           string // identifies the read and its held state at the servers
 	Model         string
 	Class         string
 	Tenant        string
 	Idempotency   string
 	Prompt        string
 	MaxTokens     int
-	PromptSize    float64 // tokens, as the router counts them
-	PrefixKey     string  // the shared beginning, for servers that keep text by it
-	Params        json.RawMessage
-	Sampling      json.RawMessage         // an object of fields that the server takes as they are
-	Path          string                  // of a request that goes as it came, and of one-stage work
-	Header        http1.Header            // of a request that goes as it came: the fields that are passed on
-	Body          []byte                  // its body, as the server takes it,
-	CheckAnswer   func(body []byte) error // and whether an answer is one
-	Deadline      time.Time               // how long the router will wait; zero: not known
-	WriteDeadline time.Time               // it has to be written by then, or not at all; zero: whenever
-	ClientGone    func() bool             // whether its client has left; nil: not known. Nothing begins for one that has
-	Unsafe        bool                    // it may not be made again once it may have run
-	RetriesLeft   int                     // attempts that its request may make after it; negative: any number
-	Trace         bool                    // somebody logs what became of it
-	Connection    string                  // told by the way out: the connection that it went by, for the log
-	Written       *Signal                 // set when the request's last byte is written; nil: nobody asks
+	PromptSize    float64                 // in tokens, by the router's own count
+	PrefixKey     string                  // key of the shared prefix, for servers that cache by it
+	Params        json.RawMessage         // of a write: the parameters that the read returned; nil: the server reads the prompt itself
+	Sampling      json.RawMessage         // JSON object with sampling fields, passed to the server unchanged
+	Path          string                  // server path of one-stage work and of a request that is forwarded unchanged
+	Header        http1.Header            // header fields passed on with a request that is forwarded unchanged
+	Body          []byte                  // request body in the server's format
+	CheckAnswer   func(body []byte) error // validates the answer to Body
+	Deadline      time.Time               // until when the router waits for the answer; zero: unknown
+	WriteDeadline time.Time               // the request is not sent unless it is written by then; zero: no limit
+	ClientGone    func() bool             // reports whether the client has disconnected; nil: unknown. No attempt starts for such a client
+	Unsafe        bool                    // not to be repeated once it may have run
+	RetriesLeft   int                     // attempts that the request may still make after this one; negative: unlimited
+	Trace         bool                    // the result is logged
+	Connection    string                  // set by the client for workers: the connection that carried the attempt, for the log
+	Written       *Signal                 // set once the last byte of the request is written; nil: not needed
 }
 
-// Result tells how an attempt ended.
+// Result describes how an attempt ended.
 type Result struct {
 	Outcome        gannethook.Outcome
 	NoState        bool
 	Reported       bool
 	Memory         float64
-	Params         json.RawMessage // of a read that is done
-	CachedTokens   float64         // the same: tokens of the prompt that the server had kept; 0: none, or it did not tell
+	Params         json.RawMessage // of a completed read: parameters for the write
+	CachedTokens   float64         // of a completed read: prompt tokens found in the server's cache; 0: none or not reported
 	Tokens         int
-	Body           json.RawMessage // of one-stage work that is done
-	Detail         string          // why, for the log
-	Interrupted    bool            // the connection ended before the answer had come whole: its server may not have noticed
-	ClosedByServer bool            // the server's end of the connection ended it: it does not go on with the attempt
-	BegunBy        time.Time       // by when its server has begun it, if it has arrived; zero: not known
+	Body           json.RawMessage // of completed one-stage work: the answer
+	Detail         string          // reason, for the log
+	Interrupted    bool            // the connection ended before the answer was complete: the server may not have observed the close
+	ClosedByServer bool            // the server closed the connection: it does not continue the attempt
+	BegunBy        time.Time       // latest time at which the server began the attempt, if it arrived; zero: unknown
 }
 
-// Held is a state or place that may be held for a request. Without an address any server may be asked.
+// Held identifies state or a place that a server may hold for a request. With an empty Addr any server may be asked to release it.
 type Held struct{ Addr, Key string }
 
-// PlaceResult answers a request for a place.
+// PlaceResult is the result of a request for a place.
 type PlaceResult int
 
-// The answers. What is Unknown may be held all the same; so may what is NoAnswer,
-// to which no answer came.
+// Place results. After Unknown and NoAnswer the server may hold the place.
 const (
-	Unknown PlaceResult = iota
+	Unknown PlaceResult = iota // answered, but the server knew of no read for the key
 	Granted
 	Denied
-	NoAnswer
+	NoAnswer // the connection ended before an answer came
 )
 
-// ReleaseResult tells how a release went.
+// ReleaseResult describes how a release ended.
 type ReleaseResult struct {
-	Acknowledged bool      // a server answered that it has let go
-	Server       string    // which one
-	SentAt       time.Time // when it was asked
-	Unresponsive []string  // servers that were asked before it and did not answer
+	Acknowledged bool      // a server confirmed the release
+	Server       string    // the server that confirmed it
+	SentAt       time.Time // when the confirmed release was sent
+	Unresponsive []string  // servers that were asked earlier and did not answer
 }
--- a/internal/attempt/result.go
+++ b/internal/attempt/result.go
@@ -10,24 +10,24 @@
 	"gannethook"
 )
 
-// NotSent marks that a request was not written whole, so that nothing can have run.
+// NotSent wraps an error that occurred before the request was written completely, so that nothing can have run.
 type NotSent struct {
 	Err   error
-	Local bool // the reason lies on this machine, and tells nothing of the server
+	Local bool // caused by this machine: no evidence about the server
 }
 
 func (e NotSent) Error() string { return e.Err.Error() }
 
 func (e NotSent) Unwrap() error { return e.Err }
 
-// EndedByPeer tells whether an error is the word of the connection's other end, and not this machine's own, as of a connection
-// that has been silent for too long.
+// EndedByPeer reports whether err shows that the peer ended the connection, rather than this machine, such as after a
+// connection was silent for too long.
 func EndedByPeer(err error) bool {
 	return slices.ContainsFunc([]error{io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE}, func(end error) bool { return errors.Is(err, end) })
 }
 
-// ResultOf maps an error of the connection to how the attempt ended; spoilt are
-// the errors of an answer that came and can't be read.
+// ResultOf maps a connection error to the result of the attempt. malformed lists the errors that mean that an answer came
+// and cannot be parsed.
 func ResultOf(ctx context.Context, err error, malformed ...error) Result {
 	r := Result{Outcome: gannethook.Broken, Detail: err.Error(), Interrupted: true, ClosedByServer: EndedByPeer(err)}
 	var unsent NotSent
--- a/internal/attempt/signal.go
+++ b/internal/attempt/signal.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Signal is something that happens once, or turns out not to, and that others wait for.
+// Signal is an event that occurs at most once, or is known not to occur, and that other goroutines wait for.
 type Signal struct {
 	once     sync.Once
 	done     chan struct{}
@@ -14,10 +14,10 @@
 	at       time.Time
 }
 
-// NewSignal returns a mark that is not set.
+// NewSignal returns a signal that is not set.
 func NewSignal() *Signal { return &Signal{done: make(chan struct{})} }
 
-// Set sets it to whether it came; the first call counts. A nil mark has nobody waiting.
+// Set records whether the event occurred; only the first call has an effect. On a nil signal it does nothing.
 func (s *Signal) Set(occurred bool) {
 	if s != nil {
 		s.once.Do(func() {
@@ -27,7 +27,8 @@
 	}
 }
 
-// Wait waits until it is known, and tells it. A nil mark came.
+// Wait blocks until the signal is set and reports whether the event occurred; it returns false once ctx ends. A nil signal
+// counts as occurred.
 func (s *Signal) Wait(ctx context.Context) bool {
 	if s == nil {
 		return true
@@ -40,7 +41,7 @@
 	}
 }
 
-// Time is when it came; zero: it did not, has not yet, or nobody asks.
+// Time returns when the event occurred; zero if it has not, or if the signal is nil.
 func (s *Signal) Time() time.Time {
 	if s == nil {
 		return time.Time{}
--- a/internal/driver/driver.go
+++ b/internal/driver/driver.go
@@ -1,7 +1,6 @@
-// Package driver connects the decision module to the world. One goroutine owns
-// a gannethook.Router, its clock, timers and request ids: connections hand it
-// what happened, it tells the module, and carries out the module's actions in
-// order. Nothing here decides; docs/architecture.md has what each bound does.
+// Package driver connects the decision module with its environment. One goroutine owns a gannethook.Router, its clock, its
+// timers and the request ids: other goroutines post events to its inbox, it passes them to the module and executes the
+// module's actions in order. The driver makes no decisions; docs/architecture.md describes its limits.
 package driver
 
 import (
@@ -21,25 +20,25 @@
 	"gannethook/internal/holdmonitor"
 )
 
-// Config sets a driver up.
+// Config configures a driver.
 type Config struct {
 	Settings         gannethook.Settings
-	Decider          Decider // nil: the module
-	Names            Names   // of what the settings number; jobs carry the names then, and their numbers are looked up
+	Decider          Decider // nil: gannethook.Router
+	Names            Names   // of the settings' classes and tenants; if set, jobs carry the names and their numbers are looked up
 	Name             string  // of this router, in the engines' logs
 	Seed             uint64
-	Inbox            int // events that may wait
-	MaxOpen          int // requests that may be open
+	Inbox            int // capacity of the inbox, in events
+	MaxOpen          int // limit on open requests
 	Engines          Engines
-	Trace            bool               // summaries are logged: they tell of connections too
-	Guard            *guard.Monitor     // counts what the module may not do; nil: nobody asks
-	WantsSummary     func(Outcome) bool // whether the summary of a request that ended so is wanted; nil: of each
-	OnSummary        func(Summary)      // called with it on the driver's goroutine
-	Took             func(time.Duration)
-	OnPendingRelease func(heldstate.Report)         // called for what has been owed for half of its time
-	OnAbandoned      func(heldstate.AbandonedEntry) // called for what left without proof that nothing is held
-	OnRepeat         func(Repeat)                   // called for each further attempt and refusal of a request whose effect counts, behind a close
-	OnSilence        func(holdmonitor.Report)       // called for what servers may hold and of which nothing was heard for half of its time
+	Trace            bool                           // summaries are logged, with the connections of their attempts
+	Guard            *guard.Monitor                 // counts the denied steps; nil: not counted
+	WantsSummary     func(Outcome) bool             // selects the outcomes for which OnSummary is called; nil: all
+	OnSummary        func(Summary)                  // called on the driver's goroutine when a request has ended
+	Took             func(time.Duration)            // called with the time that each event took to process; nil: not measured
+	OnPendingRelease func(heldstate.Report)         // called for a release that has been pending for half of the pin limit
+	OnAbandoned      func(heldstate.AbandonedEntry) // called for held state that is abandoned without a confirmed release
+	OnRepeat         func(Repeat)                   // called for each further attempt or refusal described by Repeat
+	OnSilence        func(holdmonitor.Report)       // called for each report of the hold monitor
 }
 
 // Driver runs one router.
@@ -48,36 +47,36 @@
 	router      Decider
 	inbox       chan func()
 	stopped     chan struct{}
-	start       time.Time
-	startWallMS float64
-	incarnation string
+	start       time.Time // origin of the module's clock
+	startWallMS float64   // wall time at start, in milliseconds since the Unix epoch
+	incarnation string    // name and start time of this router, a prefix of its keys
 	open        atomic.Int64
 	maxOpen     atomic.Int64
-	background  sync.WaitGroup // attempts, holds and releases on their way
+	background  sync.WaitGroup // attempts, requests for places and releases in progress
 
-	// Of the goroutine alone:
+	// Used by the driver's goroutine only:
 	ctx              context.Context
-	settings         *gannethook.Settings // of requests that come now
+	settings         *gannethook.Settings // of requests accepted from now on
 	names            Names
 	lastID           uint64
-	unsettled        []*Call // answered, or an attempt ended: perhaps to be forgotten
+	unsettled        []*Call // calls that were answered or had an attempt end, for settleCalls
 	calls            map[gannethook.RequestID]*Call
 	roles            map[gannethook.ServerID]gannethook.Role
 	ledger           *heldstate.Ledger
-	livenessKey      string // that no request has
+	livenessKey      string // key that no request has, see newLivenessKey
 	holdMonitor      *holdmonitor.Monitor
 	regressions      regressions
-	anyRequestEnded  bool                     // some request is over
-	releaseRequests  []string                 // keys of which all is to be let go, since the last event
-	releasesInFlight map[string]chan struct{} // closed once the last release by a key has gone out
-	lastLedgerCheck  time.Time                // when what is owed was looked through last
-	nextLedgerCheck  time.Time                // when what is owed is looked through next
-	nextLivenessPoll time.Time                // when servers that are in doubt are looked at next
+	anyRequestEnded  bool                     // some request has ended
+	releaseRequests  []string                 // keys whose release was requested since the last event
+	releasesInFlight map[string]chan struct{} // by key: closed when the latest release has ended
+	lastLedgerCheck  time.Time                // when startDueReleases last checked the ledger
+	nextLedgerCheck  time.Time                // when its next check is due
+	nextLivenessPoll time.Time                // when pollLiveness is due
 	timers           timers
-	timerSeq         uint64
-	closed           bool // nothing more is taken
+	timerSeq         uint64 // of the last timer
+	closed           bool   // no more requests are accepted
 
-	releaseDeadline atomic.Pointer[time.Time] // until when Run lets go of what is held after its context has ended; nil: defaultReleaseTimeout
+	releaseDeadline atomic.Pointer[time.Time] // see SetReleaseDeadline; nil: defaultReleaseTimeout after the context has ended
 }
 
 // New returns a driver; Run starts it.
@@ -96,22 +95,23 @@
 		start: now, startWallMS: float64(wall.UnixMicro()) / 1000,
 		incarnation: cfg.Name + "-" + strconv.FormatInt(wall.UnixNano(), 36), settings: &cfg.Settings, names: cfg.Names,
 		calls: map[gannethook.RequestID]*Call{}, roles: map[gannethook.ServerID]gannethook.Role{},
-		ledger: heldstate.New(), livenessKey: newLivenessKey(), holdMonitor: holdmonitor.New(), regressions: regressions{}, releasesInFlight: map[string]chan struct{}{}}
+		ledger: heldstate.New(), livenessKey: newLivenessKey(), holdMonitor: holdmonitor.New(), regressions: regressions{},
+		releasesInFlight: map[string]chan struct{}{}}
 	d.maxOpen.Store(int64(cfg.MaxOpen))
 	return d, nil
 }
 
-// Now is the module's clock as of now.
+// Now returns the current time of the module's clock.
 func (d *Driver) Now() gannethook.Millis { return d.now() }
 
-// now is the module's clock: wall time at the start, so that servers' start
-// times mean something, and monotonic from there on.
+// now returns the module's clock: wall time at start, so that it is comparable with the servers' start times, and monotonic
+// from then on.
 func (d *Driver) now() gannethook.Millis {
 	return gannethook.Millis(d.startWallMS + float64(time.Since(d.start).Microseconds())/1000)
 }
 
-// Run drives until the context ends; then every open request is failed, and Run
-// waits for the attempts to be cut and for what is held to be let go.
+// Run processes events until the context ends. Then it fails every open request, and waits for the attempts to end and for
+// held state to be released.
 func (d *Driver) Run(ctx context.Context) {
 	defer d.finishStop()
 	var cancel context.CancelFunc
@@ -135,8 +135,8 @@
 	}
 }
 
-// finishStop ends what still comes in while the driver stops: a request that was not
-// taken is refused, a grant is let go.
+// finishStop processes what still arrives while the driver stops: requests that were not accepted are refused, and granted
+// places are released.
 func (d *Driver) finishStop() {
 	d.closed = true
 	close(d.stopped)
@@ -147,6 +147,7 @@
 	d.background.Wait()
 }
 
+// runTask runs a posted function and measures how long it takes.
 func (d *Driver) runTask(f func()) {
 	if d.cfg.Took == nil {
 		f()
@@ -157,10 +158,10 @@
 	d.cfg.Took(time.Since(start))
 }
 
-// Timeout fails every open request, as when the time of a stop is over.
+// FailOpenRequests fails every open request, such as when the shutdown time is over.
 func (d *Driver) FailOpenRequests() { d.post(d.failOpen) }
 
-// failOpen ends what is open when the router stops; a failure promises nothing.
+// failOpen fails every open request when the router stops. A failure does not promise that nothing has run.
 func (d *Driver) failOpen() {
 	for _, c := range d.calls {
 		c.answer(Answer{Outcome: Failed, Reason: "the router stops"})
@@ -172,7 +173,7 @@
 	d.settleCalls()
 }
 
-// post hands the goroutine something to do; it waits while the inbox is full.
+// post runs f on the driver's goroutine. It blocks while the inbox is full, and returns false once the driver has stopped.
 func (d *Driver) post(f func()) bool {
 	select {
 	case d.inbox <- f:
@@ -182,7 +183,7 @@
 	}
 }
 
-// pause waits, but not beyond the driver's end.
+// pause waits for the given time, at most until the driver's context ends.
 func (d *Driver) pause(duration time.Duration) {
 	select {
 	case <-time.After(duration):
@@ -190,11 +191,11 @@
 	}
 }
 
-// Open is how many requests are open.
+// Open returns the number of open requests.
 func (d *Driver) Open() int { return int(d.open.Load()) }
 
-// Submit takes a request in. ErrBusy tells that the inbox or the table is full:
-// nothing has run, so the client may be refused.
+// Submit adds a request. ErrBusy means that the inbox or the table of requests is full: nothing has run, so the client may
+// be refused.
 func (d *Driver) Submit(job Job, sink Sink) (*Call, error) {
 	if d.open.Add(1) > d.maxOpen.Load() {
 		d.open.Add(-1)
@@ -213,13 +214,13 @@
 	}
 }
 
-// Viewer is a Decider that shows what it sees; gannethook.Router does.
+// Viewer is a Decider that exposes its view of the servers; gannethook.Router does.
 type Viewer interface {
 	View(now gannethook.Millis) []gannethook.View
 }
 
-// View asks the module for the servers as it sees them, and how many requests
-// wait or run. It waits its turn in the inbox; a decider that shows nothing gives none.
+// View returns the servers as the decision module sees them. The query waits in the inbox. A decider that is not a Viewer
+// returns none.
 func (d *Driver) View(ctx context.Context) ([]gannethook.View, error) {
 	result := make(chan []gannethook.View, 1)
 	query := func() {
@@ -244,9 +245,8 @@
 	}
 }
 
-// Swap has new settings take the place of the old ones, between two events.
-// They number classes, tenants and kinds as the old ones do; maxOpen bounds the
-// open requests from now on.
+// Swap replaces the settings between two events. The new settings must number classes, tenants and kinds as the old ones do.
+// maxOpen is the new limit on open requests.
 func (d *Driver) Swap(settings gannethook.Settings, maxOpen int) {
 	d.maxOpen.Store(int64(maxOpen))
 	d.post(func() {
@@ -255,9 +255,8 @@
 	})
 }
 
-// Reconfigure has requests that come from now on go by other settings; those
-// under way keep theirs. list is the whole list of servers in the terms of the
-// new settings.
+// Reconfigure applies other settings to requests that are accepted from now on; open requests keep theirs. servers is the
+// full list of servers, with kinds numbered by the new settings.
 func (d *Driver) Reconfigure(settings gannethook.Settings, names Names, servers gannethook.Membership, maxOpen int) {
 	d.maxOpen.Store(int64(maxOpen))
 	d.post(func() {
@@ -267,7 +266,7 @@
 	})
 }
 
-// Update brings news of the list of servers.
+// Update applies a change of the list of servers.
 func (d *Driver) Update(m gannethook.Membership) {
 	d.post(func() { d.applyMembership(m) })
 }
@@ -282,7 +281,7 @@
 			d.serverRemoved(s.ID)
 		}
 		if s.State == gannethook.Gone || s.Kind < 0 || s.Kind >= len(d.settings.Kinds) {
-			delete(d.roles, s.ID) // the module sends nothing there
+			delete(d.roles, s.ID) // the module sends nothing to this server
 		} else {
 			d.roles[s.ID] = d.settings.Kinds[s.Kind].Role
 		}
@@ -290,7 +289,7 @@
 	d.handleEvent(m)
 }
 
-// removeUnlisted has servers that a whole list lacks count as gone.
+// removeUnlisted treats known servers that are missing from a full list as removed.
 func (d *Driver) removeUnlisted(servers []gannethook.Server) {
 	listed := make(map[gannethook.ServerID]bool, len(servers))
 	for _, s := range servers {
@@ -303,12 +302,13 @@
 	}
 }
 
-// serverRemoved tells the ledger that nothing is held at a server any more.
+// serverRemoved notifies the ledger that a removed server holds nothing any more.
 func (d *Driver) serverRemoved(id gannethook.ServerID) {
 	d.ledger.ServerRemoved(string(id), time.Now())
 	d.scheduleLedgerCheck()
 }
 
+// accept adds a submitted request to the table and passes it to the decision module.
 func (d *Driver) accept(c *Call) {
 	if d.closed {
 		c.answer(Answer{Outcome: Refused, Reason: ErrStopped.Error()})
@@ -324,14 +324,14 @@
 	d.lastID++
 	c.id = gannethook.RequestID(d.lastID)
 	d.calls[c.id] = c
-	budget := c.job.Timeout - time.Since(c.arrivedAt) // it has waited in the inbox
+	budget := c.job.Timeout - time.Since(c.arrivedAt) // minus the time spent in the inbox
 	d.handleEvent(gannethook.Request{ID: c.id, Class: c.job.Class, Tenant: c.job.Tenant, Session: c.job.Session,
 		Prefix: c.job.Prefix, Budget: gannethook.Millis(max(budget, 0).Seconds() * 1000),
 		Prompt: c.job.PromptSize, PrefixLen: c.job.PrefixTokens, MaxOut: float64(c.job.MaxTokens)})
 }
 
-// resolveNames looks up the numbers of a job's class and tenant; it is false where the
-// class is not known. A tenant that is not known is none.
+// resolveNames looks up the numbers of a job's class and tenant; it returns false if the class is unknown. An unknown tenant
+// counts as none.
 func (d *Driver) resolveNames(job *Job) bool {
 	if d.names.Classes == nil {
 		return true
@@ -340,8 +340,8 @@
 	return job.Class >= 0
 }
 
-// handleEvent hands the module one event and carries out what it wants. An action may
-// cause an event of its own (a cancelled attempt ends); it follows in its turn.
+// handleEvent passes an event to the decision module and executes the resulting actions. An action may cause an event of its
+// own, such as the end of a cancelled attempt, which is then handled in order.
 func (d *Driver) handleEvent(ev gannethook.Event) {
 	queue := []gannethook.Event{ev}
 	for len(queue) > 0 {
@@ -355,7 +355,7 @@
 	d.settleCalls()
 }
 
-// execute does one action.
+// execute carries out one action and returns the event that it causes, if any.
 func (d *Driver) execute(action gannethook.Action) gannethook.Event {
 	switch a := action.(type) {
 	case gannethook.Send:
@@ -384,14 +384,14 @@
 		}
 	case gannethook.Wake:
 		d.schedule(time.Duration(float64(a.In)*1e6), timer{ref: a.Ref})
-	case gannethook.Subscribe: // news of the list come by themselves
+	case gannethook.Subscribe: // changes of the list of servers are always delivered
 	default:
 		panic(fmt.Sprintf("driver: unknown action %T", action))
 	}
 	return nil
 }
 
-// settleCalls forgets the requests that are answered and have no attempt out.
+// settleCalls removes the calls that are answered and have no attempt in flight.
 func (d *Driver) settleCalls() {
 	for _, c := range d.unsettled {
 		if !c.answered || c.removed {
--- a/internal/driver/driver_test.go
+++ b/internal/driver/driver_test.go
@@ -18,28 +18,28 @@
 
 const ms = time.Millisecond
 
-// fakeEngines are engines whose steps take as long as told, on the test's clock.
+// fakeEngines simulate servers whose steps take the given times on the test's clock.
 type fakeEngines struct {
 	readTime, firstTokenTime, holdTime time.Duration
 	tokens                             int
 	tokenGap                           time.Duration
 	holdOK                             bool
-	writeResult                        attempt.Result // in place of a stream, if it has an outcome
-	readResult                         attempt.Result
-	failFirstRead                      bool          // the first read fails
-	stallStream                        bool          // the stream never goes on after its first token
-	closeDelay                         time.Duration // what was called off takes so long to leave its connection,
-	closedAt                           time.Time     // and has left it
-	lateStateDelay                     time.Duration // a read that was called off hears of it so late, and has ended well by then; 0: it is dropped
+	writeResult                        attempt.Result // replaces the stream if it has an outcome
+	readResult                         attempt.Result // replaces the state if it has an outcome
+	failFirstRead                      bool
+	stallStream                        bool          // the stream stops after its first token
+	closeDelay                         time.Duration // a cancelled read leaves its connection so much later
+	closedAt                           time.Time     // when it has left the connection
+	lateStateDelay                     time.Duration // the server completes a cancelled or broken read so much later; 0: it drops the read
 	mu                                 sync.Mutex
 	writes, reads                      int
-	writeHadParams                     []bool // whether each write came with a state
+	writeHadParams                     []bool // for each write: whether it came with parameters of a read
 	releases                           int
-	releaseTime                        time.Duration // a release takes so long,
-	releaseInProgress                  bool          // is under way,
-	releaseDone                        bool          // has ended,
+	releaseTime                        time.Duration // duration of a release
+	releaseInProgress                  bool
+	releaseDone                        bool // some release has ended
 	readDuringRelease                  bool
-	held, released                     map[string]int // places and states by server and read
+	held, released                     map[string]int // places and states by server and key
 }
 
 func newFakeEngines() *fakeEngines {
@@ -161,7 +161,7 @@
 	f.releaseInProgress, f.releaseDone = false, true
 	for _, h := range list {
 		f.releases++
-		if k := h.Addr + " " + h.Key; f.held[k] > 0 { // what comes before the grant lets nothing go
+		if k := h.Addr + " " + h.Key; f.held[k] > 0 { // a release that precedes the grant releases nothing
 			delete(f.held, k)
 			f.released[k]++
 		}
@@ -169,7 +169,7 @@
 	return attempt.ReleaseResult{Acknowledged: true, Server: list[0].Addr, SentAt: sent}
 }
 
-// recordingSink records what a client would get.
+// recordingSink records what a client would receive.
 type recordingSink struct {
 	t          *testing.T
 	mu         sync.Mutex
@@ -185,7 +185,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.finals) > 0 {
-		s.t.Error("a token after the final answer")
+		s.t.Error("token after the final answer")
 	}
 	s.tokens++
 	return true
@@ -195,15 +195,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.finals = append(s.finals, a); len(s.finals) > 1 {
-		s.t.Errorf("final answers %v", s.finals)
+		s.t.Errorf("more than one final answer: %v", s.finals)
 		return
 	}
 	s.answeredAt = time.Now()
 	close(s.done)
 }
 
-// A place that was asked for a read that failed is let go when it is granted
-// later, although the request goes on.
+// A place requested for a read that failed is released when it is granted later, while the request continues.
 func TestLateGrantForFailedRead(t *testing.T) {
 	f := newFakeEngines()
 	f.holdTime, f.failFirstRead, f.tokens = 300*ms, true, 50
@@ -216,13 +215,13 @@
 		synctest.Wait()
 		for k := range f.held {
 			if strings.HasSuffix(k, "-0") {
-				t.Errorf("the failed read's place is kept: %s", k)
+				t.Errorf("place of the failed read is still held: %s", k)
 			}
 		}
 	})
 }
 
-// A place that was refused for certain is not let go as well.
+// A place that was denied is not released.
 func TestDeniedPlaceIsNotReleased(t *testing.T) {
 	f := newFakeEngines()
 	f.holdOK = false
@@ -232,12 +231,12 @@
 		}
 		synctest.Wait()
 		if f.releases != 0 {
-			t.Errorf("%d releases of nothing", f.releases)
+			t.Errorf("%d releases although nothing is held", f.releases)
 		}
 	})
 }
 
-// The state goes with the write whoever writes it, and not once it was let go.
+// The parameters of a read are sent with the write at any server, but not after the state was released.
 func TestWriteParamsFollowState(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -247,7 +246,7 @@
 	}{
 		{"a writer", gannethook.Writer, false, true},
 		{"a mixed server", gannethook.Mixed, false, true},
-		{"a writer that reads, after the state was let go", gannethook.Writer, true, false},
+		{"a writer that reads, after the state was released", gannethook.Writer, true, false},
 	} {
 		f := newFakeEngines()
 		set := testSettings()
@@ -271,14 +270,14 @@
 			stop := startDriver(t, d, err)
 			d.Update(gannethook.Membership{Servers: []gannethook.Server{{ID: "r", State: gannethook.Ready}, {ID: "w", Kind: 1, State: gannethook.Ready}}})
 			if _, a := submitAndWait(t, d, 0); a.Outcome != Served || len(f.writeHadParams) != 1 || f.writeHadParams[0] != c.params {
-				t.Errorf("%s: %+v, state with the write %v", c.name, a, f.writeHadParams)
+				t.Errorf("%s: %+v, parameters with the writes: %v", c.name, a, f.writeHadParams)
 			}
 			stop()
 		})
 	}
 }
 
-// Where nothing may be called off, an attempt outlives its request; its first token may not pass.
+// Where attempts may not be cancelled, an attempt continues after its request was answered; its first token is not relayed.
 func TestNoTokenAfterFinalAnswer(t *testing.T) {
 	f := newFakeEngines()
 	f.firstTokenTime = 5 * time.Second
@@ -307,7 +306,7 @@
 		Quantum: 10, Cancel: true, Holds: true}
 }
 
-// startDriver runs a driver that New made; stop ends it and waits.
+// startDriver runs a driver that New made; stop ends it and waits for its end.
 func startDriver(t *testing.T, d *Driver, err error) (stop func()) {
 	t.Helper()
 	if err != nil {
@@ -322,7 +321,7 @@
 	}
 }
 
-// runDriver starts a driver on the test's clock with two readers and two writers.
+// runDriver runs a driver on the test's clock with two readers and two writers.
 func runDriver(t *testing.T, f *fakeEngines, do func(d *Driver)) {
 	runWithSettings(t, f, testSettings(), do)
 }
@@ -349,7 +348,7 @@
 		do(d)
 		stop()
 		if n := d.Open(); n != 0 {
-			t.Errorf("%d requests are open at the end", n)
+			t.Errorf("%d requests open at the end", n)
 		}
 	})
 }
@@ -368,14 +367,14 @@
 	return s, s.finals[0]
 }
 
-// One-stage work is answered by the server that reads it, whole and at once; nothing is held for it.
+// One-stage work is answered whole by the server that reads it, and nothing is held for it.
 func TestOneStage(t *testing.T) {
 	f := newFakeEngines()
 	set := testSettings()
 	for _, e := range []gannethook.Effect{gannethook.Safe, gannethook.Unsafe} {
 		set.Classes = append(set.Classes, gannethook.Class{Aim: 1500, Worth: 1, Effect: e, OneStage: true})
 	}
-	whole := func(d *Driver, class int) Answer {
+	submit := func(d *Driver, class int) Answer {
 		j, s := newJob(class), newSink(t)
 		j.Path, j.Body = "/v1/embeddings", []byte("{}")
 		if _, err := d.Submit(j, s); err != nil {
@@ -388,25 +387,25 @@
 		return s.finals[0]
 	}
 	runWithSettings(t, f, set, func(d *Driver) {
-		if a := whole(d, 2); a.Outcome != Served || string(a.Body) != "{}" || !a.MayHaveRun {
+		if a := submit(d, 2); a.Outcome != Served || string(a.Body) != "{}" || !a.MayHaveRun {
 			t.Errorf("%+v", a)
 		}
 		f.writeResult = attempt.Result{Outcome: gannethook.Broken}
-		if a := whole(d, 3); a.Outcome != Failed || !a.MayHaveRun || f.writes != 2 {
-			t.Errorf("%+v after %d attempts; unsafe work whose attempt broke may have run", a, f.writes)
+		if a := submit(d, 3); a.Outcome != Failed || !a.MayHaveRun || f.writes != 2 {
+			t.Errorf("unsafe work after a broken attempt: %+v, %d attempts", a, f.writes)
 		}
 		f.writeResult.Outcome = gannethook.Full
-		if a := whole(d, 3); a.Outcome != Refused || a.MayHaveRun {
+		if a := submit(d, 3); a.Outcome != Refused || a.MayHaveRun {
 			t.Errorf("%+v", a)
 		}
 		synctest.Wait()
-		if left := f.stillHeld(); len(left) > 0 || f.reads > 0 {
-			t.Errorf("held %v, %d reads", left, f.reads)
+		if held := f.stillHeld(); len(held) > 0 || f.reads > 0 {
+			t.Errorf("held %v, %d reads", held, f.reads)
 		}
 	})
 }
 
-// stillHeld are what is held and was never let go, but for what the served answer took.
+// stillHeld lists what is held and was never released, including what the served answer consumed.
 func (f *fakeEngines) stillHeld() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -426,38 +425,38 @@
 			t.Errorf("%+v, %d tokens", a, s.tokens)
 		}
 		synctest.Wait()
-		if left := f.stillHeld(); len(left) != 2 { // the state that was fetched and the place that the stream took
-			t.Errorf("held: %v", left)
+		if held := f.stillHeld(); len(held) != 2 { // the state that was fetched and the place that the stream uses
+			t.Errorf("held: %v", held)
 		}
 	})
 }
 
-// The final answer comes before the client's time is up, whatever is out.
+// The final answer comes within the client's time limit, whatever is in flight.
 func TestDeadline(t *testing.T) {
-	for name, slow := range map[string]func(*fakeEngines){
+	for name, slowDown := range map[string]func(*fakeEngines){
 		"a reader hangs":     func(f *fakeEngines) { f.readTime = time.Hour },
 		"a writer hangs":     func(f *fakeEngines) { f.firstTokenTime = time.Hour },
 		"holds hang as well": func(f *fakeEngines) { f.firstTokenTime, f.holdTime = time.Hour, time.Hour },
 	} {
 		f := newFakeEngines()
-		slow(f)
+		slowDown(f)
 		runDriver(t, f, func(d *Driver) {
 			from := time.Now()
 			s, a := submitAndWait(t, d, 1)
 			if took := s.answeredAt.Sub(from); took > 3*time.Second || a.Outcome == Served {
-				t.Errorf("%s: %v after %v", name, a.Outcome, took)
+				t.Errorf("%s: outcome %v after %v", name, a.Outcome, took)
 			}
 			if a.Outcome == Refused && a.MayHaveRun {
 				t.Errorf("%s: refused although it may have run", name)
 			}
 		})
-		if left := f.stillHeld(); len(left) != 0 {
-			t.Errorf("%s: still held: %v", name, left)
+		if held := f.stillHeld(); len(held) != 0 {
+			t.Errorf("%s: still held: %v", name, held)
 		}
 	}
 }
 
-// An unsafe request that may have run is failed and does not go again; a safe one does.
+// An unsafe request that may have run fails without a retry; a safe one is retried.
 func TestMayHaveRun(t *testing.T) {
 	for _, o := range []gannethook.Outcome{gannethook.Failed, gannethook.Broken} {
 		f := newFakeEngines()
@@ -476,12 +475,12 @@
 	f.writeResult = attempt.Result{Outcome: gannethook.Full}
 	runDriver(t, f, func(d *Driver) {
 		if _, a := submitAndWait(t, d, 1); a.Outcome != Refused || a.MayHaveRun || a.RetryAfter <= 0 || f.writes < 2 {
-			t.Errorf("unsafe after being turned away: %+v, %d writes", a, f.writes)
+			t.Errorf("unsafe after rejections: %+v, %d writes", a, f.writes)
 		}
 	})
 }
 
-// A place that is granted after its request has ended is let go.
+// A place that is granted after its request has ended is released.
 func TestLateGrant(t *testing.T) {
 	f := newFakeEngines()
 	f.holdTime = 5 * time.Second
@@ -497,12 +496,12 @@
 		time.Sleep(10 * time.Second)
 		synctest.Wait()
 		if len(f.released) == 0 || len(f.stillHeld()) != 0 {
-			t.Errorf("let go %v, left %v", f.released, f.stillHeld())
+			t.Errorf("released %v, still held %v", f.released, f.stillHeld())
 		}
 	})
 }
 
-// A client that leaves gets no more, and its attempt is called off at once.
+// A client that disconnects receives no more tokens, and its attempt is cancelled at once.
 func TestAbandonStream(t *testing.T) {
 	f := newFakeEngines()
 	f.stallStream = true
@@ -520,7 +519,7 @@
 	})
 }
 
-// The final answer and the client's leaving may cross at any moment: one final answer.
+// There is exactly one final answer, whenever the client disconnects.
 func TestAbandonRacesWithFinalAnswer(t *testing.T) {
 	for at := time.Duration(0); at < 100*ms; at += ms {
 		f := newFakeEngines()
@@ -533,14 +532,14 @@
 			time.Sleep(time.Second)
 			synctest.Wait()
 			if len(s.finals) != 1 || d.Open() != 0 {
-				t.Errorf("left after %v: %v, %d open", at, s.finals, d.Open())
+				t.Errorf("disconnected after %v: %v, %d open", at, s.finals, d.Open())
 			}
 		})
 	}
 }
 
-// Once a client has left, nothing begins for its request: between two attempts, while a release goes first, or while an
-// attempt connects.
+// Once a client has disconnected, nothing starts for its request: not between two attempts, while an attempt waits for a
+// release, or while it connects.
 func TestNothingStartsAfterClientDisconnects(t *testing.T) {
 	for at := time.Duration(0); at < 200*ms; at += 7 * ms {
 		f := newFakeEngines()
@@ -558,16 +557,16 @@
 			time.Sleep(2 * time.Second)
 			synctest.Wait()
 			if f.reads != reads || f.writes != writes {
-				t.Errorf("left after %v: %d reads and %d writes begun since", at, f.reads-reads, f.writes-writes)
+				t.Errorf("disconnected after %v: %d reads and %d writes started since", at, f.reads-reads, f.writes-writes)
 			}
 		})
-		if left := f.stillHeld(); len(left) > 0 && f.writes == 0 {
-			t.Errorf("left after %v: still held: %v", at, left)
+		if held := f.stillHeld(); len(held) > 0 && f.writes == 0 {
+			t.Errorf("disconnected after %v: still held: %v", at, held)
 		}
 	}
 }
 
-// Too many open requests are turned away before the module, with nothing run.
+// Requests beyond the limit are rejected before the decision module sees them, and nothing of them runs.
 func TestBusy(t *testing.T) {
 	f := newFakeEngines()
 	f.readTime = time.Hour
@@ -580,16 +579,16 @@
 			synctest.Wait()
 		}
 		if busy != 10 || f.reads > 50 {
-			t.Errorf("%d turned away, %d read", busy, f.reads)
+			t.Errorf("%d rejected, %d reads", busy, f.reads)
 		}
 		time.Sleep(time.Minute)
 		if d.Open() != 0 {
-			t.Errorf("%d open after their time", d.Open())
+			t.Errorf("%d open after their time limit", d.Open())
 		}
 	})
 }
 
-// A stopping driver answers all that is open.
+// A driver that stops answers all open requests.
 func TestStopAnswersOpenRequests(t *testing.T) {
 	f := newFakeEngines()
 	f.firstTokenTime = time.Hour
@@ -609,19 +608,19 @@
 			t.Errorf("request %d: %v", i, s.finals)
 		}
 	}
-	if left := f.stillHeld(); len(left) != 0 {
-		t.Errorf("still held: %v", left)
+	if held := f.stillHeld(); len(held) != 0 {
+		t.Errorf("still held: %v", held)
 	}
 }
 
-// An attempt that outlasts its time-out ends, and what it brings later counts for nothing.
+// An attempt that exceeds its timeout ends once; later results of it have no effect.
 func TestAttemptTimeout(t *testing.T) {
 	f := newFakeEngines()
 	synctest.Test(t, func(t *testing.T) {
-		var told []gannethook.Event
+		var events []gannethook.Event
 		d, err := New(Config{Settings: testSettings(), Inbox: 10, MaxOpen: 10, Engines: f,
 			Decider: deciderFunc(func(ev gannethook.Event) []gannethook.Action {
-				told = append(told, ev)
+				events = append(events, ev)
 				switch ev := ev.(type) {
 				case gannethook.Request:
 					return []gannethook.Action{gannethook.Send{ID: ev.ID, Server: "s2", Timeout: 5}}
@@ -638,7 +637,7 @@
 		time.Sleep(time.Second)
 		stop()
 		ends := 0
-		for _, ev := range told {
+		for _, ev := range events {
 			if e, ok := ev.(gannethook.Ended); ok {
 				if ends++; e.Outcome != gannethook.TimedOut {
 					t.Errorf("ended with %v", e.Outcome)
@@ -651,10 +650,10 @@
 	})
 }
 
-// An attempt that is called off is out until it has left its server's connection: a refusal that crosses it
-// promises that nothing may run while something is on its way.
+// A cancelled attempt is in flight until it has left its server's connection: a refusal before that would promise that
+// nothing may run while the request can still reach the server.
 func TestRefusalWaitsForCancelledAttemptToClose(t *testing.T) {
-	for _, timeout := range []gannethook.Millis{0, 10} { // called off by the module, or by its time-out
+	for _, timeout := range []gannethook.Millis{0, 10} { // cancelled by the decision module, or by its timeout
 		f := newFakeEngines()
 		f.readTime, f.closeDelay = time.Hour, 30*ms
 		synctest.Test(t, func(t *testing.T) {
@@ -679,7 +678,7 @@
 			d.Update(gannethook.Membership{Servers: []gannethook.Server{{ID: "s0", State: gannethook.Ready}}})
 			s, a := submitAndWait(t, d, 1)
 			if a.Outcome != Refused || f.closedAt.IsZero() || s.answeredAt.Before(f.closedAt.Add(20*ms)) { // and its close has arrived
-				t.Errorf("%v at %v, the attempt left at %v", a.Outcome, s.answeredAt, f.closedAt)
+				t.Errorf("%v at %v, attempt left its connection at %v", a.Outcome, s.answeredAt, f.closedAt)
 			}
 			if want := map[bool]gannethook.Outcome{true: gannethook.Cancelled, false: gannethook.TimedOut}[timeout == 0]; ended.Outcome != want {
 				t.Errorf("ended with %v, %v expected", ended.Outcome, want)
@@ -689,25 +688,26 @@
 	}
 }
 
-// Guards against a refusal that overtakes the close of an answer which the router could not read.
+// Guards against a refusal that overtakes the close of a connection whose answer the router could not parse.
 func TestRefusalWaitsForCloseOfMalformedAnswer(t *testing.T) {
 	for _, end := range []attempt.Result{
-		{Outcome: gannethook.Failed, Interrupted: true}, // noise, or an answer that stops half-way
-		{Outcome: gannethook.Broken, Interrupted: true}, // an error of this machine: the server has ended nothing
+		{Outcome: gannethook.Failed, Interrupted: true}, // malformed or truncated answer
+		{Outcome: gannethook.Broken, Interrupted: true}, // local error: the server has ended nothing
 		{Outcome: gannethook.Failed, Interrupted: true, Detail: "status 500"},
 	} {
 		t.Run(fmt.Sprint(end.Outcome, end.Detail), func(t *testing.T) { testRefusalAfterClose(t, end) })
 	}
 }
 
-// testRefusalAfterClose wants the refusal that follows an end of a read to come once its close has been noticed.
+// testRefusalAfterClose checks that the refusal after the given result of a read waits until the server has observed the
+// close.
 func testRefusalAfterClose(t *testing.T, end attempt.Result) {
 	f := newFakeEngines()
 	f.readResult = end
 	synctest.Test(t, func(t *testing.T) {
-		var told []Repeat
+		var repeats []Repeat
 		d, err := New(Config{Settings: testSettings(), Inbox: 10, MaxOpen: 10, Engines: f,
-			OnRepeat: func(r Repeat) { told = append(told, r) },
+			OnRepeat: func(r Repeat) { repeats = append(repeats, r) },
 			Decider: deciderFunc(func(ev gannethook.Event) (acts []gannethook.Action) {
 				switch ev := ev.(type) {
 				case gannethook.Request:
@@ -721,11 +721,11 @@
 		defer stop()
 		d.Update(gannethook.Membership{Servers: []gannethook.Server{{ID: "s0", State: gannethook.Ready}}})
 		s, a := submitAndWait(t, d, 1)
-		if behind := s.answeredAt.Sub(f.closedAt); a.Outcome != Refused || behind < heldstate.CloseNoticeGrace {
-			t.Errorf("%v, %v behind the close", a.Outcome, behind)
+		if delay := s.answeredAt.Sub(f.closedAt); a.Outcome != Refused || delay < heldstate.CloseNoticeGrace {
+			t.Errorf("%v, %v after the close", a.Outcome, delay)
 		}
-		if len(told) != 1 || told[0].Earlier != "s0" || told[0].After != heldstate.CloseNoticeGrace {
-			t.Errorf("told: %+v", told)
+		if len(repeats) != 1 || repeats[0].Earlier != "s0" || repeats[0].After != heldstate.CloseNoticeGrace {
+			t.Errorf("reported: %+v", repeats)
 		}
 	})
 }
@@ -766,8 +766,8 @@
 	b.ReportMetric(float64(events)/took, "events/s")
 }
 
-// A release lets go of all that a request with a name of its own holds: it is out before the next attempt, which
-// would lose its state to it.
+// A release of a named request affects everything held for it: it is sent before the next attempt, which would lose its
+// state to it.
 func TestReleasePrecedesNextAttempt(t *testing.T) {
 	f := newFakeEngines()
 	f.failFirstRead = true
@@ -785,14 +785,13 @@
 			t.Errorf("%+v after %d reads", a, f.reads)
 		}
 		if !f.releaseDone || f.readDuringRelease {
-			t.Errorf("released %v, read meanwhile %v", f.releaseDone, f.readDuringRelease)
+			t.Errorf("released %v, read during the release %v", f.releaseDone, f.readDuringRelease)
 		}
 	})
 }
 
-// A connection that was closed is closed at the server only once that has arrived, which the release may overtake: what a
-// read that was called off or broke leaves behind is let go all the same, within the pin limit, also where its request was
-// refused for it.
+// A release may overtake the close of a connection. What a cancelled or broken read leaves behind is released all the same,
+// within the pin limit, also where its request was refused because of it.
 func TestReleaseAfterLateClose(t *testing.T) {
 	for _, broken := range []bool{false, true} {
 		f := newFakeEngines()
@@ -813,15 +812,15 @@
 			}
 			<-s.done
 			time.Sleep(500 * ms)
-			if left := f.stillHeld(); len(left) != 0 {
-				t.Errorf("broken %v: still held: %v", broken, left)
+			if held := f.stillHeld(); len(held) != 0 {
+				t.Errorf("broken %v: still held: %v", broken, held)
 			}
 		})
 	}
 }
 
-// A release waits a moment for the close of a read that was called off to have arrived: it would spare a place that
-// the read, as far as its server knows, still waits for.
+// A release waits for the close of a cancelled read to arrive: it would preserve a place that the read, for its server, still
+// waits for.
 func TestReleaseWaitsForClose(t *testing.T) {
 	f := newFakeEngines()
 	f.readTime, f.holdTime = 300*ms, ms
@@ -840,14 +839,14 @@
 		early := f.releases
 		f.mu.Unlock()
 		time.Sleep(100 * ms)
-		if left := f.stillHeld(); early != 0 || len(left) != 0 {
-			t.Errorf("%d releases within 10 ms of the close; still held: %v", early, left)
+		if held := f.stillHeld(); early != 0 || len(held) != 0 {
+			t.Errorf("%d releases within 10 ms of the close; still held: %v", early, held)
 		}
 	})
 }
 
-// A place of a named request that is granted after its read failed is kept while the next read is out: by the name
-// all would be let go, that read's state too. It is let go with the rest.
+// A place of a named request that is granted after its read failed is kept while the next read is in flight, since a release
+// by the name would release that read's state too. It is released with the rest.
 func TestLateGrantForNamedRequest(t *testing.T) {
 	f := newFakeEngines()
 	f.failFirstRead, f.holdTime, f.firstTokenTime = true, 30*ms, time.Hour
@@ -857,21 +856,22 @@
 		if _, err := d.Submit(j, s); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(35 * ms) // the first grant came during the second read
+		time.Sleep(35 * ms) // the first grant arrived during the second read
 		f.mu.Lock()
 		n := f.releases
 		f.mu.Unlock()
 		if n > 2 { // of what the first read held: its state and its place
-			t.Errorf("%d releases while the second read is out", n)
+			t.Errorf("%d releases while the second read is in flight", n)
 		}
 		<-s.done
 	})
-	if left := f.stillHeld(); len(left) != 0 {
-		t.Errorf("still held: %v", left)
+	if held := f.stillHeld(); len(held) != 0 {
+		t.Errorf("still held: %v", held)
 	}
 }
 
-// The same while another read of the answered request is out, as at a server that fell silent where nothing is called off.
+// As TestReleaseAfterLateClose, while another read of the answered request is in flight, as at a server that does not answer
+// where attempts are not cancelled.
 func TestReleaseAfterLateCloseWithReadInFlight(t *testing.T) {
 	f := newFakeEngines()
 	f.readTime, f.lateStateDelay, f.holdOK = 10*ms, 60*ms, false
@@ -901,8 +901,8 @@
 		}
 		<-s.done
 		time.Sleep(500 * ms)
-		if left := f.stillHeld(); len(left) != 0 {
-			t.Errorf("still held: %v", left)
+		if held := f.stillHeld(); len(held) != 0 {
+			t.Errorf("still held: %v", held)
 		}
 		stop()
 	})
--- a/internal/driver/guard.go
+++ b/internal/driver/guard.go
@@ -8,7 +8,7 @@
 	"gannethook/internal/guard"
 )
 
-// effect is what running the request twice does.
+// effect returns the consequence of running the request twice.
 func (c *Call) effect() guard.Effect {
 	switch c.settings.Classes[c.job.Class].Effect {
 	case gannethook.Unsafe:
@@ -19,7 +19,7 @@
 	return guard.Safe
 }
 
-// maySend asks the guard whether the module's next attempt may be made.
+// maySend asks the guard whether the next attempt may be made.
 func (c *Call) maySend() bool {
 	reason := guard.MaySend(guard.SendFacts{Effect: c.effect(), Answered: c.answered, Streaming: c.streaming,
 		EffectInFlight: slices.ContainsFunc(c.attempts, func(a *attemptState) bool { return a.inFlight && !a.isRead }),
@@ -33,9 +33,10 @@
 	return c.d.cfg.Guard.Check(guard.Refuse, reason, c.job.Name)
 }
 
-// mayHaveRun tells whether an attempt at a writer is not proven not to have run.
+// mayHaveRun reports whether an attempt at a writer may have run.
 func (c *Call) mayHaveRun() bool { return slices.ContainsFunc(c.attempts, (*attemptState).mayHaveRun) }
 
+// mayHaveRun reports whether the attempt may have run: only these outcomes show that it has not.
 func (a *attemptState) mayHaveRun() bool {
 	if a.isRead {
 		return false
@@ -47,8 +48,8 @@
 	return true
 }
 
-// remembered tells whether any server drops a repeat of the request's key that
-// comes after the advised wait.
+// remembered reports whether every server drops a repeat of the request's idempotency key that comes after the advised retry
+// delay.
 func (c *Call) remembered(retryAfter time.Duration) bool {
 	class := &c.settings.Classes[c.job.Class]
 	first := slices.IndexFunc(c.attempts, (*attemptState).mayHaveRun)
@@ -59,6 +60,6 @@
 	return !time.Now().Add(retryAfter).After(windowEnd)
 }
 
-// clockSlack is by how much the module's clock, which is read once for an event,
-// may stand behind the time at which its action is carried out.
+// clockSlack bounds how far the module's clock, which is read once for each event, may lag behind the time at which the
+// action is executed.
 const clockSlack = 50 * time.Millisecond
--- a/internal/driver/held.go
+++ b/internal/driver/held.go
@@ -17,23 +17,25 @@
 	"gannethook/internal/holdmonitor"
 )
 
-// The ledger of internal/heldstate decides when what servers hold is released.
-// Here it is told what happened, and its calls are made.
+// The ledger of internal/heldstate decides when held state is released. The code here records the events in it and makes
+// the calls that it returns.
 
 const (
-	ledgerCheckInterval   = 2 * time.Millisecond  // between two looks through what is owed at the least
-	livenessPollInterval  = 20 * time.Millisecond // between two looks at whether servers in doubt were heard
-	defaultReleaseTimeout = 2 * time.Second       // for which Run lets go after its context has ended, where it is not told
+	ledgerCheckInterval   = 2 * time.Millisecond  // minimum time between two checks of the pending releases
+	livenessPollInterval  = 20 * time.Millisecond // minimum time between two checks whether suspected servers have answered
+	defaultReleaseTimeout = 2 * time.Second       // for which Run continues to release after its context has ended, unless a deadline is set
 )
 
-// terms are those of what is held for the request.
+// terms returns the ledger's terms for state held for the request.
 func (c *Call) terms() heldstate.Terms {
-	return heldstate.Terms{Request: cmp.Or(c.job.Name, strconv.FormatUint(uint64(c.id), 10)), Shared: c.job.Name != "", PreservesWaiting: c.settings.SparesWaited,
-		PinLimit: time.Duration(float64(c.settings.PinLimit) * float64(time.Millisecond))}
+	return heldstate.Terms{Request: cmp.Or(c.job.Name, strconv.FormatUint(uint64(c.id), 10)), Shared: c.job.Name != "",
+		PreservesWaiting: c.settings.SparesWaited,
+		PinLimit:         time.Duration(float64(c.settings.PinLimit) * float64(time.Millisecond))}
 }
 
-// recordAttemptStart notes that an attempt is sent, whose server is told how long it is waited for. It returns what closes once the attempt may be
-// written: a release lets go of all that a named request holds, also of what comes after it, and goes first.
+// recordAttemptStart records that an attempt is sent, with the deadline that its server is given. It returns a channel that
+// is closed when the attempt may be written: a release of a named request's key affects everything held under it, also what
+// a later attempt creates, and has to be sent first.
 func (c *Call) recordAttemptStart(a *attemptState, deadline time.Time) (releaseDone chan struct{}) {
 	if c.oneStage() {
 		return nil
@@ -58,7 +60,7 @@
 	return d.releasesInFlight[a.key]
 }
 
-// recordAttemptEnd notes how an attempt ended.
+// recordAttemptEnd records the end of an attempt.
 func (c *Call) recordAttemptEnd(a *attemptState, r attempt.Result) {
 	if a.key == "" {
 		return
@@ -76,7 +78,7 @@
 	c.d.scheduleLedgerCheck()
 }
 
-// monitorKind is the attempt's kind in reports of silence.
+// monitorKind returns the attempt's kind for the hold monitor.
 func (a *attemptState) monitorKind() holdmonitor.Kind {
 	if a.isRead {
 		return holdmonitor.Read
@@ -84,7 +86,7 @@
 	return holdmonitor.Write
 }
 
-// monitorOutcome is an end in reports of silence.
+// monitorOutcome returns an attempt's end for the hold monitor.
 func monitorOutcome(end heldstate.AttemptEnd) holdmonitor.Outcome {
 	switch end {
 	case heldstate.NotSent:
@@ -97,7 +99,7 @@
 	return holdmonitor.NoAnswer
 }
 
-// attemptEnd tells what an attempt's outcome means for what it may have left.
+// attemptEnd maps the result of an attempt to what it shows about state left at the server.
 func attemptEnd(r attempt.Result) heldstate.AttemptEnd {
 	switch r.Outcome {
 	case gannethook.ConnectFailed, gannethook.NotTried:
@@ -119,8 +121,8 @@
 	return heldstate.Completed
 }
 
-// holdPlace asks for a place on a goroutine of its own, where servers share what they know once the read is written: what may be
-// held counts from when it is asked for.
+// holdPlace requests a place on a goroutine of its own. For a named request, whose state the servers share, it does so only
+// after the read is written. The place counts as possibly held from the moment of the request.
 func (c *Call) holdPlace(writer gannethook.ServerID) {
 	index := len(c.attempts) - 1
 	if index < 0 || c.key == "" {
@@ -140,7 +142,7 @@
 			if !ok {
 				return
 			}
-		case <-c.d.stopped: // the driver may have ended before it came to that
+		case <-c.d.stopped: // the driver may have stopped before it ran the function
 			return
 		}
 		place := c.d.cfg.Engines.Hold(c.d.ctx, call, reader)
@@ -150,7 +152,8 @@
 	})
 }
 
-// recordPlaceRequest notes that a place is asked for, unless its read was not written, or has ended meanwhile.
+// recordPlaceRequest records a request for a place. It returns false, and the place is not requested, if the read was not
+// written or has ended, or if everything was released since.
 func (c *Call) recordPlaceRequest(h attempt.Held, index, epoch int, written bool) bool {
 	if c.removed || epoch != c.releaseEpoch || !c.attempts[index].inFlight {
 		return false
@@ -166,16 +169,16 @@
 	return true
 }
 
-// notifyPlace tells the module how the asking for a place ended.
+// notifyPlace passes the result of a request for a place to the decision module.
 func (c *Call) notifyPlace(index int, place attempt.PlaceResult) {
-	// A named request has one place at most: while it is not known whether it is held, no other is asked for.
+	// A named request has at most one place: while it is unknown whether it is held, no other is requested.
 	known := place == attempt.Granted || place == attempt.Denied
 	if c.attempts[index].inFlight && (known || c.job.Name == "") {
 		c.d.handleEvent(gannethook.Held{ID: c.id, Attempt: index, OK: place == attempt.Granted})
 	}
 }
 
-// placeOutcomes is what the answers to a request for a place mean for what may be held, and for reports of silence.
+// placeOutcomes maps the results of requests for places to those of the ledger and of the hold monitor.
 var placeOutcomes = map[attempt.PlaceResult]struct {
 	grant   heldstate.PlaceResult
 	outcome holdmonitor.Outcome
@@ -186,8 +189,8 @@
 	attempt.NoAnswer: {heldstate.NoAnswer, holdmonitor.NoAnswer},
 }
 
-// placeAnswered takes the answer to a hold that was asked for during attempt n. Where all was let go meanwhile
-// the ledger has it let go as well.
+// placeAnswered handles the answer to a request for a place that was made during the attempt with the given index. If
+// everything was released since, the ledger releases this place too.
 func (c *Call) placeAnswered(h attempt.Held, index, epoch int, place attempt.PlaceResult) {
 	c.d.placeRequestEnded(h.Key, h.Addr, place)
 	if !c.removed && epoch == c.releaseEpoch {
@@ -195,7 +198,7 @@
 	}
 }
 
-// release has all let go that may be held.
+// release requests the release of everything that may be held for the request's current key.
 func (c *Call) release() {
 	c.params = nil
 	c.releaseEpoch++
@@ -210,7 +213,7 @@
 	c.d.releaseRequests = append(c.d.releaseRequests, c.key)
 }
 
-// recordStreamStart notes the first event of the answer, with which all goes that is held.
+// recordStreamStart records the first event of the answer, by which everything that was held is consumed.
 func (c *Call) recordStreamStart() {
 	c.params = nil
 	c.releaseEpoch++
@@ -220,7 +223,7 @@
 	c.d.scheduleLedgerCheck()
 }
 
-// recordRequestEnd has the ledger let go of all that is left of the request, now or later.
+// recordRequestEnd records the end of the request for all its keys: the ledger releases what is left, now or later.
 func (c *Call) recordRequestEnd() {
 	c.d.anyRequestEnded = true
 	for _, key := range c.keys {
@@ -231,20 +234,21 @@
 	c.d.scheduleLedgerCheck()
 }
 
-// hasUncancelledAttempt tells whether an attempt stays out although the request is answered, as where nothing may be called off.
+// hasUncancelledAttempt reports whether an attempt continues after the request was answered, as where attempts may not be
+// cancelled.
 func (c *Call) hasUncancelledAttempt() bool {
 	return !c.streaming && slices.ContainsFunc(c.attempts, func(a *attemptState) bool { return a.inFlight && a.cancelResult == nil })
 }
 
-// newLivenessKey returns a key of the form of the platform's request ids that no request has: a release by it lets go of nothing, and
-// its answer proves that the server runs.
+// newLivenessKey returns a key in the format of the platform's request ids that no request has: a release of it releases
+// nothing, and an answer to it confirms that the server runs.
 func newLivenessKey() string {
 	var key [8]byte
 	rand.Read(key[:]) // never fails
 	return hex.EncodeToString(key[:])
 }
 
-// scheduleReleases schedules the releases that were asked for, where no attempt has followed.
+// scheduleReleases schedules the requested releases for which no further attempt was made.
 func (d *Driver) scheduleReleases() {
 	for _, key := range d.releaseRequests {
 		d.ledger.ScheduleRelease(key, time.Now())
@@ -253,7 +257,7 @@
 	d.releaseRequests = d.releaseRequests[:0]
 }
 
-// pollLiveness tells the ledger which of the servers that are in doubt have answered.
+// pollLiveness records in the ledger which suspected servers have answered.
 func (d *Driver) pollLiveness() {
 	now := time.Now()
 	for _, server := range d.ledger.ServersToMonitor() {
@@ -270,8 +274,8 @@
 	d.nextLivenessPoll = now.Add(livenessPollInterval)
 }
 
-// startDueReleases makes the releases that are due, and passes on what the ledger reports. What is owed is looked through
-// only when something of it has changed, or is due: there may be thousands.
+// startDueReleases starts the releases that are due and delivers the ledger's reports. The ledger, which may have thousands
+// of pending releases, is checked only after a change or when one is due.
 func (d *Driver) startDueReleases() {
 	now := time.Now()
 	d.reportUnanswered(now)
@@ -292,7 +296,7 @@
 	}
 }
 
-// reportUnanswered passes on which requests nothing was heard of although servers may hold something for them.
+// reportUnanswered delivers the hold monitor's reports.
 func (d *Driver) reportUnanswered(now time.Time) {
 	for _, r := range d.holdMonitor.Due(now) {
 		if d.cfg.OnSilence != nil {
@@ -301,11 +305,12 @@
 	}
 }
 
-// scheduleLedgerCheck has what is owed looked through again, soon.
+// scheduleLedgerCheck makes the next check of the ledger due, at the earliest ledgerCheckInterval after the last one.
 func (d *Driver) scheduleLedgerCheck() {
 	d.nextLedgerCheck = d.lastLedgerCheck.Add(ledgerCheckInterval)
 }
 
+// deliverReports delivers the ledger's reports of pending releases and of abandoned state.
 func (d *Driver) deliverReports() {
 	for _, r := range d.ledger.Reports() {
 		if d.cfg.OnPendingRelease != nil {
@@ -320,7 +325,7 @@
 	}
 }
 
-// untilNextCheck is in how long the ledger may have something to do.
+// untilNextCheck returns the time until the ledger or the hold monitor may have something due.
 func (d *Driver) untilNextCheck() time.Duration {
 	wait := time.Hour
 	if next := d.holdMonitor.Next(); !next.IsZero() {
@@ -332,7 +337,7 @@
 	return wait
 }
 
-// startReleases makes releases on goroutines of their own.
+// startReleases makes each release on a goroutine of its own.
 func (d *Driver) startReleases(calls []heldstate.ReleaseCall) {
 	for _, call := range calls {
 		if d.regressions.skips(call) {
@@ -387,7 +392,7 @@
 	return d.cfg.Engines.Release(ctx, targets)
 }
 
-// placeRequestEnded notes how the asking for a place ended.
+// placeRequestEnded records the result of a request for a place.
 func (d *Driver) placeRequestEnded(key, server string, place attempt.PlaceResult) {
 	outcome, now := placeOutcomes[place], time.Now()
 	d.ledger.PlaceRequestEnded(key, server, outcome.grant, now)
@@ -395,6 +400,7 @@
 	d.scheduleLedgerCheck()
 }
 
+// releaseEnded records the result of a release.
 func (d *Driver) releaseEnded(call heldstate.ReleaseCall, r attempt.ReleaseResult) {
 	if !r.Acknowledged && !call.Probe && faults.Broken(faults.BreakGiveUp) {
 		r = attempt.ReleaseResult{Acknowledged: true, SentAt: time.Now()}
@@ -410,10 +416,11 @@
 	d.scheduleLedgerCheck()
 }
 
-// SetReleaseDeadline sets until when Run goes on letting go of what is held after its context has ended.
+// SetReleaseDeadline sets until when Run continues to release held state after its context has ended.
 func (d *Driver) SetReleaseDeadline(deadline time.Time) { d.releaseDeadline.Store(&deadline) }
 
-// releaseUntilDeadline lets go of what is owed once the context has ended and all is answered, for as long as it may.
+// releaseUntilDeadline makes the pending releases after the context has ended and all requests are answered, at most until
+// the release deadline.
 func (d *Driver) releaseUntilDeadline(wakeTimer *time.Timer) {
 	end := time.Now().Add(defaultReleaseTimeout)
 	if deadline := d.releaseDeadline.Load(); deadline != nil {
--- a/internal/driver/held_test.go
+++ b/internal/driver/held_test.go
@@ -11,18 +11,18 @@
 	"gannethook/internal/heldstate"
 )
 
-// preservingEngines are engines whose writes wait in their server's queue, with the state still at its reader: a release spares it
-// until the server has noticed that the write was called off, which a server that hangs does not.
+// preservingEngines simulate servers whose writes are queued, with the state still at its reader: a release preserves the
+// state until the server has observed that the write was cancelled, which a server that hangs does not.
 type preservingEngines struct {
 	*fakeEngines
-	closeNoticeDelay time.Duration // after which a close is noticed
+	closeNoticeDelay time.Duration // after which a close is observed
 
 	mu                 sync.Mutex
-	waitingWrites      int       // writes, as their servers see it
-	resumed            chan bool // closed once the writers run again; nil: they do
+	waitingWrites      int       // from the servers' point of view
+	resumed            chan bool // closed when the writers run again; nil: they run
 	lastAnswer         time.Time // when a writer last began to answer a call
 	releaseCalls       int
-	unansweredReleases int // releases that no server takes, to begin with
+	unansweredReleases int // so many first releases are not answered
 }
 
 func (s *preservingEngines) Write(ctx context.Context, _ *attempt.Call, _ func() bool, _ func([]byte) bool) attempt.Result {
@@ -70,7 +70,7 @@
 }
 
 func (s *preservingEngines) LastAnswer(server string) (sent, answered time.Time) {
-	if server == "s0" || server == "s1" || s.resumed == nil { // prefill servers run
+	if server == "s0" || server == "s1" || s.resumed == nil { // readers always answer
 		return time.Now(), time.Now()
 	}
 	s.mu.Lock()
@@ -78,11 +78,11 @@
 	return s.lastAnswer, s.lastAnswer
 }
 
-// maxUnconfirmedClose is for how long a server may not notice a close.
+// maxUnconfirmedClose bounds how long a server may not observe a close.
 const maxUnconfirmedClose = 5 * time.Second
 
-// heldAfterCancel has a request's write wait for a time and its client leave then; it tells how long the state was held with no
-// write waiting.
+// heldAfterCancel runs a request whose write waits for writeTime and whose client then disconnects, with a writer that hangs
+// for hangTime from then on. It returns how long the state was held with no write waiting.
 func (s *preservingEngines) heldAfterCancel(t *testing.T, writeTime, hangTime time.Duration) (held time.Duration) {
 	set := testSettings()
 	set.SparesWaited, set.MaxAttempts = true, 2
@@ -108,47 +108,47 @@
 			}
 			s.mu.Unlock()
 		}
-		time.Sleep(2*time.Second + maxUnconfirmedClose) // its writer may go on for so long if the close was lost
+		time.Sleep(2*time.Second + maxUnconfirmedClose) // its writer may continue for this long if the close was lost
 		left := make(chan int, 1)
 		d.post(func() { left <- d.ledger.Len() })
 		if n := <-left; n != 0 {
-			t.Errorf("%d entries are left", n)
+			t.Errorf("%d ledger entries remain", n)
 		}
 	})
 	return held
 }
 
-// A state behind a write that is called off is let go in time: however long it was out, however late the close is noticed,
-// by a server that hangs too, and where nobody takes the first releases. The calls that it costs are bounded.
+// The state of a cancelled write is released in time: however long the write was in flight, however late the close is
+// observed, also by a server that hangs, and also if the first releases are not answered. The number of releases is bounded.
 func TestStateReleasedAfterCancelledWrite(t *testing.T) {
-	for _, out := range []time.Duration{100 * ms, 290 * ms, 700 * ms, 1490 * ms} {
+	for _, writeTime := range []time.Duration{100 * ms, 290 * ms, 700 * ms, 1490 * ms} {
 		for _, c := range []struct {
-			name         string
-			notice, hung time.Duration
-			nobody       int
-			most         int // releases
+			name                       string
+			closeNoticeDelay, hangTime time.Duration
+			unansweredReleases         int
+			maxReleases                int // limit on releases, without those below
 		}{
-			{"noticed at once", 0, 0, 0, 3},
-			{"noticed late", 25 * ms, 0, 0, 3},
-			{"noticed very late", 150 * ms, 0, 0, 3},
-			{"a server that hangs", 20 * ms, 3 * time.Second, 0, 12}, // and one each 0.4 s
-			{"nobody takes it at first", 10 * ms, 0, 3, 6},
+			{"observed at once", 0, 0, 0, 3},
+			{"observed late", 25 * ms, 0, 0, 3},
+			{"observed very late", 150 * ms, 0, 0, 3},
+			{"a server that hangs", 20 * ms, 3 * time.Second, 0, 12}, // and one every 0.4 s
+			{"first releases not answered", 10 * ms, 0, 3, 6},
 		} {
-			s := &preservingEngines{fakeEngines: newFakeEngines(), closeNoticeDelay: c.notice, unansweredReleases: c.nobody}
-			held := s.heldAfterCancel(t, out, c.hung)
+			s := &preservingEngines{fakeEngines: newFakeEngines(), closeNoticeDelay: c.closeNoticeDelay, unansweredReleases: c.unansweredReleases}
+			held := s.heldAfterCancel(t, writeTime, c.hangTime)
 			if left := s.stillHeld(); held > 500*ms || len(left) > 0 {
-				t.Errorf("out for %v, %s: held for %v, left %v", out, c.name, held, left)
+				t.Errorf("write in flight for %v, %s: held for %v, still held %v", writeTime, c.name, held, left)
 			}
-			beside := int(out / (400 * ms))                 // and one each 0.4 s of the write: it may not have arrived,
-			behind := int(maxUnconfirmedClose / (450 * ms)) // one each 0.45 s behind its close: that may have been lost,
-			if most := c.most + beside + behind; s.releaseCalls > most {
-				t.Errorf("out for %v, %s: %d releases, %d at most", out, c.name, s.releaseCalls, most)
+			duringWrite := int(writeTime / (400 * ms))          // one every 0.4 s of the write, which may not have arrived
+			afterClose := int(maxUnconfirmedClose / (450 * ms)) // one every 0.45 s after its close, which may have been lost
+			if limit := c.maxReleases + duringWrite + afterClose; s.releaseCalls > limit {
+				t.Errorf("write in flight for %v, %s: %d releases, limit %d", writeTime, c.name, s.releaseCalls, limit)
 			}
 		}
 	}
 }
 
-// lostWrites are engines whose writes never arrive: nothing waits for the state, and a release lets go of it.
+// lostWrites simulate servers that writes never reach: no write waits for the state, and a release releases it.
 type lostWrites struct{ *preservingEngines }
 
 func (s lostWrites) Write(ctx context.Context, _ *attempt.Call, _ func() bool, _ func([]byte) bool) attempt.Result {
@@ -159,20 +159,20 @@
 	return cancelledResult
 }
 
-// A state is let go in time beside writes that never arrive, by one or more in a row, while its request is open, and once it
-// has been answered where nothing may be called off. The writes go on. Where releases would take what a write waits for none
-// is made before its end.
+// While one or more successive writes never reach their server, the state is released in time, both while the request is
+// open and after its answer where attempts are not cancelled. The writes continue. Where a release would take what a write
+// waits for, none is made before the end of the write.
 func TestStateReleasedDuringLostWrites(t *testing.T) {
 	for name, c := range map[string]struct {
 		class    int
 		attempts int
-		giveUp   time.Duration
+		timeout  time.Duration
 		change   func(*gannethook.Settings)
 		released bool
 	}{
 		"one, unsafe":                              {1, 4, 3 * time.Second, nil, true},
 		"one after another":                        {0, 7, 3 * time.Second, nil, true},
-		"out of its answered request":              {1, 4, 300 * ms, func(set *gannethook.Settings) { set.Cancel = false }, true},
+		"request answered before":                  {1, 4, 300 * ms, func(set *gannethook.Settings) { set.Cancel = false }, true},
 		"a release takes what the write waits for": {1, 4, 3 * time.Second, func(set *gannethook.Settings) { set.SparesWaited = false }, false},
 	} {
 		s := lostWrites{&preservingEngines{fakeEngines: newFakeEngines()}}
@@ -184,17 +184,17 @@
 		}
 		runWithEngines(t, s, set, func(d *Driver) {
 			sink, j := newSink(t), newJob(c.class)
-			j.Name, j.Timeout = "a", c.giveUp
+			j.Name, j.Timeout = "a", c.timeout
 			if _, err := d.Submit(j, sink); err != nil {
 				t.Fatal(err)
 			}
 			time.Sleep(20 * ms)
 			if len(s.stillHeld()) == 0 {
-				t.Errorf("%s: no state", name)
+				t.Errorf("%s: no state held after the read", name)
 			}
 			time.Sleep(490 * ms)
 			if left := s.stillHeld(); len(left) > 0 == c.released {
-				t.Errorf("%s: left 500 ms after the read: %v", name, left)
+				t.Errorf("%s: held 500 ms after the read: %v", name, left)
 			}
 			s.fakeEngines.mu.Lock()
 			writes := s.fakeEngines.writes
@@ -205,22 +205,23 @@
 			<-sink.done
 			time.Sleep(time.Second)
 			if left := s.stillHeld(); len(left) > 0 {
-				t.Errorf("%s: left at the end: %v", name, left)
+				t.Errorf("%s: held at the end: %v", name, left)
 			}
 		})
 	}
 }
 
-// What is owed is told once it has been so for half of its time, and what a stop leaves behind is told as given up.
+// A release that has been pending for half of the pin limit is reported, and what is still pending at the end of a stop is
+// reported as abandoned.
 func TestPendingReleaseIsReported(t *testing.T) {
 	s := &preservingEngines{fakeEngines: newFakeEngines()}
 	set := testSettings()
 	set.SparesWaited, set.MaxAttempts = true, 2
 	s.fakeEngines.holdOK = false
 	var reports []heldstate.Report
-	var forgotten []heldstate.AbandonedEntry
+	var abandoned []heldstate.AbandonedEntry
 	runWithConfig(t, Config{Settings: set, Engines: s, OnPendingRelease: func(r heldstate.Report) { reports = append(reports, r) },
-		OnAbandoned: func(f heldstate.AbandonedEntry) { forgotten = append(forgotten, f) }}, func(d *Driver) {
+		OnAbandoned: func(f heldstate.AbandonedEntry) { abandoned = append(abandoned, f) }}, func(d *Driver) {
 		s.resumed = make(chan bool)
 		sink, j := newSink(t), newJob(0)
 		j.Name = "a"
@@ -233,38 +234,38 @@
 		<-sink.done
 		time.Sleep(time.Second)
 		d.SetReleaseDeadline(time.Now().Add(700 * ms))
-		time.AfterFunc(10*time.Second, func() { close(s.resumed) }) // the test's own end
+		time.AfterFunc(10*time.Second, func() { close(s.resumed) }) // so that the test ends
 	})
 	if len(reports) != 1 || reports[0].Request != "a" || reports[0].PendingFor < 250*ms || len(reports[0].Unconfirmed) != 1 {
 		t.Errorf("reports %+v", reports)
 	}
-	if len(forgotten) != 1 || forgotten[0].Request != "a" || forgotten[0].Reason != heldstate.RouterStopped || forgotten[0].PendingFor < 1500*ms {
-		t.Errorf("forgotten %+v", forgotten)
+	if len(abandoned) != 1 || abandoned[0].Request != "a" || abandoned[0].Reason != heldstate.RouterStopped || abandoned[0].PendingFor < 1500*ms {
+		t.Errorf("abandoned %+v", abandoned)
 	}
 }
 
-// Guards against waiting for good to hear a server that a whole list lacks.
+// Guards against waiting forever for an answer from a server that is missing from a full list.
 func TestServerMissingFromFullListIsRemoved(t *testing.T) {
 	runDriver(t, newFakeEngines(), func(d *Driver) {
-		whole := func(ids ...gannethook.ServerID) {
+		setServers := func(ids ...gannethook.ServerID) {
 			m := gannethook.Membership{Whole: true}
 			for _, id := range ids {
 				m.Servers = append(m.Servers, gannethook.Server{ID: id, State: gannethook.Ready})
 			}
 			d.Update(m)
 		}
-		whole("s0", "s1")
+		setServers("s0", "s1")
 		d.post(func() {
 			now := time.Now()
 			d.ledger.AttemptStarted("k", heldstate.Terms{Shared: true, PreservesWaiting: true}, "s0", true, now)
 			d.ledger.ReadEnded("k", "s0", heldstate.ClosedByRouter, now)
 			d.ledger.RequestEnded("k", now)
 		})
-		whole("s1")
-		unheard := make(chan []string, 1)
-		d.post(func() { unheard <- d.ledger.UnconfirmedServers() })
-		if servers := <-unheard; len(servers) > 0 {
-			t.Errorf("waits to hear %v", servers)
+		setServers("s1")
+		unconfirmed := make(chan []string, 1)
+		d.post(func() { unconfirmed <- d.ledger.UnconfirmedServers() })
+		if servers := <-unconfirmed; len(servers) > 0 {
+			t.Errorf("still waits for answers from %v", servers)
 		}
 	})
 }
--- a/internal/driver/reconfigure_test.go
+++ b/internal/driver/reconfigure_test.go
@@ -11,7 +11,7 @@
 	"gannethook/internal/attempt"
 )
 
-// recordingEngines are engines that keep what they were told of each write.
+// recordingEngines record the calls of the writes.
 type recordingEngines struct {
 	*fakeEngines
 	calls []*attempt.Call
@@ -24,13 +24,13 @@
 	return e.fakeEngines.Write(ctx, call, started, token)
 }
 
-// Settings that number classes, tenants and kinds otherwise: a job that carries their names gets the numbers of the
-// moment in which it is taken, one whose class is gone is refused, and one under way stays what it was.
+// New settings may number classes, tenants and kinds differently. A job that carries names gets the numbers in force when it
+// is accepted, one whose class was removed is refused, and an open request keeps its own.
 func TestReconfigure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &recordingEngines{fakeEngines: newFakeEngines()}
 		e.readTime = time.Second
-		var taken []gannethook.Request
+		var accepted []gannethook.Request
 		module, err := gannethook.New(testSettings(), 1)
 		if err != nil {
 			t.Fatal(err)
@@ -38,7 +38,7 @@
 		d, err := New(Config{Settings: testSettings(), Names: Names{Classes: []string{"safe", "unsafe"}}, Inbox: 10, MaxOpen: 10,
 			Engines: e, Decider: deciderFunc(func(ev gannethook.Event) []gannethook.Action {
 				if q, ok := ev.(gannethook.Request); ok {
-					taken = append(taken, q)
+					accepted = append(accepted, q)
 				}
 				return module.Handle(gannethook.Millis(time.Now().UnixMilli()), ev)
 			})})
@@ -46,7 +46,7 @@
 		list := gannethook.Membership{Whole: true, Servers: []gannethook.Server{{ID: "r", State: gannethook.Ready},
 			{ID: "w", Kind: 1, State: gannethook.Ready}}}
 		d.Update(list)
-		named := func(class, tenant string) *recordingSink {
+		submit := func(class, tenant string) *recordingSink {
 			s := newSink(t)
 			j := newJob(0)
 			j.ClassName, j.TenantName = class, tenant
@@ -55,8 +55,8 @@
 			}
 			return s
 		}
-		old := named("unsafe", "")
-		synctest.Wait() // it is being read
+		old := submit("unsafe", "")
+		synctest.Wait() // its read is in flight
 		next := testSettings()
 		slices.Reverse(next.Classes)
 		slices.Reverse(next.Kinds)
@@ -66,24 +66,24 @@
 			list.Servers[i].Kind = 1 - list.Servers[i].Kind
 		}
 		d.Reconfigure(next, Names{Classes: []string{"sicher", "safe"}, Tenants: []string{"a", "b"}}, list, 10)
-		fresh, gone := named("safe", "b"), named("unsafe", "")
+		updated, removed := submit("safe", "b"), submit("unsafe", "")
 		<-old.done
-		<-fresh.done
-		<-gone.done
-		if old.finals[0].Outcome != Served || fresh.finals[0].Outcome != Served || gone.finals[0].Outcome != Refused {
-			t.Errorf("%+v, %+v, %+v", old.finals, fresh.finals, gone.finals)
+		<-updated.done
+		<-removed.done
+		if old.finals[0].Outcome != Served || updated.finals[0].Outcome != Served || removed.finals[0].Outcome != Refused {
+			t.Errorf("%+v, %+v, %+v", old.finals, updated.finals, removed.finals)
 		}
-		if len(taken) != 2 || taken[0].Class != 1 || taken[1].Class != 1 || taken[1].Tenant != 1 {
-			t.Errorf("taken: %+v", taken)
+		if len(accepted) != 2 || accepted[0].Class != 1 || accepted[1].Class != 1 || accepted[1].Tenant != 1 {
+			t.Errorf("accepted: %+v", accepted)
 		}
 		if len(e.calls) != 2 || e.calls[0].Unsafe == e.calls[1].Unsafe {
-			t.Errorf("unsafe by the old settings, safe by the new: %+v", e.calls)
+			t.Errorf("want unsafe by the old settings, safe by the new: %+v", e.calls)
 		}
 		stop()
 	})
 }
 
-// How long a send may take to be written goes to who writes it.
+// The time within which a Send has to be written reaches the client for workers.
 func TestWriteDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &recordingEngines{fakeEngines: newFakeEngines()}
--- a/internal/driver/regressions.go
+++ b/internal/driver/regressions.go
@@ -5,11 +5,11 @@
 	"gannethook/internal/heldstate"
 )
 
-// regressions are the keys beside whose write a release was made, in a build that brings back a fault that was once made: with
-// forget and spared such a release counted as the last one that is needed. In the shipped build nothing is ever added.
+// regressions are the keys for which a release was made while a write was in flight, in a build that reintroduces a fixed
+// fault: with BreakForget and BreakSpared such a release counted as the last one needed. The shipped build adds no key.
 type regressions map[string]bool
 
-// skips tells whether a release is not made, as in the fault that is brought back.
+// skips reports whether a release is not made because of a reintroduced fault.
 func (o regressions) skips(c heldstate.ReleaseCall) bool {
 	if !faults.Enabled || c.Probe {
 		return false
@@ -30,7 +30,7 @@
 	return false
 }
 
-// dropsKey tells whether nothing more is let go by a key, as in the fault that is brought back.
+// dropsKey reports whether nothing more is released for a key because of a reintroduced fault.
 func (o regressions) dropsKey(key string) bool {
 	return faults.Broken(faults.BreakForget) && o[key]
 }
--- a/internal/driver/repeat.go
+++ b/internal/driver/repeat.go
@@ -8,26 +8,27 @@
 	"gannethook/internal/heldstate"
 )
 
-// Repeat tells what a request whose effect counts was given behind an earlier attempt whose connection the router had
-// closed, or that was still in flight.
+// Repeat describes a further attempt or a refusal of a request with side effects, made after the router had closed the
+// connection of an earlier attempt, or while that was in flight.
 type Repeat struct {
 	Request  string
-	Server   string // of the further attempt; "": it was a refusal
-	Reads    bool   // the further attempt reads
-	Earlier  string // server of the earlier attempt
-	Ended    string // how that ended, as the log has it
-	InFlight bool   // the earlier attempt had not ended
-	After    time.Duration
+	Server   string        // of the further attempt; empty: it was a refusal
+	Reads    bool          // the further attempt is a read
+	Earlier  string        // server of the earlier attempt
+	Ended    string        // detail of its end, as in the log
+	InFlight bool          // the earlier attempt has not ended
+	After    time.Duration // time since the earlier attempt's connection was closed
 }
 
-// recordClose notes when the router closed an attempt's connection before its answer had ended.
+// recordClose records when the router closed the attempt's connection before the answer had ended.
 func (a *attemptState) recordClose(r attempt.Result, closedAt time.Time) {
 	if attemptEnd(r) == heldstate.ClosedByRouter {
 		a.closedAt = closedAt
 	}
 }
 
-// reportRepeat tells of the earlier attempt that comes nearest before what was sent at a time: a further attempt, or a refusal.
+// reportRepeat reports a further attempt or a refusal that was sent at the given time, with the latest earlier attempt that
+// was closed by the router or is in flight. Only the first `before` attempts are considered.
 func (c *Call) reportRepeat(before int, server string, reads bool, sent time.Time) {
 	if c.d.cfg.OnRepeat == nil || c.effect() == guard.Safe || sent.IsZero() {
 		return
--- a/internal/driver/timers.go
+++ b/internal/driver/timers.go
@@ -7,15 +7,16 @@
 	"gannethook"
 )
 
-// timer is a wake-up of the module's, or an attempt's time-out.
+// timer is a wake-up that the decision module requested, or the timeout of an attempt.
 type timer struct {
 	at      time.Time
-	seq     uint64 // equal times go off in the order of setting
-	ref     uint64
-	call    *Call
-	attempt int
+	seq     uint64 // timers with equal times fire in the order of setting
+	ref     uint64 // of a wake-up: the module's reference
+	call    *Call  // of an attempt's timeout; nil: a wake-up
+	attempt int    // its index
 }
 
+// timers is a heap ordered by time.
 type timers []timer
 
 func (t timers) Len() int { return len(t) }
@@ -36,12 +37,14 @@
 	return last
 }
 
+// schedule sets a timer that fires after the given time.
 func (d *Driver) schedule(in time.Duration, t timer) {
 	d.timerSeq++
 	t.at, t.seq = time.Now().Add(max(in, 0)), d.timerSeq
 	heap.Push(&d.timers, t)
 }
 
+// untilNextEvent returns the time until the next timer, release or report may be due.
 func (d *Driver) untilNextEvent() time.Duration {
 	next := d.untilNextCheck()
 	if len(d.timers) > 0 {
@@ -50,8 +53,7 @@
 	return max(next, 0)
 }
 
-// fireDueTimers lets due timers go off. They go before what waits in the inbox: a
-// deadline is kept although much has come in.
+// fireDueTimers fires the due timers. Run calls it before each event of the inbox, so that deadlines are kept under a backlog.
 func (d *Driver) fireDueTimers() {
 	now := time.Now()
 	for len(d.timers) > 0 && !d.timers[0].at.After(now) {
--- a/internal/driver/types.go
+++ b/internal/driver/types.go
@@ -12,58 +12,62 @@
 	"gannethook/internal/limits"
 )
 
-// ErrBusy tells that a request was not taken: nothing of it has run.
+// ErrBusy means that a request was not accepted: nothing of it has run.
 var ErrBusy = errors.New("the router is full")
 
-// ErrStopped tells that the driver has ended.
+// ErrStopped means that the driver has stopped.
 var ErrStopped = errors.New("the router has stopped")
 
-// Engines makes attempts; engine.Client does, and the platform's workers do.
+// Engines makes the attempts at servers; engine.Client and the platform's worker client implement it.
 type Engines interface {
+	// Read makes a read at a reader.
 	Read(ctx context.Context, call *attempt.Call) attempt.Result
+	// Do makes an attempt at one-stage work.
 	Do(ctx context.Context, call *attempt.Call) attempt.Result
+	// Write makes a write at a writer: started is called before the first token and reports whether the stream may start; token
+	// receives each token and returns false to end the stream.
 	Write(ctx context.Context, call *attempt.Call, started func() bool, token func([]byte) bool) attempt.Result
-	// Hold asks for a place for what reader is about to read; call.Sent, if set, is that read's.
+	// Hold requests a place for what reader is about to read; call.Written, if set, is that of the read.
 	Hold(ctx context.Context, call *attempt.Call, reader string) attempt.PlaceResult
-	// Release lets go of what is held under one key, with tries again of its own; it ends in bounded time.
+	// Release releases what is held under one key, with retries of its own; it returns in bounded time.
 	Release(ctx context.Context, list []attempt.Held) attempt.ReleaseResult
-	// ReleaseAt asks one server alone, once, and waits for it longer; one without an address asks whichever answered last.
+	// ReleaseAt asks a single server once, with a longer timeout; without an address it asks the server that answered last.
 	ReleaseAt(ctx context.Context, h attempt.Held) attempt.ReleaseResult
-	// LastAnswer is when the last call was sent that a server has answered, and when it was answered; zero: not known.
+	// LastAnswer returns when the last call that a server answered was sent, and when it was answered; zero: unknown.
 	LastAnswer(server string) (sent, answered time.Time)
 }
 
-// Decider decides; gannethook.Router does. A baseline may stand in for it in comparisons.
+// Decider makes the routing decisions; gannethook.Router implements it, and comparisons may use a baseline.
 type Decider interface {
 	Handle(now gannethook.Millis, ev gannethook.Event) []gannethook.Action
 }
 
-// Job is a request as a client's front hands it over.
+// Job is a request as the front end submits it.
 type Job struct {
 	Class, Tenant            int
 	ClassName, TenantName    string
 	SessionID                string
-	Session, Prefix          gannethook.Key
-	PrefixName               string
-	Timeout                  time.Duration
-	PromptSize, PrefixTokens float64 // tokens of the prompt, and of these the shared beginning's
+	Session, Prefix          gannethook.Key // hashes of the session and of the shared prefix; 0: none
+	PrefixName               string         // key of the shared prefix at the servers
+	Timeout                  time.Duration  // the client's time limit, including QueuedFor
+	PromptSize, PrefixTokens float64        // in tokens: of the prompt, and of its shared prefix
 	MaxTokens                int
 	Model, Prompt            string
-	Idempotency              string
-	Name                     string                  // the request's own id, where servers know it and all held for it by that; else ""
-	Sampling                 json.RawMessage         // an object of fields that the engine takes as they are
-	Path                     string                  // of a named or one-stage request: the servers' path,
-	Header                   http1.Header            // the fields that are passed on with it,
-	Body                     []byte                  // the request as they take it,
-	CheckAnswer              func(body []byte) error // and whether an answer is one
-	QueuedFor                time.Duration           // of Timeout, before it came to the driver
-	ClientGone               func() bool             // whether its client has left, seen at once; nil: Abandon tells
+	Idempotency              string                  // idempotency key; empty: none
+	Name                     string                  // the request's own id, if servers know it and its held state by that; else empty
+	Sampling                 json.RawMessage         // JSON object with sampling fields, passed to the engine unchanged
+	Path                     string                  // of a named or one-stage request: the path at the servers
+	Header                   http1.Header            // header fields passed on with it
+	Body                     []byte                  // request body in the servers' format
+	CheckAnswer              func(body []byte) error // validates the answer to Body
+	QueuedFor                time.Duration           // part of Timeout that was spent before Submit
+	ClientGone               func() bool             // reports at once whether the client has disconnected; nil: only Abandon reports it
 }
 
-// Outcome tells how a request ended.
+// Outcome is how a request ended.
 type Outcome int
 
-// The final answers, and Cancelled for a request that its client took back.
+// Outcomes of final answers; Cancelled is that of a request whose client cancelled it or disconnected.
 const (
 	Served Outcome = iota + 1
 	Refused
@@ -75,28 +79,27 @@
 	return [...]string{"none", "served", "refused", "failed", "cancelled"}[k]
 }
 
-// Answer is the final answer.
+// Answer is the final answer to a request.
 type Answer struct {
 	Outcome     Outcome
 	RetryAfter  time.Duration // of a refusal
 	Tokens      int
-	Body        []byte // of one-stage work that was served, as the engine gave it
+	Body        []byte // of one-stage work that was served: the engine's answer
 	Reason      string
-	LimitReason limits.Reason // of a refusal by limits; 0 of any other
-	MayHaveRun  bool          // an attempt at a writer is not known not to have run
+	LimitReason limits.Reason // of a refusal by limits; 0: no such refusal
+	MayHaveRun  bool          // an attempt at a writer may have run
 }
 
-// Sink receives a request's answer. Token comes from the attempt's goroutine, as
-// the way out gives it (a raw JSON string from engines, events from platform
-// workers), valid during the call; it returns false once nobody reads, and may
-// wait for its reader alone. Final comes once, last, from
-// the driver's goroutine, and may not wait.
+// Sink receives the answer to a request. Token is called on the attempt's goroutine with a token as the client for workers
+// delivers it (a raw JSON string from engines, events from platform workers), valid during the call; it returns false once
+// the client does not read any more, and may block only while the client reads slowly. Final is called once, after the last
+// token, on the driver's goroutine, and must not block.
 type Sink interface {
 	Token(text []byte) bool
 	Final(Answer)
 }
 
-// Summary is what is logged of one request.
+// Summary is the log record of a request.
 type Summary struct {
 	ID                 uint64
 	Name               string // of a named job
@@ -106,13 +109,13 @@
 	Outcome            Outcome
 	Reason             string
 	FirstToken, Total  time.Duration
-	AttemptEnds        []string        // of the attempts, in order: where, when, how long and how
-	ReleasedAfter      []time.Duration // after it came, when what may have been held was let go
+	AttemptEnds        []string        // one per attempt, in order: server, start, connection, duration and result
+	ReleasedAfter      []time.Duration // times of the release requests, from the request's arrival
 	RetryAfter         time.Duration
 	PromptSize         float64
-	Read, CachedTokens float64 // tokens of prompts read for it, and of these found kept
+	Read, CachedTokens float64 // prompt tokens of all reads, and how many of them servers found in their caches
 }
 
-// Names are the names of classes and tenants, in the settings' order. Jobs that
-// carry names outlive a change of the settings, which numbers them anew.
+// Names are the names of classes and tenants in the order of the settings. Jobs that carry names remain valid when new
+// settings number classes and tenants differently.
 type Names struct{ Classes, Tenants []string }
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -1,36 +1,34 @@
-// Package guard decides whether a router may do what can't be undone: begin a
-// request, write an attempt to a server, refuse, or close a connection that a
-// request came on. Every path asks here, with the facts of that instant. The
-// package is pure: it has no clock and does no I/O.
+// Package guard decides whether a router may take a step that cannot be undone: start a request, write an attempt to a
+// server, refuse a request, or close a client's connection. Every path asks with the facts of that moment. The package is
+// pure: it has no clock and does no I/O.
 //
-// A Monitor counts the answers. Most denials are the normal end of a race (a
-// connection came up after its client had left). A denial of what the decision
-// module should never have asked for is a violation: it is denied all the same,
-// counted and reported, and fails a test.
+// A Monitor counts the decisions. Most denials are the normal outcome of a race, such as a connection that is established
+// after its client has disconnected. A denial of a step that the decision module should never request is a violation: it is
+// denied as well, counted, reported, and fails a test.
 package guard
 
 import "time"
 
-// Reason tells why something may not be done.
+// Reason is why a step is denied.
 type Reason uint8
 
-// The reasons. Allowed is the zero value.
+// Reasons. Allowed is the zero value.
 const (
 	Allowed        Reason = iota
 	Cancelled             // the attempt was cancelled before it was written
-	Unlisted              // the server is not in the list any more
-	Draining              // the server takes nothing new
-	DeadlinePassed        // the client's time, or the attempt's own, is over
-	WindowPassed          // the servers may have forgotten the key of an earlier attempt
+	Unlisted              // the server is no longer in the list of servers
+	Draining              // the server accepts no new work
+	DeadlinePassed        // the deadline of the client or of the attempt has passed
+	WindowPassed          // the servers may no longer remember the idempotency key of an earlier attempt
 	ClientGone            // the client has closed its connection
 	IDOpen                // another open request has the same id
 	Answered              // the request has its final answer
-	Streaming             // another attempt's answer is being passed on
-	EffectInFlight        // an earlier attempt with an effect has no outcome yet
+	Streaming             // the answer of another attempt is being streamed
+	EffectInFlight        // an earlier attempt with side effects has no outcome yet
 	MayHaveRun            // an earlier attempt may have run
-	Unanswered            // a request was taken and has no answer
-	HeldAtStop            // something may be held as the router's time to end is over
-	HeldOverLimit         // something may be held, and there is no room to owe more
+	Unanswered            // the request was accepted and has no answer
+	HeldAtStop            // servers may hold state at the end of the router's shutdown time
+	HeldOverLimit         // servers may hold state, and the limit on pending releases is reached
 	numReasons
 )
 
@@ -40,17 +38,17 @@
 		"earlier attempt may have run", "request unanswered", "held at the stop", "too much held"}[r]
 }
 
-// Action is what the guard is asked about.
+// Action is a step that needs the guard's permission.
 type Action uint8
 
-// The actions.
+// Actions.
 const (
-	Start   Action = iota // a request is handed to the decision module
-	Send                  // an attempt is made
-	Write                 // its first byte is about to be written
-	Refuse                // a client is told that nothing was done
-	Close                 // a client's connection is closed
-	Abandon               // what may be held for a request is forgotten without proof
+	Start   Action = iota // hand a request to the decision module
+	Send                  // make an attempt
+	Write                 // write the first byte of an attempt
+	Refuse                // tell a client that nothing was done
+	Close                 // close a client's connection
+	Abandon               // drop held state from the ledger without a confirmed release
 	numActions
 )
 
@@ -58,23 +56,23 @@
 	return [numActions]string{"start", "send", "write", "refuse", "close", "forget"}[a]
 }
 
-// Effect is what running a request twice does.
+// Effect is the consequence of running a request twice.
 type Effect uint8
 
-// The effects.
+// Effects.
 const (
-	Safe   Effect = iota // nothing
-	Keyed                // nothing while the servers remember its key
-	Unsafe               // the effect happens twice
+	Safe   Effect = iota // none
+	Keyed                // none while the servers remember the request's idempotency key
+	Unsafe               // the side effect happens twice
 )
 
-// StartFacts are those of a request that was read whole.
+// StartFacts describe a request that was read completely.
 type StartFacts struct {
 	ClientGone bool
 	IDOpen     bool
 }
 
-// MayStart tells whether a request may be handed to the decision module.
+// MayStart decides whether a request may be handed to the decision module.
 func MayStart(f StartFacts) Reason {
 	switch {
 	case f.ClientGone:
@@ -85,16 +83,16 @@
 	return Allowed
 }
 
-// SendFacts are those of a request for which the module wants another attempt.
+// SendFacts describe a request for which the decision module wants another attempt.
 type SendFacts struct {
 	Effect         Effect
 	Answered       bool
 	Streaming      bool
-	EffectInFlight bool // an attempt that may have an effect has no outcome yet
-	MayHaveRun     bool // an attempt that ended is not known not to have run
+	EffectInFlight bool // an attempt that may have side effects has no outcome yet
+	MayHaveRun     bool // a finished attempt may have run
 }
 
-// MaySend tells whether another attempt may be made.
+// MaySend decides whether another attempt may be made.
 func MaySend(f SendFacts) Reason {
 	switch {
 	case f.Answered:
@@ -109,24 +107,24 @@
 	return Allowed
 }
 
-// Violates tells whether a denial to send means that the module asked for what it
-// must not; the others are races that it can't know of.
+// Violates reports whether a denial for this reason means that the decision module requested a step that it must not. The
+// other denials come from races that the module cannot know about.
 func (r Reason) Violates() bool { return r == EffectInFlight || r == MayHaveRun || r == Unanswered }
 
-// WriteFacts are those of an attempt whose connection has come up.
+// WriteFacts describe an attempt whose connection is established.
 type WriteFacts struct {
 	Cancelled  bool
-	Release    bool // it lets go of what is held, which is no new work
+	Release    bool // the call releases held state, which is not new work
 	Listed     bool
 	Draining   bool
 	Now        time.Time
 	Deadline   time.Time   // of the attempt; zero: none
-	WindowEnds time.Time   // of a key that an earlier attempt used; zero: none
-	ClientGone func() bool // asked last, since it costs a system call; nil: not known
+	WindowEnds time.Time   // of the idempotency key of an earlier attempt; zero: none
+	ClientGone func() bool // evaluated last, since it costs a system call; nil: unknown
 }
 
-// MayWrite tells whether an attempt's first byte may be written now. Whoever
-// decided on it could not know what has come while its connection came up.
+// MayWrite decides whether the first byte of an attempt may be written now. The decision to make the attempt could not
+// account for what changed while its connection was being established.
 func MayWrite(f WriteFacts) Reason {
 	switch {
 	case f.Cancelled:
@@ -147,14 +145,14 @@
 	return Allowed
 }
 
-// RefuseFacts are those of a request that is about to be refused.
+// RefuseFacts describe a request that is about to be refused.
 type RefuseFacts struct {
 	Effect     Effect
-	MayHaveRun bool // an attempt is out, or is not known not to have run
-	Remembered bool // the servers drop a repeat of its key for as long as the refusal advises to wait
+	MayHaveRun bool // an attempt is in flight, or a finished one may have run
+	Remembered bool // the servers drop a repeat of its idempotency key for at least the advised retry delay
 }
 
-// MayRefuse tells whether a refusal may promise that trying again is harmless.
+// MayRefuse decides whether a refusal may promise that a retry is harmless.
 func MayRefuse(f RefuseFacts) Reason {
 	if f.MayHaveRun && (f.Effect == Unsafe || f.Effect == Keyed && !f.Remembered) {
 		return MayHaveRun
@@ -162,14 +160,14 @@
 	return Allowed
 }
 
-// CloseFacts are those of a client's connection that is about to close.
+// CloseFacts describe a client's connection that is about to be closed.
 type CloseFacts struct {
-	Accepted   bool // a request was read whole on it and handed on
-	Answered   bool // its answer was written as far as the client took it
+	Accepted   bool // a request was read completely and handed on
+	Answered   bool // its answer was written as far as the client read it
 	ClientGone bool
 }
 
-// MayClose tells whether a client's connection may close.
+// MayClose decides whether a client's connection may be closed.
 func MayClose(f CloseFacts) Reason {
 	if f.Accepted && !f.Answered && !f.ClientGone {
 		return Unanswered
@@ -177,12 +175,12 @@
 	return Allowed
 }
 
-// AbandonFacts are those of what a server may hold for a request, and of which it is not proven that it was let go.
+// AbandonFacts describe state that a server may hold for a request and whose release is not confirmed.
 type AbandonFacts struct {
-	Stopped bool // the router ends, and its time is over
+	Stopped bool // the router stops, and its shutdown time is over
 }
 
-// MayAbandon tells why it is forgotten. It is never allowed: each time is counted and reported.
+// MayAbandon returns the reason for abandoning the state. It is never Allowed: every case is counted and reported.
 func MayAbandon(f AbandonFacts) Reason {
 	if f.Stopped {
 		return HeldAtStop
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -8,23 +8,23 @@
 var now = time.Unix(1000, 0)
 
 func TestMayWrite(t *testing.T) {
-	gone := func() bool { return true }
+	disconnected := func() bool { return true }
 	open := WriteFacts{Listed: true, Now: now}
 	for _, c := range []struct {
 		name   string
 		change func(*WriteFacts)
 		want   Reason
 	}{
-		{"as it is", func(*WriteFacts) {}, Allowed},
-		{"called off", func(f *WriteFacts) { f.Cancelled = true }, Cancelled},
-		{"a release that was called off", func(f *WriteFacts) { f.Cancelled, f.Release = true, true }, Cancelled},
+		{"nothing changed", func(*WriteFacts) {}, Allowed},
+		{"attempt cancelled", func(f *WriteFacts) { f.Cancelled = true }, Cancelled},
+		{"a cancelled release", func(f *WriteFacts) { f.Cancelled, f.Release = true, true }, Cancelled},
 		{"a release to a server that drains", func(f *WriteFacts) { f.Draining, f.Release = true, true }, Allowed},
 		{"not listed", func(f *WriteFacts) { f.Listed = false }, Unlisted},
 		{"draining", func(f *WriteFacts) { f.Draining = true }, Draining},
 		{"at its deadline", func(f *WriteFacts) { f.Deadline = now }, Allowed},
 		{"past its deadline", func(f *WriteFacts) { f.Deadline = now.Add(-1) }, DeadlinePassed},
 		{"past its window", func(f *WriteFacts) { f.WindowEnds = now.Add(-1) }, WindowPassed},
-		{"its client has left", func(f *WriteFacts) { f.ClientGone = gone }, ClientGone},
+		{"client disconnected", func(f *WriteFacts) { f.ClientGone = disconnected }, ClientGone},
 	} {
 		f := open
 		c.change(&f)
@@ -69,16 +69,16 @@
 }
 
 func TestMonitorCounts(t *testing.T) {
-	var told []Denial
-	m := NewMonitor(func(d Denial) { told = append(told, d) })
+	var reported []Denial
+	m := NewMonitor(func(d Denial) { reported = append(reported, d) })
 	if !m.Check(Write, Allowed, "a") || m.Check(Write, ClientGone, "a") || m.Check(Close, MayClose(CloseFacts{Accepted: true}), "b") {
-		t.Error("a denial is allowed, or the other way round")
+		t.Error("Check allowed a denied step or denied an allowed one")
 	}
-	if m.Violations() != 1 || m.Counts()["write: client gone"] != 1 || m.Counts()["close: request unanswered"] != 1 || len(told) != 2 {
-		t.Errorf("%d violations, %v, %v", m.Violations(), m.Counts(), told)
+	if m.Violations() != 1 || m.Counts()["write: client gone"] != 1 || m.Counts()["close: request unanswered"] != 1 || len(reported) != 2 {
+		t.Errorf("%d violations, %v, %v", m.Violations(), m.Counts(), reported)
 	}
 	var none *Monitor
 	if none.Check(Send, MayHaveRun, "c") {
-		t.Error("a monitor that does not count allows all")
+		t.Error("a nil monitor allows a denied step")
 	}
 }
--- a/internal/guard/monitor.go
+++ b/internal/guard/monitor.go
@@ -5,11 +5,11 @@
 	"sync/atomic"
 )
 
-// Denial is something that was denied.
+// Denial describes a step that was denied.
 type Denial struct {
 	Action    Action
 	Reason    Reason
-	Request   string // the request's id; "" where it has none
+	Request   string // id of the request; empty if it has none
 	Violation bool
 }
 
@@ -17,18 +17,17 @@
 	return fmt.Sprintf("%s of %q: %s", d.Action, d.Request, d.Reason)
 }
 
-// Monitor counts what is denied. A nil Monitor counts nothing. It is safe for
-// concurrent use.
+// Monitor counts denials. A nil Monitor counts nothing. It is safe for concurrent use.
 type Monitor struct {
-	report     func(Denial) // may be called from anywhere, and must not wait
+	report     func(Denial) // called on any goroutine; must not block
 	denied     [numActions][numReasons]atomic.Int64
 	violations atomic.Int64
 }
 
-// NewMonitor returns a monitor that reports each denial; report may be nil.
+// NewMonitor returns a monitor that passes each denial to report, which may be nil.
 func NewMonitor(report func(Denial)) *Monitor { return &Monitor{report: report} }
 
-// Check counts what the guard said of an action and tells whether it is allowed.
+// Check counts a decision of the guard and reports whether the step is allowed.
 func (m *Monitor) Check(a Action, r Reason, request string) bool {
 	if r == Allowed {
 		return true
@@ -47,10 +46,10 @@
 	return false
 }
 
-// Violations is how many denials should never have been asked for.
+// Violations returns the number of denials of steps that should never have been requested.
 func (m *Monitor) Violations() int64 { return m.violations.Load() }
 
-// Counts lists how often each action was denied, by "action: reason".
+// Counts returns the number of denials by "action: reason".
 func (m *Monitor) Counts() map[string]int64 {
 	counts := map[string]int64{}
 	for a := range m.denied {
--- a/internal/holdmonitor/monitor.go
+++ b/internal/holdmonitor/monitor.go
@@ -1,12 +1,10 @@
-// Package holdmonitor watches what servers may hold for requests by the calls alone:
-// what was sent to a server, and what was heard from it. It decides nothing, and it
-// shares nothing with the ledger of internal/heldstate, so that its reports do not
-// depend on what that ledger believes.
+// Package holdmonitor checks from the calls alone which requests servers may hold state or places for: from what was sent
+// to a server, and which answers came back. It makes no decisions, and it shares no state with the ledger of
+// internal/heldstate, so that its reports do not depend on the ledger being right.
 //
-// A key is watched from its first read or reservation until the first event of its
-// answer, until a release was answered that was sent after all else had ended, or
-// until it is known that no call has left anything. A report is made when nothing
-// was heard of it for half of the pin limit.
+// A key is monitored from its first read or reservation until one of these: the first event of its answer; an
+// acknowledged release that was sent after all its other calls had ended; or the end of all its calls without any that may
+// have left state. A key is reported once no server has answered one of its calls for half of the pin limit.
 //
 // The package is pure: it does no I/O and reads no clock.
 package holdmonitor
@@ -16,20 +14,20 @@
 	"time"
 )
 
-// Bounds.
+// Limits.
 const (
-	maxKeys  = 4096 // keys watched at once; beyond them a new one is not watched
-	maxCalls = 16   // calls of a key that a report tells of: the last ones
+	maxKeys  = 4096 // keys monitored at once; further keys are not monitored
+	maxCalls = 16   // most recent calls of a key that are kept for its report
 
-	reportFraction  = 0.5                    // part of the pin limit after which silence is reported
-	defaultPinLimit = 500 * time.Millisecond // taken where the settings name no limit
-	maxAge          = 2 * time.Minute        // for which a key is watched after it was last heard
+	reportFraction  = 0.5                    // fraction of the pin limit without an answer after which a key is reported
+	defaultPinLimit = 500 * time.Millisecond // used where the settings have no pin limit
+	maxAge          = 2 * time.Minute        // time since the last answer after which a key is no longer monitored
 )
 
-// Kind is a kind of call.
+// Kind is the kind of a call.
 type Kind uint8
 
-// The kinds.
+// Kinds of calls.
 const (
 	Read Kind = iota
 	Write
@@ -39,25 +37,25 @@
 
 func (k Kind) String() string { return [...]string{"read", "write", "reservation", "release"}[k] }
 
-// Outcome tells what the end of a call proves.
+// Outcome is what the end of a call shows about the server.
 type Outcome uint8
 
-// The outcomes.
+// Outcomes.
 const (
-	NoAnswer Outcome = iota // no answer came: what it did is not known
-	Answered                // the server answered, and may hold something
+	NoAnswer Outcome = iota // no answer came: the effect is unknown
+	Answered                // the server answered and may hold state
 	Rejected                // the server answered that it did nothing
-	NotSent                 // it was not written whole
+	NotSent                 // the request was not written completely
 )
 
 func (o Outcome) String() string {
 	return [...]string{"no answer", "answered", "turned away", "not sent"}[o]
 }
 
-// answered tells that the server answered.
+// answered reports whether the server answered.
 func (o Outcome) answered() bool { return o == Answered || o == Rejected }
 
-// mayHold tells that the server may hold something.
+// mayHold reports whether the server may hold state.
 func (o Outcome) mayHold() bool { return o == NoAnswer || o == Answered }
 
 // call is one call for a key.
@@ -65,42 +63,42 @@
 	kind    Kind
 	server  string
 	sentAt  time.Time
-	endedAt time.Time // zero: it is in flight
+	endedAt time.Time // zero: in flight
 	outcome Outcome
 }
 
-// watchedKey is what is known of one key.
+// watchedKey is the record of one monitored key.
 type watchedKey struct {
 	request    string
 	pinLimit   time.Duration
 	calls      []call
-	lastAnswer time.Time // when a server last answered one of its calls, or the first was sent
-	reported   bool      // since it was last heard
-	mayHold    bool      // a call that has ended may have left something
+	lastAnswer time.Time // when a server last answered one of its calls, or when the first was sent
+	reported   bool      // since lastAnswer
+	mayHold    bool      // a finished call may have left state at a server
 }
 
-// reportAt is when the key is reported, unless it is heard before.
+// reportAt returns when the key is due to be reported unless a server answers before.
 func (k *watchedKey) reportAt() time.Time {
 	return k.lastAnswer.Add(time.Duration(reportFraction * float64(k.pinLimit)))
 }
 
-// Report tells of a key of which nothing was heard.
+// Report describes a key without answers.
 type Report struct {
 	Request   string
 	SilentFor time.Duration
-	Calls     []string // the last calls, oldest first
+	Calls     []string // the most recent calls, oldest first
 }
 
-// Monitor watches keys. It is not safe for concurrent use.
+// Monitor records the calls by key. It is not safe for concurrent use.
 type Monitor struct {
 	keys      map[string]*watchedKey
-	nextCheck time.Time // no report is due before; zero: none is due
+	nextCheck time.Time // earliest time at which a report may be due; zero: none is due
 }
 
-// New returns an empty watch.
+// New returns an empty monitor.
 func New() *Monitor { return &Monitor{keys: map[string]*watchedKey{}} }
 
-// Sent notes that a call is sent. A release alone is not watched: its key holds nothing.
+// Sent records that a call is sent. A release alone does not start the monitoring of a key: nothing is held for it.
 func (m *Monitor) Sent(keyName, request string, pinLimit time.Duration, kind Kind, server string, now time.Time) {
 	k := m.keys[keyName]
 	if k == nil {
@@ -120,7 +118,7 @@
 	k.calls = append(k.calls, call{kind: kind, server: server, sentAt: now})
 }
 
-// Ended notes how a call ended.
+// Ended records the end of a call.
 func (m *Monitor) Ended(keyName string, kind Kind, server string, outcome Outcome, now time.Time) {
 	k := m.keys[keyName]
 	if k == nil {
@@ -139,8 +137,8 @@
 	}
 }
 
-// recordEnd notes the end of a key's last call of a kind that is in flight, and returns when it was sent. A release names its
-// server only once one has taken it.
+// recordEnd records the end of the most recent call of the given kind that is in flight, and returns when it was sent. A
+// release has no server name until a server has accepted it.
 func (k *watchedKey) recordEnd(kind Kind, server string, outcome Outcome, now time.Time) (sentAt time.Time) {
 	for i := len(k.calls) - 1; i >= 0; i-- {
 		c := &k.calls[i]
@@ -152,7 +150,7 @@
 	return time.Time{}
 }
 
-// attemptsEndedBy tells whether all calls but releases had ended by a time.
+// attemptsEndedBy reports whether all calls other than releases had ended by the given time.
 func (k *watchedKey) attemptsEndedBy(at time.Time) bool {
 	for _, c := range k.calls {
 		if c.kind != Release && (c.endedAt.IsZero() || c.endedAt.After(at)) {
@@ -162,13 +160,13 @@
 	return true
 }
 
-// Streaming notes the first event of an answer, with which all goes that is held.
+// Streaming records the first event of the answer, by which everything that was held is consumed.
 func (m *Monitor) Streaming(keyName string) { delete(m.keys, keyName) }
 
-// Len is how many keys are watched.
+// Len returns the number of monitored keys.
 func (m *Monitor) Len() int { return len(m.keys) }
 
-// Next is when Due may have a report; zero: not before something else is told.
+// Next returns when Due may have a report; zero: not before another call is recorded.
 func (m *Monitor) Next() time.Time { return m.nextCheck }
 
 func (m *Monitor) scheduleCheck(at time.Time) {
@@ -177,8 +175,8 @@
 	}
 }
 
-// Due returns a report of each key of which nothing was heard for half of its pin
-// limit, once until it is heard again.
+// Due returns a report for each key without an answer for half of its pin limit; a key is reported again only after another
+// answer.
 func (m *Monitor) Due(now time.Time) []Report {
 	if m.nextCheck.IsZero() || now.Before(m.nextCheck) {
 		return nil
@@ -203,7 +201,7 @@
 	return reports
 }
 
-// describe tells of a key's last calls.
+// describe formats the key's most recent calls for a report.
 func (k *watchedKey) describe(now time.Time) []string {
 	list := make([]string, 0, len(k.calls))
 	for _, c := range k.calls {
