--- a/internal/heldstate/entry.go
+++ b/internal/heldstate/entry.go
@@ -5,324 +5,330 @@
 	"time"
 )
 
-// leavesWithStream takes out what is gone with the first event of an answer. A write that may still wait in a queue is kept only
-// for what it may have releases spare.
-func (e *entry) leavesWithStream(now time.Time) {
-	e.holdings = slices.DeleteFunc(e.holdings, func(h holding) bool { return h.goesWithStream(now) })
+// removeReleasedByStream removes the holdings that end with the first event of an answer. A write that may still wait in a
+// queue is kept only for the holdings that it has releases preserve.
+func (e *entry) removeReleasedByStream(now time.Time) {
+	e.holdings = slices.DeleteFunc(e.holdings, func(h holding) bool { return h.releasedByStream(now) })
 	if !slices.ContainsFunc(e.holdings, func(h holding) bool { return h.kind != queuedWrite }) {
 		e.holdings = nil
 	}
 }
 
-// entry is what may be held under one key.
+// entry is what may be held under one key, for one request.
 type entry struct {
 	key      string
 	terms    Terms
 	holdings []holding
 
-	wanted   bool      // all is to be let go
-	wantedAt time.Time // since when
-	over     bool      // no attempt follows
-	streamed time.Time // when the answer began: what was held went with it; zero: it has not
-
-	proven    time.Time // until when an answer proves that the pin limit did not run
-	quietAt   time.Time // when the last attempt ended that may have arrived
-	taken     time.Time // when the last release was sent that servers have answered
-	missed    bool      // that one may not have reached all that may hold something
-	takes     int       // releases that were answered since something last ended
-	releasing int       // releases in flight
-	round     round     // of the releases in flight
-	retry     time.Duration
-	retryAt   time.Time // of a release that nobody took; zero: it was taken
-	probedAt  time.Time // what was proven when the server of its read was last probed
-
-	owedAt   time.Time // since when it is owed; zero: it is not
-	reportAt time.Time // when that is told; zero: it was
-	lookAt   time.Time // when it has something to do
-	position int       // in the agenda
-	inLine   bool      // its release is due, and waits for others to end
+	releaseRequested   bool      // all that is held has to be released
+	releaseRequestedAt time.Time // since when
+	requestEnded       bool      // no attempt follows
+	streamStartedAt    time.Time // when the answer started, with which servers dropped what was held; zero: it has not
+
+	limitClearUntil      time.Time // last moment for which an answer shows that the pin limit was not running
+	lastAttemptEndedAt   time.Time // of the attempts that may have arrived
+	ackedReleaseSentAt   time.Time // when the last acknowledged release was sent
+	releaseMayHaveMissed bool      // that release may not have reached all holders
+	ackedReleases        int       // acknowledged releases since anything last ended
+	releasesInFlight     int
+	round                releaseRound // of the releases in flight
+	retryDelay           time.Duration
+	retryAt              time.Time // of a release that no server acknowledged; zero: the last one was acknowledged
+	limitClearAtProbe    time.Time // limitClearUntil at the last liveness probe: one probe is sent for each value
+
+	pendingSince   time.Time // zero: it is not pending
+	reportAt       time.Time // when it is reported as pending; zero: it was
+	nextActionAt   time.Time // key of the action queue
+	queueIndex     int       // in the action queue, or notQueued
+	waitingForSlot bool      // its release is due, but waits for others to end
 }
 
-// round is what came of the releases that are made together, one at each server.
-type round struct {
-	sent   time.Time // when the first of them was sent
-	failed bool      // nobody took one of them
+// releaseRound is the outcome of the releases that are sent together: one where the entry is shared, else one to each holder.
+type releaseRound struct {
+	firstSentAt time.Time // of the acknowledged ones
+	failed      bool      // one of them was not acknowledged
 }
 
-// prove notes that an answer proves that the pin limit did not run until a time.
-func (e *entry) prove(at time.Time) { e.proven = later(e.proven, at) }
+// markLimitClear records that an answer shows that the pin limit was not running until then, or was restarted.
+func (e *entry) markLimitClear(at time.Time) { e.limitClearUntil = later(e.limitClearUntil, at) }
 
-func (e *entry) want(now time.Time) {
-	if !e.wanted {
-		e.wanted, e.wantedAt = true, now
+func (e *entry) requestRelease(now time.Time) {
+	if !e.releaseRequested {
+		e.releaseRequested, e.releaseRequestedAt = true, now
 	}
 }
 
-// grace is for how long a server may take to notice a close; a short pin limit leaves less room to allow for it.
-func (e *entry) grace() time.Duration { return e.terms.grace() }
+// noticeGrace returns the time that a server may take to notice a close.
+func (e *entry) noticeGrace() time.Duration { return e.terms.noticeGrace() }
 
-// pending is the holding of a kind at a server whose call is in flight; -1: there is none.
-func (e *entry) pending(server string, kind kind) int {
-	return slices.IndexFunc(e.holdings, func(h holding) bool { return h.pending && h.kind == kind && h.server == server })
+// inFlightIndex returns the index of the holding of a kind at a server whose call is in flight; -1: there is none.
+func (e *entry) inFlightIndex(server string, kind kind) int {
+	return slices.IndexFunc(e.holdings, func(h holding) bool { return h.inFlight && h.kind == kind && h.server == server })
 }
 
 func (e *entry) remove(i int) { e.holdings = slices.Delete(e.holdings, i, i+1) }
 
-// mayHold tells whether a server may hold something.
+// mayHold reports whether any server may hold something.
 func (e *entry) mayHold() bool {
-	return slices.ContainsFunc(e.holdings, func(h holding) bool { return h.held() })
+	return slices.ContainsFunc(e.holdings, func(h holding) bool { return h.mayBeHeld() })
 }
 
-// answered tells whether something may be held whose call has ended.
-func (e *entry) answered() bool {
-	return slices.ContainsFunc(e.holdings, func(h holding) bool { return !h.pending })
+// anyCallEnded reports whether something may be held whose call has ended.
+func (e *entry) anyCallEnded() bool {
+	return slices.ContainsFunc(e.holdings, func(h holding) bool { return !h.inFlight })
 }
 
-// inFlight tells whether an attempt is in flight that may wait for something, as far as the router knows.
-func (e *entry) inFlight() bool { return e.beside() != NoAttempt }
+// attemptInFlight reports whether, as far as the router knows, an attempt is in flight that may wait for what is held.
+func (e *entry) attemptInFlight() bool { return e.concurrentAttempt() != NoAttempt }
 
-// beside is which attempt is in flight.
-func (e *entry) beside() Concurrent {
-	beside := NoAttempt
+// concurrentAttempt returns the kind of attempt that is in flight.
+func (e *entry) concurrentAttempt() Concurrent {
+	concurrent := NoAttempt
 	for _, h := range e.holdings {
 		switch {
-		case h.pending && h.kind == readState:
+		case h.inFlight && h.kind == readState:
 			return ReadInFlight
-		case h.pending && h.kind == queuedWrite:
-			beside = WriteInFlight
+		case h.inFlight && h.kind == queuedWrite:
+			concurrent = WriteInFlight
 		}
 	}
-	return beside
+	return concurrent
 }
 
-// doubts tells whether a server may not have noticed a close, and was not heard since.
-func (e *entry) doubts(server string) bool {
-	return slices.ContainsFunc(e.holdings, func(h holding) bool { return h.unheard() && h.server == server })
+// isUnconfirmed reports whether a server has not answered since it had a close to notice, or a release to answer.
+func (e *entry) isUnconfirmed(server string) bool {
+	return slices.ContainsFunc(e.holdings, func(h holding) bool { return h.unconfirmed() && h.server == server })
 }
 
-// readGoesOn tells whether a server may go on at a time with a read whose connection was closed, within the time that it was told.
-func (e *entry) readGoesOn(at time.Time) bool {
+// readMayStillRun reports whether a server may still run a read at a time, within its timeout, although its connection was
+// closed.
+func (e *entry) readMayStillRun(at time.Time) bool {
 	return slices.ContainsFunc(e.holdings, func(h holding) bool {
-		return h.kind == readState && h.goesOn(at) && h.until.Add(e.grace()).After(at)
+		return h.kind == readState && h.mayStillRun(at) && h.deadline.Add(e.noticeGrace()).After(at)
 	})
 }
 
-// doubted is which servers were not heard since a close.
-func (e *entry) doubted() (servers []string) {
+// unconfirmedServers returns the servers that are unconfirmed for this entry.
+func (e *entry) unconfirmedServers() (servers []string) {
 	for _, h := range e.holdings {
-		if h.unheard() && !slices.Contains(servers, h.server) {
+		if h.unconfirmed() && !slices.Contains(servers, h.server) {
 			servers = append(servers, h.server)
 		}
 	}
 	return servers
 }
 
-// setSole notes whether whatever is held waits for the read in flight.
-func (e *entry) setSole(sole bool) {
+// setReadProtected records whether all that is held waits for the read in flight.
+func (e *entry) setReadProtected(protected bool) {
 	for i := range e.holdings {
-		if h := &e.holdings[i]; h.pending && h.kind == readState {
-			h.sole = sole
+		if h := &e.holdings[i]; h.inFlight && h.kind == readState {
+			h.protected = protected
 		}
 	}
 }
 
-// soleReader is the server of a read in flight for which all waits that is held, or beside which nothing is held but what is only
-// suspected; "": there is none. While it is heard the read is in flight, since its answer would be heard too.
-func (e *entry) soleReader() string {
-	suspected := e.onlySuspected()
+// protectedReader returns the server of a read in flight that is protected, or that is concurrent with nothing but half-open
+// attempts beyond their timeouts; "": there is none. While that server answers, the read is in flight, since its answer would
+// arrive too.
+func (e *entry) protectedReader() string {
+	onlyOverdue := e.onlyOverdue()
 	for _, h := range e.holdings {
-		if h.pending && (h.sole || suspected && h.kind == readState) {
+		if h.inFlight && (h.protected || onlyOverdue && h.kind == readState) {
 			return h.server
 		}
 	}
 	return ""
 }
 
-// nextRelease is when the next release is made; zero: when something is heard.
+// nextRelease returns when the next release is sent; zero: not before something else has happened.
 func (e *entry) nextRelease() time.Time {
 	switch {
-	case e.releasing > 0 || !e.mayHold() && e.soleReader() == "":
+	case e.releasesInFlight > 0 || !e.mayHold() && e.protectedReader() == "":
 		return time.Time{}
 	case !e.retryAt.IsZero():
 		return e.retryAt
-	case e.inFlight() && !e.terms.PreservesWaiting && !e.over:
-		return time.Time{} // it would take what the attempt waits for
+	case e.attemptInFlight() && !e.terms.PreservesWaiting && !e.requestEnded:
+		return time.Time{} // it would drop what the attempt waits for
 	}
-	due := e.proven.Add(e.part(releasePart))
+	due := e.limitClearUntil.Add(e.pinPart(releasePart))
 	if e.onlyHalfOpen() {
-		due = e.proven.Add(e.terms.pin() + suspectPause)
+		due = e.limitClearUntil.Add(e.terms.pinLimit() + halfOpenPause)
 	}
-	ends, gone := e.closesEnd()
-	for _, settled := range []time.Time{e.settledAt(), ends, gone} {
-		if e.taken.Before(settled) {
-			return sooner(due, settled)
+	endsBy, goneBy := e.halfOpenEnds()
+	for _, releasable := range []time.Time{e.releasableFrom(), endsBy, goneBy} {
+		if e.ackedReleaseSentAt.Before(releasable) {
+			return sooner(due, releasable)
 		}
 	}
-	if gone.IsZero() && e.takes > maxRepeats {
+	if goneBy.IsZero() && e.ackedReleases > maxRepeatedReleases {
 		return time.Time{}
 	}
 	return due
 }
 
-// settledAt is from when on a release finds all that is to be let go, where each server notices a close in its time; zero:
-// nothing is, or only what is not there yet.
-func (e *entry) settledAt() (at time.Time) {
-	if !e.wanted {
+// releasableFrom returns the time from which a release reaches all that has to be released, if each server notices a close
+// within the grace; zero: there is nothing yet to release.
+func (e *entry) releasableFrom() (at time.Time) {
+	if !e.releaseRequested {
 		return at
 	}
-	if e.inFlight() {
-		return e.wantedAt
+	if e.attemptInFlight() {
+		return e.releaseRequestedAt
 	}
 	for _, h := range e.holdings {
 		switch {
-		case h.unheard():
-			at = later(at, h.closed.Add(e.grace()))
-		case h.halfOpen() && !h.noticed.After(e.streamed): // what it held went with the stream
+		case h.unconfirmed():
+			at = later(at, h.closedAt.Add(e.noticeGrace()))
+		case h.halfOpen() && !h.closeNoticedAt.After(e.streamStartedAt): // what it held ended with the stream
 		case h.halfOpen():
-			at = later(at, h.noticed)
-		case !h.pending:
-			at = later(at, h.settled)
+			at = later(at, h.closeNoticedAt)
+		case !h.inFlight:
+			at = later(at, h.releasableFrom)
 		}
 	}
 	if at.IsZero() {
 		return at
 	}
-	return later(at, later(e.wantedAt, e.quietAt))
+	return later(at, later(e.releaseRequestedAt, e.lastAttemptEndedAt))
 }
 
-// closesEnd is from when on a release finds all, also where closes were lost: with servers that end attempts as they were told, and
-// with any; zero: none may have been lost.
-func (e *entry) closesEnd() (ends, gone time.Time) {
+// halfOpenEnds returns the times from which a release reaches everything although closes were lost: endsBy where servers end
+// attempts at their timeouts, goneBy in any case; zero: nothing is half-open.
+func (e *entry) halfOpenEnds() (endsBy, goneBy time.Time) {
 	for _, h := range e.holdings {
-		ends, gone = later(ends, h.ends), later(gone, h.gone)
+		endsBy, goneBy = later(endsBy, h.endsBy), later(goneBy, h.goneBy)
 	}
-	return ends, gone
+	return endsBy, goneBy
 }
 
-// onlyHalfOpen tells whether nothing may be held but what attempts leave whose closes were lost: a release has found the rest.
+// onlyHalfOpen reports whether nothing may be held but what half-open attempts leave: an acknowledged release has reached the
+// rest.
 func (e *entry) onlyHalfOpen() bool {
-	return e.restReleased(func(h holding) time.Time { return h.noticed })
+	return e.allElseReleased(func(h holding) time.Time { return h.closeNoticedAt })
 }
 
-// onlySuspected tells the same of attempts that go on for longer than their servers were told.
-func (e *entry) onlySuspected() bool {
-	return e.restReleased(func(h holding) time.Time { return h.ends })
+// onlyOverdue reports whether nothing may be held but what half-open attempts leave that run beyond their timeouts.
+func (e *entry) onlyOverdue() bool {
+	return e.allElseReleased(func(h holding) time.Time { return h.endsBy })
 }
 
-// restReleased tells whether a release was answered that has found all that may be held, with half-open attempts ended at a time
-// each, and whether there are any of these.
-func (e *entry) restReleased(ended func(holding) time.Time) bool {
-	found, suspected := e.quietAt, false
+// allElseReleased reports whether there are half-open attempts, and an acknowledged release has reached all else that may be
+// held, where endedAt gives the time at which a half-open attempt counts as ended.
+func (e *entry) allElseReleased(endedAt func(holding) time.Time) bool {
+	releasable, anyHalfOpen := e.lastAttemptEndedAt, false
 	for _, h := range e.holdings {
 		switch {
-		case h.pending && h.kind == place || h.unheard():
+		case h.inFlight && h.kind == place || h.unconfirmed():
 			return false
 		case h.halfOpen():
-			found, suspected = later(found, ended(h)), true
-		case !h.pending:
-			found = later(found, h.settled)
+			releasable, anyHalfOpen = later(releasable, endedAt(h)), true
+		case !h.inFlight:
+			releasable = later(releasable, h.releasableFrom)
 		}
 	}
-	return suspected && !e.missed && !later(e.taken, e.streamed).Before(found)
+	return anyHalfOpen && !e.releaseMayHaveMissed && !later(e.ackedReleaseSentAt, e.streamStartedAt).Before(releasable)
 }
 
-// endAttempts notes that a server goes on with nothing whose connection was closed, and tells whether it might have.
-func (e *entry) endAttempts(server string) (ended bool) {
+// markAttemptsEnded records that a server no longer runs any attempt whose connection was closed, and reports whether it may
+// have run one.
+func (e *entry) markAttemptsEnded(server string) (anyEnded bool) {
 	for i := range e.holdings {
 		h := &e.holdings[i]
-		if h.server != server || h.closed.IsZero() || h.left == 0 {
+		if h.server != server || h.closedAt.IsZero() || h.timeout == 0 {
 			continue
 		}
-		h.left, ended = 0, true
+		h.timeout, anyEnded = 0, true
 		if h.halfOpen() {
-			h.ends, h.gone = h.noticed, h.noticed
+			h.endsBy, h.goneBy = h.closeNoticedAt, h.closeNoticedAt
 		}
 	}
-	return ended
+	return anyEnded
 }
 
-// endCloses notes that servers have ended what they may have gone on with behind a close. What a write in its queue had releases
-// spare may be let go from then on.
-func (e *entry) endCloses(now time.Time) {
-	var ended time.Time
+// expireHalfOpen makes the half-open holdings releasable that servers have ended by now. What a write in its queue had
+// releases preserve is releasable only from then on.
+func (e *entry) expireHalfOpen(now time.Time) {
+	var lastEnd time.Time
 	for i := range e.holdings {
-		if h := &e.holdings[i]; h.halfOpen() && !h.gone.After(now) {
-			ended = later(ended, h.gone)
-			h.settle(h.gone)
+		if h := &e.holdings[i]; h.halfOpen() && !h.goneBy.After(now) {
+			lastEnd = later(lastEnd, h.goneBy)
+			h.markReleasable(h.goneBy)
 		}
 	}
-	if ended.IsZero() {
+	if lastEnd.IsZero() {
 		return
 	}
 	e.holdings = slices.DeleteFunc(e.holdings, func(h holding) bool {
-		return h.kind == queuedWrite && !h.pending && h.closed.IsZero()
+		return h.kind == queuedWrite && !h.inFlight && h.closedAt.IsZero()
 	})
 	for i := range e.holdings {
-		if h := &e.holdings[i]; !h.pending && h.closed.IsZero() {
-			h.settled = later(h.settled, ended)
+		if h := &e.holdings[i]; !h.inFlight && h.closedAt.IsZero() {
+			h.releasableFrom = later(h.releasableFrom, lastEnd)
 		}
 	}
-	e.takes = 0
+	e.ackedReleases = 0
 }
 
-// heardHolders is which servers may hold something and are not in doubt: one that hangs would keep the release waiting.
-func (e *entry) heardHolders() []string {
-	return slices.DeleteFunc(e.where(), e.doubts)
+// confirmedHolders returns the servers that may hold something and are not unconfirmed: one that hangs would delay the
+// release.
+func (e *entry) confirmedHolders() []string {
+	return slices.DeleteFunc(e.holders(), e.isUnconfirmed)
 }
 
-// where is which servers may hold something, those that hold it by now first.
-func (e *entry) where() []string {
+// holders returns the servers that may hold something, confirmed ones first, then servers whose closed writes preserve
+// something.
+func (e *entry) holders() []string {
 	var list []string
-	add := func(wanted func(holding) bool) {
+	add := func(include func(holding) bool) {
 		for _, h := range e.holdings {
-			if h.held() && h.kind != queuedWrite && wanted(h) && !slices.Contains(list, h.server) {
+			if h.mayBeHeld() && h.kind != queuedWrite && include(h) && !slices.Contains(list, h.server) {
 				list = append(list, h.server)
 			}
 		}
 	}
-	add(func(h holding) bool { return !h.unheard() })
-	add(func(h holding) bool { return h.unheard() })
-	for _, h := range e.holdings { // whoever spares something
-		if h.kind == queuedWrite && !h.closed.IsZero() && !slices.Contains(list, h.server) {
+	add(func(h holding) bool { return !h.unconfirmed() })
+	add(func(h holding) bool { return h.unconfirmed() })
+	for _, h := range e.holdings { // closed writes, which may have releases preserve something
+		if h.kind == queuedWrite && !h.closedAt.IsZero() && !slices.Contains(list, h.server) {
 			list = append(list, h.server)
 		}
 	}
 	return list
 }
 
-// settledBy tells whether all that may be held was held by a time, and no server is in doubt.
-func (e *entry) settledBy(at time.Time) bool {
+// releasableBy reports whether all that may be held was releasable by a time, with no closed attempt that may still run then.
+func (e *entry) releasableBy(at time.Time) bool {
 	return !slices.ContainsFunc(e.holdings, func(h holding) bool {
-		return h.goesOn(at) || h.held() && (h.pending || h.settled.After(at))
+		return h.mayStillRun(at) || h.mayBeHeld() && (h.inFlight || h.releasableFrom.After(at))
 	})
 }
 
-// releasedBy removes what a release has found that a server answered, and that was sent while no attempt was in flight.
-func (e *entry) releasedBy(server string, sent time.Time) {
-	e.removeReleased(sent, func(h holding) bool { return e.terms.Shared || h.server == server })
+// removeReleasedBy removes what a release has reached that a server acknowledged, and that was sent with no attempt in flight.
+func (e *entry) removeReleasedBy(server string, sentAt time.Time) {
+	e.removeReleased(sentAt, func(h holding) bool { return e.terms.Shared || h.server == server })
 }
 
-// releasedAt removes what a release has found at the server that answered it.
-func (e *entry) releasedAt(server string, sent time.Time) {
-	e.removeReleased(sent, func(h holding) bool { return h.server == server })
+// removeReleasedAt removes what a release has reached at the server that acknowledged it.
+func (e *entry) removeReleasedAt(server string, sentAt time.Time) {
+	e.removeReleased(sentAt, func(h holding) bool { return h.server == server })
 }
 
-// removeReleased removes what a release has found: not what a write that may still wait in a queue had it spare, which is all, or a read that
-// may go on, which is a place.
-func (e *entry) removeReleased(sent time.Time, reached func(holding) bool) {
-	reads, writes := e.mayGoOn(readState), e.mayGoOn(queuedWrite)
+// removeReleased removes what a release has reached, except what it preserved: everything, if a write may still wait in a
+// queue, and places, if a read may still run.
+func (e *entry) removeReleased(sentAt time.Time, atServer func(holding) bool) {
+	readMayRun, writeMayRun := e.mayStillRun(readState), e.mayStillRun(queuedWrite)
 	e.holdings = slices.DeleteFunc(e.holdings, func(h holding) bool {
-		spared := writes || reads && h.kind == place
-		return !spared && !h.pending && h.closed.IsZero() && !h.settled.After(sent) && reached(h)
+		preserved := writeMayRun || readMayRun && h.kind == place
+		return !preserved && !h.inFlight && h.closedAt.IsZero() && !h.releasableFrom.After(sentAt) && atServer(h)
 	})
 }
 
-// mayGoOn tells whether a server may go on with an attempt of a kind although its connection was closed.
-func (e *entry) mayGoOn(kind kind) bool {
-	return slices.ContainsFunc(e.holdings, func(h holding) bool { return h.kind == kind && !h.closed.IsZero() && !h.unreached() })
+// mayStillRun reports whether a server may still run an attempt of a kind although its connection was closed.
+func (e *entry) mayStillRun(kind kind) bool {
+	return slices.ContainsFunc(e.holdings, func(h holding) bool { return h.kind == kind && !h.closedAt.IsZero() && !h.releaseUnconfirmed() })
 }
 
-// part is a part of the pin limit.
-func (e *entry) part(part float64) time.Duration {
-	return time.Duration(part * float64(e.terms.pin()))
+// pinPart returns a fraction of the pin limit.
+func (e *entry) pinPart(fraction float64) time.Duration {
+	return time.Duration(fraction * float64(e.terms.pinLimit()))
 }
--- a/internal/heldstate/holding.go
+++ b/internal/heldstate/holding.go
@@ -2,92 +2,94 @@
 
 import "time"
 
-// kind is what a holding is.
+// kind is what a holding may be.
 type kind uint8
 
 const (
 	readState   kind = iota // the state that a read leaves
-	place                   // a place that was asked for
-	queuedWrite             // nothing by itself: while it waits in its server's queue, releases spare what it waits for
+	place                   // a place that was requested at a writer
+	queuedWrite             // nothing by itself: while it waits in its server's queue, releases preserve what it waits for
 )
 
-// holding is one thing that a server may hold.
+// holding is one thing that a server may hold. The package comment lists its states.
 type holding struct {
-	server  string
-	kind    kind
-	pending bool      // its call is in flight
-	asked   time.Time // of a place: when
-	settled time.Time // a release that is sent from then on finds it
-	sole    bool      // of a read in flight: what is held waits for it, or nothing is held but what it may have left
+	server         string
+	kind           kind
+	inFlight       bool      // its call has no answer yet
+	requestedAt    time.Time // of a place
+	releasableFrom time.Time // a release that is sent from then on reaches it
+	protected      bool      // of a read in flight: all that is held waits for it, or nothing is held but what it may have left
 
-	left    time.Duration // of an attempt that has not ended for certain: for which its server was told that the answer is waited for
-	until   time.Time     // the same as a time, where its server begins it at once
-	begun   time.Time     // by when its server has begun it, if it has arrived; zero: not known
-	closed  time.Time     // since when its server may not have noticed that the connection was closed; zero: it has, or was not
-	noticed time.Time     // when its server has noticed it, unless the close was lost; zero: the server was not heard since
-	ends    time.Time     // when the time is up that its server was told, which ends it also where the close was lost; zero: the same
-	gone    time.Time     // when all is over, also where its server goes on for longer than it was told; zero: the same
+	timeout        time.Duration // of an attempt that may run after a lost close: the timeout that its server was told; 0: it cannot
+	deadline       time.Time     // the end of the timeout, if its server starts it at once
+	startedBy      time.Time     // by when its server has started it, if it has arrived; zero: not known
+	closedAt       time.Time     // of a close that may be unnoticed; of an unanswered release, the grace before its sending; zero: neither
+	closeNoticedAt time.Time     // when its server has noticed the close, unless that was lost; zero: unconfirmed
+	endsBy         time.Time     // end of its timeout, also where the close was lost; zero: unconfirmed
+	goneBy         time.Time     // its end, also where its server runs it beyond its timeout; zero: unconfirmed
 }
 
-// settle notes that whatever is held is held by a time.
-func (h *holding) settle(at time.Time) {
-	h.pending, h.settled = false, at
-	h.left, h.until, h.begun, h.closed, h.noticed = 0, time.Time{}, time.Time{}, time.Time{}, time.Time{}
-	h.ends, h.gone = time.Time{}, time.Time{}
+// markReleasable records that a release sent from a time on reaches whatever is held.
+func (h *holding) markReleasable(at time.Time) {
+	h.inFlight, h.releasableFrom = false, at
+	h.timeout, h.deadline, h.startedBy, h.closedAt, h.closeNoticedAt = 0, time.Time{}, time.Time{}, time.Time{}, time.Time{}
+	h.endsBy, h.goneBy = time.Time{}, time.Time{}
 }
 
-// unreached tells whether it was held for certain, and a release that another server took may not have reached its server.
-func (h *holding) unreached() bool { return !h.closed.IsZero() && !h.settled.IsZero() }
+// releaseUnconfirmed reports whether it was held for certain, and a release that another server acknowledged may not have
+// reached its own.
+func (h *holding) releaseUnconfirmed() bool {
+	return !h.closedAt.IsZero() && !h.releasableFrom.IsZero()
+}
 
-// goesOn tells whether its server may not have ended it by a time, although its connection was closed.
-func (h *holding) goesOn(at time.Time) bool {
-	return !h.closed.IsZero() && (h.ends.IsZero() || h.ends.After(at))
+// mayStillRun reports whether its server may still run it at a time although its connection was closed.
+func (h *holding) mayStillRun(at time.Time) bool {
+	return !h.closedAt.IsZero() && (h.endsBy.IsZero() || h.endsBy.After(at))
 }
 
-// unheard tells whether its server was not heard since its connection was closed.
-func (h *holding) unheard() bool { return !h.closed.IsZero() && h.ends.IsZero() }
+// unconfirmed reports whether its server has answered nothing since it had a close to notice, or a release to answer.
+func (h *holding) unconfirmed() bool { return !h.closedAt.IsZero() && h.endsBy.IsZero() }
 
-// halfOpen tells whether its server runs and may not have noticed the close all the same: the connection alone may have fallen
-// silent.
-func (h *holding) halfOpen() bool { return !h.ends.IsZero() }
+// halfOpen reports whether its server runs but may not have noticed the close: its connection alone may have fallen silent.
+func (h *holding) halfOpen() bool { return !h.endsBy.IsZero() }
 
-// heard notes that its server runs, which was heard at a time, and when it has noticed the close unless that was lost. An answer
-// on one connection proves nothing of another. So an attempt may go on until its own time is up, as the server was told how long
-// it is waited for; and where a server doesn't end it then, for as long as a connection may stay silent.
-func (h *holding) heard(at, noticed time.Time, grace time.Duration) {
-	if h.unreached() { // there is no close that it had to notice
-		h.settle(h.settled)
+// confirmRunning records that its server runs, by an answer at a time, and when it has noticed the close unless that was lost.
+// An answer on one connection shows nothing about another. So an attempt may run on to the end of the timeout that its server
+// was told; and if the server does not end it then, for as long as a connection may stay silent.
+func (h *holding) confirmRunning(answeredAt, closeNoticedAt time.Time, grace time.Duration) {
+	if h.releaseUnconfirmed() { // there is no close to notice
+		h.markReleasable(h.releasableFrom)
 		return
 	}
-	h.noticed = noticed
-	h.ends = later(noticed, h.endsAfter(at).Add(grace))
-	h.gone = h.ends
-	if h.left > 0 {
-		h.gone = later(h.gone, h.closed.Add(maxSilence))
+	h.closeNoticedAt = closeNoticedAt
+	h.endsBy = later(closeNoticedAt, h.timeoutEnd(answeredAt).Add(grace))
+	h.goneBy = h.endsBy
+	if h.timeout > 0 {
+		h.goneBy = later(h.goneBy, h.closedAt.Add(maxConnSilence))
 	}
 }
 
-// endsAfter is when the time is up that its server was told, once that has answered a call sent behind the close.
-func (h *holding) endsAfter(answered time.Time) time.Time {
-	if h.left == 0 {
-		return answered
+// timeoutEnd returns the end of the timeout that its server was told, once that has answered a call sent after the close.
+func (h *holding) timeoutEnd(answeredAt time.Time) time.Time {
+	if h.timeout == 0 {
+		return answeredAt
 	}
-	from := answered
-	if !h.begun.IsZero() {
-		from = h.begun
+	from := answeredAt
+	if !h.startedBy.IsZero() {
+		from = h.startedBy
 	}
-	return later(answered, from.Add(h.left+toldSlack))
+	return later(answeredAt, from.Add(h.timeout+timeoutSlack))
 }
 
-// held tells whether something may be held. An attempt in flight by itself holds nothing that the router could let go: its
-// server has not answered, and its time is not up.
-func (h *holding) held() bool { return !h.pending || h.kind == place }
+// mayBeHeld reports whether something may be held that the router could release. An attempt in flight holds nothing such by
+// itself: its server has not answered, and its timeout has not passed.
+func (h *holding) mayBeHeld() bool { return !h.inFlight || h.kind == place }
 
-// goesWithStream tells whether it is gone with the first event of an answer: not what comes later, from a call that is in
-// flight, a server that may not have noticed a close, or one that was heard a moment ago.
-func (h *holding) goesWithStream(now time.Time) bool {
+// releasedByStream reports whether it ends with the first event of an answer. What may still come does not: from a call in
+// flight, from a server that may not have noticed a close, or from one whose answer has just confirmed it.
+func (h *holding) releasedByStream(now time.Time) bool {
 	if h.kind == queuedWrite {
-		return h.closed.IsZero() // it has passed its queue, or ended
+		return h.closedAt.IsZero() // it has left its queue, or ended
 	}
-	return !h.pending && h.closed.IsZero() && !h.settled.After(now)
+	return !h.inFlight && h.closedAt.IsZero() && !h.releasableFrom.After(now)
 }
--- a/internal/heldstate/ledger.go
+++ b/internal/heldstate/ledger.go
@@ -1,55 +1,53 @@
-// Package heldstate keeps account of what servers may hold for requests: the
-// state that a prompt's read leaves at its server, and the places that are
-// reserved for answers. It decides when a release is made, and when nothing is
-// held any more.
+// Package heldstate tracks what servers may hold for requests: the state that the read of a prompt leaves at its server, and the
+// places that are reserved for answers at writers. It decides when to send a release, a call by the request's key that has the
+// servers drop all they hold for it, and when nothing is held any more.
 //
-// The limit on what is held runs while none of a request's attempts is in
-// flight, and for the platform an attempt is in flight from its arrival. What a
-// router has sent may never arrive, on a connection that has fallen silent. So
-// there is one time for each request, proven: the last moment for which an
-// answer proves that the limit did not run or began anew. Only answers move it:
-// of an attempt, of a place whose server knew that the read was in flight, of a
-// release. While anything may be held, a release is made whenever so much of the
-// limit has passed since, whatever the router has sent meanwhile.
+// Servers may hold something for no longer than the pin limit while none of the request's attempts is in flight. For the servers an
+// attempt is in flight from its arrival, but what the router has sent may never arrive, on a connection that has fallen silent. So
+// the ledger keeps one time for each request, limitClearUntil: the last moment for which an answer shows that the limit was not
+// running, or was restarted. Only answers advance it: of an attempt, of a place request whose server knew that the read was in
+// flight, of a release. While anything may be held, a release is sent whenever 0.9 of the limit has passed since that time, whatever
+// the router has sent meanwhile.
 //
-// A release takes the state of a read that it comes beside. So none is made
-// while all that is held waits for the read, or nothing is held but what it may
-// have left, as long as the read's server is heard from time to time: the read's
-// own answer would be heard too. That is so of a first read, once a writer that
-// knew of the read has granted a place, and once a release was answered beside
-// it. A read whose server is not heard may have ended well in a cut.
+// A release drops the state of a read that is in flight at the same time. So none is sent while the read is protected, that is while
+// all that is held waits for it, or nothing is held but what it may have left, as long as the read's server keeps answering on any
+// connection: the read's own answer would arrive too. A first read is protected, and so is a read once a writer that knew of it has
+// granted a place, or once a release was acknowledged while it was in flight. A read whose server does not answer may have ended well
+// behind a network partition. Where servers do not preserve what an attempt waits for, no release is sent during an attempt at all.
 //
-// An entry leaves the ledger by proof alone: its answer's first event, which
-// takes all that is held; a release that was answered while nothing could spare
-// what it holds; or the end of the servers that might hold something. What is not
-// proven stays outstanding beyond its request, and is released again.
+// An entry is removed only on evidence: the first event of its answer, with which servers drop all that is held; a release that was
+// acknowledged while no attempt could preserve what it holds; or the removal of the servers that might hold something. Everything
+// else stays pending after the request's end, and is released again.
 //
-// A holding is in one of these states:
+// Each holding, one thing that one server may hold, is in one of these states:
 //
-//	state      meaning                                       releases                          leaves by
-//	in flight  its call has no answer yet                    0.9 of the pin limit behind the   the call's end
-//	                                                         last proof; none beside a read
-//	                                                         whose server is heard
-//	settled    held for certain, or left by what has ended   at once, then as above            a release answered since
-//	unheard    the router closed its connection, and the     25 ms behind the close, then as   settled or half-open, once its
-//	           server was not heard since                    above; up to 64                   server is heard; dormant
-//	half-open  its server was heard on another connection,   as above until the told time is   settled, 5 s behind the close or
-//	           so that the close may be lost                 up, then more slowly              when the told time is up
-//	unreached  settled, and a release that another server    as above                          settled, once its server is
-//	           took may not have reached its own                                               heard; dormant
-//	dormant    unheard or unreached for so long that         none                              half-open or settled, once its
-//	           releases prove nothing, at little memory                                        server is heard or gone
+//	state                meaning                                 releases                              ends as
+//	in flight            its call has no answer yet              when 0.9 of the pin limit has passed  releasable, close
+//	                                                             since limitClearUntil; none while a   unconfirmed, or
+//	                                                             protected read's server answers       removed
+//	releasable           held for certain, or left by an         at once, then as above                removed, by a release
+//	                     attempt that has ended                                                        acknowledged since
+//	close unconfirmed    its connection was closed, and its      25 ms after the close, then as        half-open; compact
+//	                     server has answered no call sent 25 ms  above; up to 64
+//	                     or more after that
+//	half-open            its server has answered on another      as above until one is acknowledged,   releasable, at the end
+//	                     connection, but the close may be lost   then one per pin limit and 100 ms,    of its timeout or 5 s
+//	                                                             and one at each possible end          after the close
+//	release unconfirmed  held for certain; its server did not    as above                              releasable, once its
+//	                     answer a release that another server                                          server has answered;
+//	                     acknowledged                                                                  compact
+//	compact              close or release unconfirmed for so     none but probes of its server         half-open or releasable,
+//	                     long that more releases show nothing;                                         once its server has
+//	                     kept in little memory                                                         answered or was removed
 //
-// A write that may still wait in a queue (in flight, unheard or half-open) has
-// releases spare all of its request; a read that may go on, a place.
+// While a write may still wait in its server's queue (in flight, close unconfirmed or half-open), a release preserves all that is
+// held for its request; while a read may still run, it preserves the place.
 //
-// A close is proof of nothing, and a server that answers on another connection
-// proves only that it runs. No page says that a server has to end an attempt
-// whose time is up that it was told, so a half-open attempt stays suspected for
+// That the router closed a connection shows nothing about the server, and an answer on another connection shows only that the server
+// runs. The platform does not require a server to end an attempt whose timeout has passed, so a half-open attempt stays suspected for
 // as long as a connection may stay silent.
 //
-// The package is pure: it does no I/O and reads no clock. Its methods take the
-// time, and what to do comes back from Due.
+// The package is pure: it does no I/O and reads no clock. Its methods take the time, and Due returns the calls to make.
 package heldstate
 
 import (
@@ -57,214 +55,215 @@
 	"time"
 )
 
-// Times and bounds. Times are real time.
+// Times are in real time. A part is a fraction of the pin limit.
 const (
-	// CloseNoticeGrace is for how long a running server may take to notice that a
-	// connection was closed. A call on another connection may overtake the close.
+	// CloseNoticeGrace is the time that a running server may take to notice that a connection was closed. A call on another
+	// connection may overtake the close.
 	CloseNoticeGrace = 25 * time.Millisecond
 
-	defaultPin   = 500 * time.Millisecond // taken where the settings name no limit
-	releasePart  = 0.9                    // part of the pin limit after which a release is made, counted from what was last proven
-	reachPart    = 0.75                   // part of it after which the server of a read is probed for which all waits that is held
-	confirmPart  = 0.4                    // part of it after a close before which no release is the last: it may be noticed later than it should
-	toldSlack    = 150 * time.Millisecond // by which a server may end an attempt later than it was told: the router is held up before it writes
-	suspectPause = 100 * time.Millisecond // beyond the pin limit, between releases of what only a lost close may leave: of 300 ms that servers allow
-	maxSilence   = 5 * time.Second        // for which a server may not notice a close, whatever it was told: a connection is reset or heard again by then
-	maxLeft      = 30 * time.Second       // for which an attempt goes on behind a lost close at the most, or where its server was told no time
-	evidencePart = 0.5                    // part of the pin limit for which an entry may be owed before it is reported
-
-	firstRetry = 50 * time.Millisecond  // after a release that nobody took; doubled each time
-	maxRetry   = 200 * time.Millisecond // as a release itself goes on for long
-
-	firstProbe = 100 * time.Millisecond // after a probe of an unheard server that failed; doubled each time
-	maxRepeats = 64                     // releases of an entry while a server is in doubt; then it waits for one to be heard
-	maxProbe   = 400 * time.Millisecond // well under the limit: a server that is back is heard in time
-	maxProbes  = 8                      // probes in flight at once
-	maxReaches = 64                     // the same, of servers of reads
-
-	maxOwed     = 4096  // entries, of 1 KB each; beyond them what waits for a server to be heard is kept as dormant
-	maxDormant  = 50000 // holdings, of 100 bytes each; beyond them the oldest is forgotten
-	maxReleases = 32    // releases in flight at once
-	maxReached  = 4096  // servers of which it is known when they were heard; beyond them all are forgotten, and probed again
+	defaultPinLimit = 500 * time.Millisecond // where the settings name no pin limit
+	releasePart     = 0.9                    // of the pin limit: from limitClearUntil to the next release
+	livenessPart    = 0.75                   // of the pin limit: from limitClearUntil to a liveness probe of a protected read's server
+	lastReleasePart = 0.4                    // of the pin limit: after a close, before which no release is the last, as the close may be noticed late
+	timeoutSlack    = 150 * time.Millisecond // by which a server may end an attempt after its timeout: the router may be delayed before it writes
+	halfOpenPause   = 100 * time.Millisecond // beyond the pin limit, between releases of half-open attempts alone; servers tolerate 300 ms
+	maxConnSilence  = 5 * time.Second        // for which a server may not notice a close, whatever the timeout: by then the connection is reset or works again
+	maxTimeout      = 30 * time.Second       // longest that an attempt runs after a lost close; taken where its server was told no timeout
+	reportPart      = 0.5                    // of the pin limit: for which an entry is pending before it is reported
+
+	firstRetryDelay = 50 * time.Millisecond  // after a release that no server acknowledged; doubled each time
+	maxRetryDelay   = 200 * time.Millisecond // short, since a release call itself keeps asking servers for long
+
+	firstProbeDelay     = 100 * time.Millisecond // after a failed probe of an unconfirmed server; doubled each time
+	maxRepeatedReleases = 64                     // of an entry with an unconfirmed server; then it waits for that server's answer
+	maxProbeDelay       = 400 * time.Millisecond // well under the pin limit, so that a server that is back is found in time
+	maxProbesInFlight   = 8                      // to unconfirmed servers
+	maxLivenessProbes   = 64                     // in flight, to servers of protected reads
+
+	maxPending          = 4096  // entries, of 1 KB each; beyond them, entries that wait for a server's answer become compact
+	maxCompact          = 50000 // compact holdings, of 100 bytes each; beyond them the oldest is abandoned
+	maxReleasesInFlight = 32
+	maxAnsweredServers  = 4096 // servers whose last answered call is known; beyond them all are dropped, and probed again
 )
 
-// Terms are those of an entry.
+// Terms are the conditions under which servers hold what an entry tracks.
 type Terms struct {
 	Request          string        // for the log
-	Shared           bool          // servers know all that is held by the entry's key, and any of them takes its release
-	PreservesWaiting bool          // a release spares what an attempt that has arrived waits for, so that one may be made beside it
-	PinLimit         time.Duration // for how long something may be held with no attempt in flight; 0: not told
-	AttemptTimeout   time.Duration // of an attempt: for which its server is told that the answer is waited for, from its sending; 0: not told; negative: it outlasts no close
+	Shared           bool          // all servers know what is held under the key, and any of them can acknowledge its release
+	PreservesWaiting bool          // a release preserves what an attempt that has arrived waits for, so that it can be sent during one
+	PinLimit         time.Duration // how long something may be held with no attempt in flight; 0: not known
+	AttemptTimeout   time.Duration // that an attempt's server is told, from its sending; 0: none; negative: the attempt never outlasts its close
 }
 
-func (t Terms) left() time.Duration {
+// timeout returns how long an attempt may run after a lost close, from its start; 0: it ends with its connection.
+func (t Terms) timeout() time.Duration {
 	switch {
 	case t.AttemptTimeout < 0:
 		return 0
 	case t.AttemptTimeout == 0:
-		return maxLeft
+		return maxTimeout
 	}
-	return min(t.AttemptTimeout, maxLeft)
+	return min(t.AttemptTimeout, maxTimeout)
 }
 
-func (t Terms) pin() time.Duration {
+func (t Terms) pinLimit() time.Duration {
 	if t.PinLimit > 0 {
 		return t.PinLimit
 	}
-	return defaultPin
+	return defaultPinLimit
 }
 
-// grace is for how long a server may take to notice a close; a short pin limit leaves less room to allow for it.
-func (t Terms) grace() time.Duration { return min(CloseNoticeGrace, t.pin()/4) }
+// noticeGrace returns the time that a server may take to notice a close; a short pin limit leaves less of it.
+func (t Terms) noticeGrace() time.Duration { return min(CloseNoticeGrace, t.pinLimit()/4) }
 
-// AttemptEnd tells how an attempt ended.
+// AttemptEnd is how an attempt ended.
 type AttemptEnd uint8
 
-// The ends.
+// The ends of an attempt.
 const (
-	NotSent        AttemptEnd = iota // it was not written whole: the server can't have begun it
+	NotSent        AttemptEnd = iota // it was not written whole: the server cannot have started it
 	Rejected                         // the server answered that it did nothing
 	Completed                        // the server's answer came whole
-	ClosedByRouter                   // the router closed the connection before the answer had ended: the server may not have noticed
-	ClosedByServer                   // the server's end of the connection ended before the answer had: it goes on with nothing, and may have ended well
+	ClosedByRouter                   // the router closed the connection before the end of the answer: the server may not have noticed
+	ClosedByServer                   // the server's end closed before the end of the answer: the attempt does not run on, but may have ended well
 )
 
-// leavesNothing tells that the server holds nothing for what ended so.
+// leavesNothing reports whether the server holds nothing for an attempt that ended so.
 func (e AttemptEnd) leavesNothing() bool { return e == NotSent || e == Rejected }
 
-// proves tells that the attempt was in flight until now.
-func (e AttemptEnd) proves() bool { return e == Rejected || e == Completed }
+// confirmsInFlight reports whether the end shows that the attempt was in flight until then.
+func (e AttemptEnd) confirmsInFlight() bool { return e == Rejected || e == Completed }
 
-// PlaceResult tells how the asking for a place ended.
+// PlaceResult is how a place request ended.
 type PlaceResult uint8
 
-// The answers.
+// The results of a place request.
 const (
-	Denied   PlaceResult = iota // nothing is held, or nothing was asked
-	Granted                     // held; where servers share what they know, the read was in flight
-	Unknown                     // answered, and held perhaps: the server knew of no read
-	NoAnswer                    // the connection ended before an answer came
+	Denied   PlaceResult = iota // nothing is held, or nothing was sent
+	Granted                     // the place is held; with shared servers, the read was in flight
+	Unknown                     // answered, and the place may be held: the server knew of no read
+	NoAnswer                    // the connection ended before the answer
 )
 
-// Concurrent tells which attempt is in flight as a release is made.
+// Concurrent is the kind of attempt that is in flight when a release is sent.
 type Concurrent uint8
 
-// What a release may be made beside.
+// The kinds.
 const (
-	NoAttempt     Concurrent = iota // no attempt is in flight
-	ReadInFlight                    // a read is, and perhaps a write
-	WriteInFlight                   // a write alone
+	NoAttempt     Concurrent = iota
+	ReadInFlight             // a read, and perhaps a write
+	WriteInFlight            // a write and no read
 )
 
-// ReleaseCall is a release to be made.
+// ReleaseCall is a release to send, or a probe of a server by a release.
 type ReleaseCall struct {
 	Key           string
-	Servers       []string // which may hold something; where the entry is shared any server may be asked, and there may be none
-	Probe         bool     // only the one server is to be asked: what counts is to hear it
-	SuspectedOnly bool     // nothing may be held but what comes of a lost close: any one server is enough, and asked once
-	Liveness      bool     // such a probe by a key that no request has, so that nothing is let go; there is no Key
+	Servers       []string // that may hold something; with a shared entry any server may be asked, and the list may be empty
+	Probe         bool     // only the one server is asked, since its own answer is what counts
+	SuspectedOnly bool     // only half-open attempts may hold something: any one server is enough, asked once
+	Liveness      bool     // a probe by a key that no request has, which releases nothing; Key is empty
 	Concurrent    Concurrent
 
-	NotBefore time.Time // it is not sent before: a close is on its way; zero: at once
-	Flush     bool      // the next attempt waits for it, and whoever takes it first is enough
+	NotBefore time.Time // earliest sending, so that a close on its way arrives first; zero: at once
+	Flush     bool      // the next attempt waits for this release, and the first server to acknowledge it is enough
 }
 
-// Ledger keeps the entries. It is not safe for concurrent use.
+// Ledger keeps the entries of all requests that servers may hold something for. It is not safe for concurrent use.
 type Ledger struct {
-	entries  map[string]*entry
-	agenda   agenda               // entries that have something to do at a time
-	owed     []*entry             // in the order in which they came to be owed
-	unheard  map[string]*unheard  // servers that some entry is in doubt about
-	epoch    time.Time            // from which times of dormant holdings count: when the first came to be
-	dormant  int                  // dormant holdings
-	reached  map[string]time.Time // when the last call was sent that a server has answered
-	reaching map[string]bool      // servers of reads that are probed
-	inFlight int
-	line     []*entry // whose releases are due, and wait for one in flight to end
-	probes   int
-	forgot   []AbandonedEntry
-	reports  []Report
+	entries            map[string]*entry             // by key
+	queue              actionQueue                   // entries with an action at a known time
+	pending            []*entry                      // entries that wait for evidence with no attempt to come, the oldest first
+	unconfirmed        map[string]*unconfirmedServer // by server
+	epoch              time.Time                     // start of the times of compact holdings: when the first was made
+	compactCount       int                           // compact holdings of all servers
+	answeredCallSentAt map[string]time.Time          // by server: when the last call that it answered was sent
+	livenessProbes     map[string]bool               // servers of protected reads with a probe in flight
+	releasesInFlight   int
+	waiting            []*entry         // entries whose release is due, but waits for another to end
+	probesInFlight     int              // to unconfirmed servers
+	abandoned          []AbandonedEntry // not yet returned by Abandoned
+	reports            []Report         // not yet returned by Reports
 }
 
 // New returns an empty ledger.
 func New() *Ledger {
-	return &Ledger{entries: map[string]*entry{}, unheard: map[string]*unheard{}, reached: map[string]time.Time{}, reaching: map[string]bool{}}
+	return &Ledger{entries: map[string]*entry{}, unconfirmed: map[string]*unconfirmedServer{}, answeredCallSentAt: map[string]time.Time{}, livenessProbes: map[string]bool{}}
 }
 
-// PendingCount is how many entries and dormant holdings wait for proof with no attempt to come.
-func (l *Ledger) PendingCount() int { return len(l.owed) + l.dormant }
+// PendingCount returns the number of entries and compact holdings that wait for evidence with no attempt to come.
+func (l *Ledger) PendingCount() int { return len(l.pending) + l.compactCount }
 
-// HasConfirmedPending tells whether some entry waits for proof of more than a suspicion.
+// HasConfirmedPending reports whether anything is pending but half-open attempts that may run beyond their timeouts.
 func (l *Ledger) HasConfirmedPending() bool {
-	return l.dormant > 0 || slices.ContainsFunc(l.owed, func(e *entry) bool { return !e.onlySuspected() })
+	return l.compactCount > 0 || slices.ContainsFunc(l.pending, func(e *entry) bool { return !e.onlyOverdue() })
 }
 
-// Len is how many entries there are.
+// Len returns the number of entries.
 func (l *Ledger) Len() int { return len(l.entries) }
 
-// AttemptStarted notes that an attempt is sent to a server; reads tells that it leaves a
-// state there if it ends well.
+// AttemptStarted records that an attempt is being sent to a server; reads is set for a read, which leaves a state there if it
+// ends well.
 func (l *Ledger) AttemptStarted(key string, terms Terms, server string, reads bool, now time.Time) {
 	e := l.open(key, terms)
-	e.wanted, e.over, e.streamed, e.takes = false, false, time.Time{}, 0
-	l.notOwed(e)
-	h := holding{server: server, kind: queuedWrite, pending: true}
-	if terms.Shared { // where each server knows what it holds itself, a release there calls the attempt off
-		h.left = terms.left()
-		h.until = now.Add(h.left)
+	e.releaseRequested, e.requestEnded, e.streamStartedAt, e.ackedReleases = false, false, time.Time{}, 0
+	l.clearPending(e)
+	h := holding{server: server, kind: queuedWrite, inFlight: true}
+	if terms.Shared { // a release at a server that knows only its own holdings cancels the attempt there
+		h.timeout = terms.timeout()
+		h.deadline = now.Add(h.timeout)
 	}
 	if reads {
 		h.kind = readState
 	}
 	if reads && terms.Shared && terms.PreservesWaiting && !e.mayHold() { // it may end well, and its answer be lost
-		h.sole = true
-		e.prove(now)
+		h.protected = true
+		e.markLimitClear(now)
 	}
 	e.holdings = append(e.holdings, h)
 	l.schedule(e, now)
 }
 
-// PlaceRequested notes that a server is asked for a place.
+// PlaceRequested records that a server is asked for a place.
 func (l *Ledger) PlaceRequested(key string, terms Terms, server string, now time.Time) {
 	e := l.open(key, terms)
 	if !e.mayHold() {
-		e.prove(now)
+		e.markLimitClear(now)
 	}
-	e.setSole(false)
-	e.holdings = append(e.holdings, holding{server: server, kind: place, pending: true, asked: now})
+	e.setReadProtected(false)
+	e.holdings = append(e.holdings, holding{server: server, kind: place, inFlight: true, requestedAt: now})
 	l.schedule(e, now)
 }
 
+// open returns the entry of a key, which it adds if there is none.
 func (l *Ledger) open(key string, terms Terms) *entry {
 	e := l.entries[key]
 	if e == nil {
-		e = &entry{key: key, terms: terms, position: notQueued}
+		e = &entry{key: key, terms: terms, queueIndex: notQueued}
 		l.entries[key] = e
 	}
 	return e
 }
 
-// AttemptBegunBy notes by when the server of an attempt in flight has begun it, if it has arrived: the server has answered a call that
-// was sent behind it.
+// AttemptBegunBy records by when the server of an attempt in flight has started it, if it has arrived: the server has answered
+// a call that was sent after it.
 func (l *Ledger) AttemptBegunBy(key, server string, reads bool, by time.Time) {
 	kind := queuedWrite
 	if reads {
 		kind = readState
 	}
 	if e := l.entries[key]; e != nil {
-		if i := e.pending(server, kind); i >= 0 {
-			e.holdings[i].begun = by
+		if i := e.inFlightIndex(server, kind); i >= 0 {
+			e.holdings[i].startedBy = by
 		}
 	}
 }
 
-// ReadEnded notes how an attempt ended that reads.
+// ReadEnded records how a read ended.
 func (l *Ledger) ReadEnded(key, server string, end AttemptEnd, now time.Time) {
 	l.attemptEnded(key, server, readState, end, now)
 }
 
-// WriteEnded notes how an attempt ended that answers. What it waited for may
-// still be held elsewhere, unless its answer had begun.
+// WriteEnded records how a write ended. What it waited for may still be held elsewhere, unless its answer had started.
 func (l *Ledger) WriteEnded(key, server string, end AttemptEnd, now time.Time) {
 	l.attemptEnded(key, server, queuedWrite, end, now)
 }
@@ -274,248 +273,251 @@
 	if e == nil {
 		return
 	}
-	i := e.pending(server, kind)
+	i := e.inFlightIndex(server, kind)
 	if i < 0 {
 		return
 	}
-	if kind == readState && !e.mayHold() { // the state is the first thing that may be held
-		e.prove(now)
+	if kind == readState && !e.mayHold() { // its state is the first thing that may be held
+		e.markLimitClear(now)
 	}
-	if end.proves() {
-		e.prove(now)
+	if end.confirmsInFlight() {
+		e.markLimitClear(now)
 	}
 	if end != NotSent {
-		e.quietAt = now
+		e.lastAttemptEndedAt = now
 	}
-	e.takes = 0
+	e.ackedReleases = 0
 	switch {
 	case end.leavesNothing() || kind == queuedWrite && end == Completed:
 		e.remove(i)
 	case end == ClosedByServer:
-		e.holdings[i].left = 0
-		l.doubt(e, i, now)
+		e.holdings[i].timeout = 0
+		l.markUnconfirmed(e, i, now)
 	case end == ClosedByRouter:
-		l.doubt(e, i, now)
+		l.markUnconfirmed(e, i, now)
 	default:
-		e.holdings[i].settle(now)
+		e.holdings[i].markReleasable(now)
 	}
 	l.schedule(e, now)
 }
 
-// PlaceRequestEnded notes how the asking for a place ended.
-func (l *Ledger) PlaceRequestEnded(key, server string, grant PlaceResult, now time.Time) {
+// PlaceRequestEnded records how a place request ended.
+func (l *Ledger) PlaceRequestEnded(key, server string, result PlaceResult, now time.Time) {
 	e := l.entries[key]
 	if e == nil {
 		return
 	}
-	i := e.pending(server, place)
+	i := e.inFlightIndex(server, place)
 	if i < 0 {
 		return
 	}
-	e.takes = 0
-	switch grant {
+	e.ackedReleases = 0
+	switch result {
 	case Denied:
 		e.remove(i)
-		if e.terms.Shared && e.terms.PreservesWaiting && !e.mayHold() { // again nothing is held but what the read may have left
-			e.setSole(true)
+		if e.terms.Shared && e.terms.PreservesWaiting && !e.mayHold() { // again only the read's own state may be held
+			e.setReadProtected(true)
 		}
 	case NoAnswer:
-		l.doubt(e, i, now)
+		l.markUnconfirmed(e, i, now)
 	case Granted:
-		l.granted(e, i, now)
+		l.placeGranted(e, i, now)
 	default:
-		e.holdings[i].settle(now)
+		e.holdings[i].markReleasable(now)
 	}
 	l.schedule(e, now)
 }
 
-// granted notes that a server holds a place, by its own word. Where servers share what they know, the read was in flight when
-// it was asked.
-func (l *Ledger) granted(e *entry, i int, now time.Time) {
+// placeGranted records that a server has answered that it holds a place. With shared servers, the read was in flight when the
+// place was requested.
+func (l *Ledger) placeGranted(e *entry, i int, now time.Time) {
 	h := &e.holdings[i]
 	if e.terms.Shared {
-		e.prove(h.asked)
-		e.setSole(!e.readGoesOn(now)) // else it may have known of an earlier one
+		e.markLimitClear(h.requestedAt)
+		e.setReadProtected(!e.readMayStillRun(now)) // else the server may have known of an earlier read
 	}
-	h.settle(now)
+	h.markReleasable(now)
 }
 
-// doubt notes that a server may not have noticed yet that a connection was closed.
-func (l *Ledger) doubt(e *entry, i int, now time.Time) {
+// markUnconfirmed records that a holding's server may not have noticed yet that its connection was closed at a time.
+func (l *Ledger) markUnconfirmed(e *entry, i int, closedAt time.Time) {
 	h := &e.holdings[i]
-	doubted := e.doubts(h.server)
-	h.pending, h.closed, h.noticed, h.ends, h.gone = false, now, time.Time{}, time.Time{}, time.Time{}
-	u := l.unheard[h.server]
+	already := e.isUnconfirmed(h.server)
+	h.inFlight, h.closedAt, h.closeNoticedAt, h.endsBy, h.goneBy = false, closedAt, time.Time{}, time.Time{}, time.Time{}
+	u := l.unconfirmed[h.server]
 	if u == nil {
-		u = &unheard{next: now.Add(e.grace())}
-		l.unheard[h.server] = u
+		u = &unconfirmedServer{nextProbeAt: closedAt.Add(e.noticeGrace())}
+		l.unconfirmed[h.server] = u
 	}
-	if !doubted {
+	if !already {
 		u.entries = append(u.entries, e)
 	}
 }
 
-// StreamStarted notes the first event of the answer, with which all goes that is
-// held: but what servers that did not notice a close may still come to hold.
+// StreamStarted records the first event of the answer, with which servers drop all that is held, except what servers that did
+// not notice a close may still come to hold.
 func (l *Ledger) StreamStarted(key string, now time.Time) {
 	e := l.entries[key]
 	if e == nil {
 		return
 	}
-	e.prove(now)
-	e.streamed = now
-	e.want(now)
-	doubted := e.doubted()
-	e.leavesWithStream(now)
-	l.forgetDoubts(e, doubted)
+	e.markLimitClear(now)
+	e.streamStartedAt = now
+	e.requestRelease(now)
+	unconfirmed := e.unconfirmedServers()
+	e.removeReleasedByStream(now)
+	l.clearUnconfirmed(e, unconfirmed)
 	l.schedule(e, now)
 }
 
-// RequestRelease notes that all is to be let go. The release comes from Due once ScheduleRelease was called, or from Flush where an attempt
-// follows.
+// RequestRelease records that all that is held has to be released. Due returns the release once ScheduleRelease was called;
+// Flush does where an attempt follows.
 func (l *Ledger) RequestRelease(key string, now time.Time) {
 	if e := l.entries[key]; e != nil {
-		e.want(now)
+		e.requestRelease(now)
 	}
 }
 
-// Flush returns the release that has to be made before an entry's next attempt.
+// Flush returns the release that has to be sent before an entry's next attempt.
 func (l *Ledger) Flush(key string) []ReleaseCall {
 	e := l.entries[key]
-	if e == nil || !e.wanted || e.releasing > 0 || !e.mayHold() {
+	if e == nil || !e.releaseRequested || e.releasesInFlight > 0 || !e.mayHold() {
 		return nil
 	}
 	calls := l.release(e)
 	for i := range calls {
 		calls[i].Flush = true
-		if e.terms.Shared { // whoever answers soonest
+		if e.terms.Shared { // the first server to answer
 			calls[i].Servers = nil
 		}
 		for _, h := range e.holdings {
-			if !h.closed.IsZero() {
-				calls[i].NotBefore = later(calls[i].NotBefore, h.closed.Add(e.grace()))
+			if !h.closedAt.IsZero() {
+				calls[i].NotBefore = later(calls[i].NotBefore, h.closedAt.Add(e.noticeGrace()))
 			}
 		}
 	}
 	return calls
 }
 
-// ScheduleRelease schedules the release of an entry that is wanted, and has not gone on.
+// ScheduleRelease has Due return the requested release of an entry that has no further attempt yet.
 func (l *Ledger) ScheduleRelease(key string, now time.Time) {
 	if e := l.entries[key]; e != nil {
 		l.schedule(e, now)
 	}
 }
 
-// RequestEnded notes that no attempt follows.
+// RequestEnded records that no attempt follows.
 func (l *Ledger) RequestEnded(key string, now time.Time) {
 	if e := l.entries[key]; e != nil {
-		e.over = true
-		e.want(now)
+		e.requestEnded = true
+		e.requestRelease(now)
 		l.schedule(e, now)
 	}
 }
 
-// schedule sets when an entry's next release is made, and drops an entry that
-// holds nothing.
+// schedule sets the time of an entry's next action, and drops an entry that holds nothing.
 func (l *Ledger) schedule(e *entry, now time.Time) {
 	if l.dropIfEmpty(e, now) {
 		return
 	}
-	if e.wanted && e.mayHold() && (e.over || !e.inFlight()) {
-		l.owe(e, now)
+	if e.releaseRequested && e.mayHold() && (e.requestEnded || !e.attemptInFlight()) {
+		l.markPending(e, now)
 	}
-	if l.entries[e.key] != e { // forgotten: too many are owed
+	if l.entries[e.key] != e { // abandoned: too many are pending
 		return
 	}
-	if e.takes > maxRepeats && e.mayRest() {
-		l.rest(e, now)
+	if e.ackedReleases > maxRepeatedReleases && e.canCompact() {
+		l.compact(e, now)
 		return
 	}
-	l.agenda.set(e, l.nextLook(e))
+	l.queue.set(e, l.nextAction(e))
 }
 
-// dropIfEmpty drops an entry that holds nothing any more, and tells whether it did.
+// dropIfEmpty drops an entry that holds nothing any more, and reports whether it did.
 func (l *Ledger) dropIfEmpty(e *entry, now time.Time) bool {
-	e.endCloses(now)
-	empty := e.wanted && len(e.holdings) == 0 && e.releasing == 0
+	e.expireHalfOpen(now)
+	empty := e.releaseRequested && len(e.holdings) == 0 && e.releasesInFlight == 0
 	if empty {
 		l.drop(e)
 	}
 	return empty
 }
 
-// owe notes that an entry waits for proof with no attempt to come.
-func (l *Ledger) owe(e *entry, now time.Time) {
-	if !e.owedAt.IsZero() {
+// markPending records that an entry waits for evidence with no attempt to come. Beyond the bound, the oldest entry that can
+// become compact does, else the oldest is abandoned.
+func (l *Ledger) markPending(e *entry, now time.Time) {
+	if !e.pendingSince.IsZero() {
 		return
 	}
-	e.owedAt, e.reportAt = now, now.Add(e.part(evidencePart))
-	l.owed = append(l.owed, e)
-	if len(l.owed) <= maxOwed {
+	e.pendingSince, e.reportAt = now, now.Add(e.pinPart(reportPart))
+	l.pending = append(l.pending, e)
+	if len(l.pending) <= maxPending {
 		return
 	}
-	if i := slices.IndexFunc(l.owed, (*entry).mayRest); i >= 0 {
-		l.rest(l.owed[i], now)
+	if i := slices.IndexFunc(l.pending, (*entry).canCompact); i >= 0 {
+		l.compact(l.pending[i], now)
 		return
 	}
-	l.forget(l.owed[0], LedgerFull, now)
+	l.abandon(l.pending[0], LedgerFull, now)
 }
 
-func (l *Ledger) notOwed(e *entry) {
-	if e.owedAt.IsZero() {
+func (l *Ledger) clearPending(e *entry) {
+	if e.pendingSince.IsZero() {
 		return
 	}
-	e.owedAt, e.reportAt = time.Time{}, time.Time{}
-	l.owed = without(l.owed, e)
+	e.pendingSince, e.reportAt = time.Time{}, time.Time{}
+	l.pending = withoutEntry(l.pending, e)
 }
 
+// drop removes an entry from the ledger.
 func (l *Ledger) drop(e *entry) {
-	doubted := e.doubted()
+	unconfirmed := e.unconfirmedServers()
 	e.holdings = nil
-	l.forgetDoubts(e, doubted)
-	l.notOwed(e)
-	l.agenda.set(e, time.Time{})
+	l.clearUnconfirmed(e, unconfirmed)
+	l.clearPending(e)
+	l.queue.set(e, time.Time{})
 	delete(l.entries, e.key)
 }
 
-// forgetDoubts forgets those of some servers that an entry is not in doubt about any more.
-func (l *Ledger) forgetDoubts(e *entry, servers []string) {
+// clearUnconfirmed removes an entry from those of the servers that are no longer unconfirmed for it.
+func (l *Ledger) clearUnconfirmed(e *entry, servers []string) {
 	for _, server := range servers {
-		u := l.unheard[server]
-		if u == nil || e.doubts(server) {
+		u := l.unconfirmed[server]
+		if u == nil || e.isUnconfirmed(server) {
 			continue
 		}
-		u.entries = without(u.entries, e)
-		l.forgetIfNoneWaits(server, u)
+		u.entries = withoutEntry(u.entries, e)
+		l.dropServerIfUnused(server, u)
 	}
 }
 
-// release makes an entry's calls: one where it is shared, else one for each holder.
+// release returns an entry's release: one call where it is shared, else one for each holder.
 func (l *Ledger) release(e *entry) []ReleaseCall {
-	e.round = round{}
+	e.round = releaseRound{}
 	if e.terms.Shared {
-		e.releasing++
-		l.inFlight++
-		return []ReleaseCall{{Key: e.key, Servers: e.heardHolders(), SuspectedOnly: e.retry < maxRetry && e.onlyHalfOpen(), Concurrent: e.beside()}}
+		e.releasesInFlight++
+		l.releasesInFlight++
+		return []ReleaseCall{{Key: e.key, Servers: e.confirmedHolders(), SuspectedOnly: e.retryDelay < maxRetryDelay && e.onlyHalfOpen(), Concurrent: e.concurrentAttempt()}}
 	}
 	calls := make([]ReleaseCall, 0, len(e.holdings))
-	for _, server := range e.where() {
-		e.releasing++
-		l.inFlight++
-		calls = append(calls, ReleaseCall{Key: e.key, Servers: []string{server}, Concurrent: e.beside()})
+	for _, server := range e.holders() {
+		e.releasesInFlight++
+		l.releasesInFlight++
+		calls = append(calls, ReleaseCall{Key: e.key, Servers: []string{server}, Concurrent: e.concurrentAttempt()})
 	}
 	return calls
 }
 
-// without takes an entry out of a list in which it stands once; the oldest, which leave most often, are found first.
-func without(list []*entry, e *entry) []*entry {
+// withoutEntry removes an entry from a list in which it occurs at most once; the search starts at the oldest, which leave
+// first.
+func withoutEntry(list []*entry, e *entry) []*entry {
 	if i := slices.Index(list, e); i >= 0 {
 		return slices.Delete(list, i, i+1)
 	}
 	return list
 }
 
+// later returns the later of two times.
 func later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
@@ -523,6 +525,7 @@
 	return b
 }
 
+// sooner returns the earlier of two times; a zero time counts as none.
 func sooner(a, b time.Time) time.Time {
 	if a.IsZero() || !b.IsZero() && b.Before(a) {
 		return b
--- a/internal/heldstate/ledger_test.go
+++ b/internal/heldstate/ledger_test.go
@@ -12,21 +12,21 @@
 
 var shared = Terms{Request: "r", Shared: true, PreservesWaiting: true, PinLimit: 500 * ms, AttemptTimeout: 3 * time.Second}
 
-// clock is a ledger with a time that the test moves on.
-type clock struct {
+// harness is a ledger with a time that the test moves on.
+type harness struct {
 	t   *testing.T
 	l   *Ledger
 	now time.Time
 }
 
-func newClock(t *testing.T) *clock {
-	return &clock{t: t, l: New(), now: time.Unix(1000, 0)}
+func newHarness(t *testing.T) *harness {
+	return &harness{t: t, l: New(), now: time.Unix(1000, 0)}
 }
 
-func (c *clock) pass(d time.Duration) { c.now = c.now.Add(d) }
+func (c *harness) advance(d time.Duration) { c.now = c.now.Add(d) }
 
 // due fails the test unless so many releases are due, and returns them.
-func (c *clock) due(n int) []ReleaseCall {
+func (c *harness) due(n int) []ReleaseCall {
 	c.t.Helper()
 	calls := c.l.Due(c.now)
 	if len(calls) != n {
@@ -35,15 +35,15 @@
 	return calls
 }
 
-// owe has a request over whose read has ended at a server.
-func (c *clock) owe(key string, terms Terms, server string, end AttemptEnd) {
+// endedRead has a request over whose read has ended at a server.
+func (c *harness) endedRead(key string, terms Terms, server string, end AttemptEnd) {
 	c.l.AttemptStarted(key, terms, server, true, c.now)
 	c.l.ReadEnded(key, server, end, c.now)
 	c.l.RequestEnded(key, c.now)
 }
 
-// await moves the time on until a release is due.
-func (c *clock) await() ReleaseCall {
+// awaitRelease moves the time on until a release is due.
+func (c *harness) awaitRelease() ReleaseCall {
 	c.t.Helper()
 	for !c.l.Next().IsZero() {
 		c.now = later(c.now, c.l.Next())
@@ -55,38 +55,38 @@
 	return ReleaseCall{}
 }
 
-// take has a server answer a release at once.
-func (c *clock) take(call ReleaseCall, server string) {
+// ack has a server answer a release at once.
+func (c *harness) ack(call ReleaseCall, server string) {
 	c.l.ReleaseEnded(call, ReleaseResult{Acknowledged: true, Server: server, SentAt: c.now}, c.now)
 }
 
-func (c *clock) proven() {
+func (c *harness) requireEmpty() {
 	c.t.Helper()
 	if c.l.PendingCount() != 0 || c.l.Len() != 0 || len(c.l.UnconfirmedServers()) != 0 || !c.l.Next().IsZero() {
 		c.t.Fatalf("owed %d of %d, unheard %v, next %v", c.l.PendingCount(), c.l.Len(), c.l.UnconfirmedServers(), c.l.Next())
 	}
 }
 
-// provenBehindCloses plays on until servers that were heard at a time have ended what they may go on with behind lost closes: a
+// requireEmptyAfterCloses plays on until servers that were heard at a time have ended what they may go on with behind lost closes: a
 // release follows in each part of the limit, then one that finds all. The test fails unless nothing is left by then.
-func (c *clock) provenBehindCloses(heard time.Time, terms Terms) {
+func (c *harness) requireEmptyAfterCloses(answeredAt time.Time, terms Terms) {
 	c.t.Helper()
-	end := heard.Add(max(terms.left()+toldSlack, maxSilence) + terms.pin()/2)
-	for last := c.now; c.l.Len() > 0 && !c.now.After(end); c.pass(ms) {
+	end := answeredAt.Add(max(terms.timeout()+timeoutSlack, maxConnSilence) + terms.pinLimit()/2)
+	for last := c.now; c.l.Len() > 0 && !c.now.After(end); c.advance(ms) {
 		for _, call := range c.l.Due(c.now) {
-			if gap := c.now.Sub(last); gap > terms.pin()+suspectPause || call.Probe {
+			if gap := c.now.Sub(last); gap > terms.pinLimit()+halfOpenPause || call.Probe {
 				c.t.Errorf("%+v, %v after the one before", call, gap)
 			}
-			c.take(call, "another")
+			c.ack(call, "another")
 			last = c.now
 		}
 	}
-	c.proven()
+	c.requireEmpty()
 }
 
 // A request that is served, and one that nothing arrived of, cost no release.
 func TestNothingHeldNoRelease(t *testing.T) {
-	c := newClock(t)
+	c := newHarness(t)
 	c.l.AttemptStarted("k", shared, "reader", true, c.now)
 	c.l.PlaceRequested("k", shared, "writer", c.now)
 	c.l.PlaceRequestEnded("k", "writer", Granted, c.now)
@@ -95,18 +95,18 @@
 	c.l.StreamStarted("k", c.now)
 	c.l.WriteEnded("k", "writer", Completed, c.now)
 	c.l.RequestEnded("k", c.now)
-	c.proven()
+	c.requireEmpty()
 	for _, end := range []AttemptEnd{NotSent, Rejected} {
 		c.l.AttemptStarted("k", shared, "reader", true, c.now)
 		c.l.ReadEnded("k", "reader", end, c.now)
 		c.l.RequestEnded("k", c.now)
-		c.proven()
+		c.requireEmpty()
 	}
 }
 
 // A state that nobody takes costs one release, made at once; what holds it is asked first.
 func TestStateThatNobodyTakes(t *testing.T) {
-	c := newClock(t)
+	c := newHarness(t)
 	c.l.AttemptStarted("k", shared, "reader", true, c.now)
 	c.l.ReadEnded("k", "reader", Completed, c.now)
 	c.due(0) // its request goes on
@@ -116,14 +116,14 @@
 		t.Errorf("%+v", call)
 	}
 	c.due(0) // it is out
-	c.take(call, "reader")
-	c.proven()
+	c.ack(call, "reader")
+	c.requireEmpty()
 }
 
 // A release that was sent while an attempt was in flight lets go of nothing for certain: it is made again once the attempt has
 // ended.
 func TestReleaseBesideAnAttemptProvesNothing(t *testing.T) {
-	c := newClock(t)
+	c := newHarness(t)
 	c.l.AttemptStarted("k", shared, "reader", true, c.now)
 	c.l.ReadEnded("k", "reader", Completed, c.now)
 	c.l.AttemptStarted("k", shared, "writer", false, c.now)
@@ -133,19 +133,19 @@
 	if beside.Concurrent != WriteInFlight {
 		t.Fatalf("%+v", beside)
 	}
-	c.take(beside, "reader")
-	c.pass(399 * ms)
+	c.ack(beside, "reader")
+	c.advance(399 * ms)
 	c.due(0)
 	c.l.WriteEnded("k", "writer", Completed, c.now)
 	c.l.RequestEnded("k", c.now)
-	c.take(c.due(1)[0], "reader")
-	c.proven()
+	c.ack(c.due(1)[0], "reader")
+	c.requireEmpty()
 }
 
-// released is when releases are made until a time, each answered at once by a server that holds nothing.
-func (c *clock) released(until time.Duration) (times []time.Duration) {
+// releaseTimes is when releases are made until a time, each answered at once by a server that holds nothing.
+func (c *harness) releaseTimes(until time.Duration) (times []time.Duration) {
 	from := c.now
-	for ; c.now.Sub(from) <= until; c.pass(ms) {
+	for ; c.now.Sub(from) <= until; c.advance(ms) {
 		for _, call := range c.l.Due(c.now) {
 			if !call.Probe {
 				times = append(times, c.now.Sub(from))
@@ -159,65 +159,65 @@
 // While something may be held, a release is made whenever 0.9 of the pin limit has passed since the last proof that it did
 // not run, whatever has been sent meanwhile: what was sent may not have arrived.
 func TestReleaseBesideWhatMayNotHaveArrived(t *testing.T) {
-	read := func(c *clock, terms Terms, server string) { c.l.AttemptStarted("k", terms, server, true, c.now) }
-	for name, play := range map[string]func(c *clock, terms Terms){
-		"a place that is not answered": func(c *clock, terms Terms) {
+	read := func(c *harness, terms Terms, server string) { c.l.AttemptStarted("k", terms, server, true, c.now) }
+	for name, play := range map[string]func(c *harness, terms Terms){
+		"a place that is not answered": func(c *harness, terms Terms) {
 			read(c, terms, "silent")
 			c.l.PlaceRequested("k", terms, "writer", c.now)
 		},
-		"a place behind a 204": func(c *clock, terms Terms) {
+		"a place behind a 204": func(c *harness, terms Terms) {
 			read(c, terms, "silent")
 			c.l.PlaceRequested("k", terms, "writer", c.now)
 			c.l.PlaceRequestEnded("k", "writer", Unknown, c.now)
 		},
-		"a place whose answer was lost": func(c *clock, terms Terms) {
+		"a place whose answer was lost": func(c *harness, terms Terms) {
 			read(c, terms, "silent")
 			c.l.PlaceRequested("k", terms, "writer", c.now)
 			c.l.PlaceRequestEnded("k", "writer", NoAnswer, c.now)
 		},
-		"a second place": func(c *clock, terms Terms) {
+		"a second place": func(c *harness, terms Terms) {
 			read(c, terms, "silent")
 			c.l.PlaceRequested("k", terms, "full", c.now)
 			c.l.PlaceRequestEnded("k", "full", Denied, c.now)
 			c.l.PlaceRequested("k", terms, "writer", c.now)
 		},
-		"a place whose read was known, and its answer lost": func(c *clock, terms Terms) {
+		"a place whose read was known, and its answer lost": func(c *harness, terms Terms) {
 			read(c, terms, "reader")
 			c.l.PlaceRequested("k", terms, "writer", c.now)
 			c.l.PlaceRequestEnded("k", "writer", Granted, c.now)
 		},
-		"a write": func(c *clock, terms Terms) {
+		"a write": func(c *harness, terms Terms) {
 			read(c, terms, "reader")
 			c.l.ReadEnded("k", "reader", Completed, c.now)
 			c.l.AttemptStarted("k", terms, "silent", false, c.now)
 		},
-		"a write behind another that was called off": func(c *clock, terms Terms) {
+		"a write behind another that was called off": func(c *harness, terms Terms) {
 			read(c, terms, "reader")
 			c.l.ReadEnded("k", "reader", Completed, c.now)
 			c.l.AttemptStarted("k", terms, "writer", false, c.now)
 			c.l.WriteEnded("k", "writer", ClosedByRouter, c.now)
 			c.l.AttemptStarted("k", terms, "silent", false, c.now)
 		},
-		"a read behind a write that was called off": func(c *clock, terms Terms) {
+		"a read behind a write that was called off": func(c *harness, terms Terms) {
 			read(c, terms, "reader")
 			c.l.ReadEnded("k", "reader", Completed, c.now)
 			c.l.AttemptStarted("k", terms, "writer", false, c.now)
 			c.l.WriteEnded("k", "writer", ClosedByRouter, c.now)
 			read(c, terms, "silent")
 		},
-		"a read behind one that was called off": func(c *clock, terms Terms) {
+		"a read behind one that was called off": func(c *harness, terms Terms) {
 			read(c, terms, "reader")
 			c.l.ReadEnded("k", "reader", ClosedByRouter, c.now)
 			read(c, terms, "silent")
 		},
 	} {
 		for _, pin := range []time.Duration{250 * ms, 500 * ms, time.Second} {
-			c := newClock(t)
+			c := newHarness(t)
 			terms := shared
 			terms.PinLimit = pin
 			play(c, terms)
 			part := pin * 9 / 10
-			if got, want := c.released(3*part+ms), []time.Duration{part, 2 * part, 3 * part}; !slices.Equal(got, want) {
+			if got, want := c.releaseTimes(3*part+ms), []time.Duration{part, 2 * part, 3 * part}; !slices.Equal(got, want) {
 				t.Errorf("%s, pin limit %v: released after %v, want %v", name, pin, got, want)
 			}
 		}
@@ -228,17 +228,17 @@
 // server of which nothing bad was known.
 func TestSparedReleaseIsRepeatedBesideTheNextAttempt(t *testing.T) {
 	for _, reads := range []bool{false, true} {
-		c := newClock(t)
+		c := newHarness(t)
 		c.l.AttemptStarted("k", shared, "reader", true, c.now)
-		c.pass(500 * ms)
+		c.advance(500 * ms)
 		c.l.ReadEnded("k", "reader", Completed, c.now)
-		c.pass(283 * ms)
+		c.advance(283 * ms)
 		c.l.AttemptStarted("k", shared, "writer", false, c.now)
-		spared := c.released(1692 * ms)
+		spared := c.releaseTimes(1692 * ms)
 		c.l.WriteEnded("k", "writer", ClosedByRouter, c.now)
 		c.l.AttemptStarted("k", shared, "silent", reads, c.now)
 		closed := c.now
-		next := c.released(3500 * ms)
+		next := c.releaseTimes(3500 * ms)
 		if len(spared) != 4 || len(next) < 8 || next[0] > 400*ms {
 			t.Errorf("reads %v: released after %v, then, from the end of the write at %v, after %v", reads, spared, closed, next)
 		}
@@ -247,43 +247,43 @@
 
 // An answer moves the time on: an attempt's, a place's whose server knew of the read, and a release's. A close does not.
 func TestOnlyAnswersMoveTheTime(t *testing.T) {
-	start := func() *clock {
-		c := newClock(t)
+	start := func() *harness {
+		c := newHarness(t)
 		c.l.AttemptStarted("k", shared, "reader", true, c.now)
 		c.l.PlaceRequested("k", shared, "writer", c.now)
-		c.pass(300 * ms)
+		c.advance(300 * ms)
 		return c
 	}
 	for name, play := range map[string]struct {
-		do   func(c *clock)
+		do   func(c *harness)
 		want time.Duration // after which the first release is made
 	}{
-		"nothing": {func(*clock) {}, 150 * ms},
-		"a read that is answered": {func(c *clock) {
+		"nothing": {func(*harness) {}, 150 * ms},
+		"a read that is answered": {func(c *harness) {
 			c.l.ReadEnded("k", "reader", Completed, c.now)
 			c.l.AttemptStarted("k", shared, "writer", false, c.now)
 		}, 450 * ms},
-		"a read that is turned away": {func(c *clock) {
+		"a read that is turned away": {func(c *harness) {
 			c.l.ReadEnded("k", "reader", Rejected, c.now)
 			c.l.AttemptStarted("k", shared, "other", true, c.now)
 		}, 450 * ms},
-		"a read that is closed": {func(c *clock) {
+		"a read that is closed": {func(c *harness) {
 			c.l.ReadEnded("k", "reader", ClosedByRouter, c.now)
 			c.l.AttemptStarted("k", shared, "other", true, c.now)
 		}, 150 * ms},
-		"a read that was not sent": {func(c *clock) {
+		"a read that was not sent": {func(c *harness) {
 			c.l.ReadEnded("k", "reader", NotSent, c.now)
 			c.l.AttemptStarted("k", shared, "other", true, c.now)
 		}, 150 * ms},
-		"a place that is not known": {func(c *clock) { c.l.PlaceRequestEnded("k", "writer", Unknown, c.now) }, 150 * ms},
-		"another place that is held": {func(c *clock) {
+		"a place that is not known": {func(c *harness) { c.l.PlaceRequestEnded("k", "writer", Unknown, c.now) }, 150 * ms},
+		"another place that is held": {func(c *harness) {
 			c.l.PlaceRequested("k", shared, "second", c.now)
 			c.l.PlaceRequestEnded("k", "second", Granted, c.now)
 		}, 450 * ms},
 	} {
 		c := start()
 		play.do(c)
-		if got := c.released(500 * ms); len(got) == 0 || got[0] != play.want {
+		if got := c.releaseTimes(500 * ms); len(got) == 0 || got[0] != play.want {
 			t.Errorf("%s: released after %v, want %v", name, got, play.want)
 		}
 	}
@@ -292,24 +292,24 @@
 // A read that takes its time is not released beside while a writer knew of it and its server is heard: that is probed by a key
 // that no request has, and the release is made in time once the server is not heard.
 func TestReadThatIsHeardOf(t *testing.T) {
-	c := newClock(t)
+	c := newHarness(t)
 	c.l.AttemptStarted("k", shared, "reader", true, c.now)
 	c.l.PlaceRequested("k", shared, "writer", c.now)
 	c.l.PlaceRequestEnded("k", "writer", Granted, c.now)
 	for range 10 {
-		c.pass(375*ms - ms)
+		c.advance(375*ms - ms)
 		c.due(0)
-		c.pass(ms)
+		c.advance(ms)
 		call := c.due(1)[0]
 		if !call.Liveness || call.Key != "" || !slices.Equal(call.Servers, []string{"reader"}) {
 			t.Fatalf("%+v", call)
 		}
-		c.take(call, "reader")
+		c.ack(call, "reader")
 	}
 	proven := c.now
-	c.pass(375 * ms)
+	c.advance(375 * ms)
 	c.l.ReleaseEnded(c.due(1)[0], ReleaseResult{}, c.now)
-	c.pass(75 * ms)
+	c.advance(75 * ms)
 	if call := c.due(1)[0]; call.Probe || c.now.Sub(proven) != 450*ms {
 		t.Fatalf("%+v after %v", call, c.now.Sub(proven))
 	}
@@ -319,17 +319,17 @@
 	c.l.AttemptStarted("k2", shared, "reader", true, c.now) // of another that a writer did not know of, its server's being heard proves nothing
 	c.l.PlaceRequested("k2", shared, "writer", c.now)
 	c.l.PlaceRequestEnded("k2", "writer", Unknown, c.now)
-	c.pass(449 * ms)
+	c.advance(449 * ms)
 	c.l.ServerAnswered("reader", c.now, c.now, c.now)
-	c.pass(ms)
+	c.advance(ms)
 	call := c.due(1)[0]
 	if call.Key != "k2" || call.Probe {
 		t.Fatalf("%+v", call)
 	}
-	c.take(call, "writer") // it has let go of the place, unless the read had arrived
-	c.pass(450*ms - ms)
+	c.ack(call, "writer") // it has let go of the place, unless the read had arrived
+	c.advance(450*ms - ms)
 	c.l.ServerAnswered("reader", c.now, c.now, c.now)
-	c.pass(ms)
+	c.advance(ms)
 	for _, call := range c.l.Due(c.now) {
 		if !call.Liveness {
 			t.Errorf("%+v", call)
@@ -337,7 +337,7 @@
 	}
 	c.l.PlaceRequested("k2", shared, "second", c.now) // which may be held although the read has not arrived
 	c.l.PlaceRequestEnded("k2", "second", Unknown, c.now)
-	for end := c.now.Add(450 * ms); c.now.Before(end); c.pass(ms) {
+	for end := c.now.Add(450 * ms); c.now.Before(end); c.advance(ms) {
 		c.l.ServerAnswered("reader", c.now, c.now, c.now)
 		for _, call := range c.l.Due(c.now) {
 			if !call.Probe {
@@ -351,11 +351,11 @@
 // KNOWN-RED: a read's answer is lost as its connection alone falls silent, and its server is heard on others. Whether the read
 // is still in flight then is asked in docs/questions.md; by the stricter reading its state is to be let go in time.
 func TestAnswerLostOnOneConnection(t *testing.T) {
-	c := newClock(t)
+	c := newHarness(t)
 	c.l.AttemptStarted("k", shared, "reader", true, c.now)
 	c.l.PlaceRequested("k", shared, "writer", c.now)
 	c.l.PlaceRequestEnded("k", "writer", Granted, c.now)
-	for from := c.now; c.now.Sub(from) < 800*ms; c.pass(100 * ms) {
+	for from := c.now; c.now.Sub(from) < 800*ms; c.advance(100 * ms) {
 		c.l.ServerAnswered("reader", c.now, c.now, c.now)
 		for _, call := range c.l.Due(c.now) {
 			if !call.Probe {
@@ -370,19 +370,19 @@
 // a second and leaves its state then; a release is to follow in time. None did: the server's being heard counted as proof that it
 // had noticed the close (see TestAttemptGoesOnBehindALostClose).
 func TestReadGoesOnBehindALostClose(t *testing.T) {
-	c := newClock(t)
+	c := newHarness(t)
 	c.l.AttemptStarted("k", shared, "reader", true, c.now)
-	c.pass(500 * ms)
+	c.advance(500 * ms)
 	c.l.ReadEnded("k", "reader", ClosedByRouter, c.now)
 	c.l.RequestEnded("k", c.now)
 	closed := c.now
-	for ; c.now.Sub(closed) < 1800*ms; c.pass(ms) {
+	for ; c.now.Sub(closed) < 1800*ms; c.advance(ms) {
 		c.l.ServerAnswered("reader", c.now, c.now, c.now)
 		for _, call := range c.l.Due(c.now) {
 			if !call.Probe && c.now.Sub(closed) > time.Second {
 				return
 			}
-			c.take(call, "another")
+			c.ack(call, "another")
 		}
 	}
 	t.Error("nothing was released within 0.8 s of the end of the read")
@@ -390,22 +390,22 @@
 
 // Nothing is released beside a read whose server is heard where nothing else is held, or where releases take what attempts wait for.
 func TestNothingIsReleasedBeside(t *testing.T) {
-	c := newClock(t)
+	c := newHarness(t)
 	c.l.AttemptStarted("k", shared, "reader", true, c.now)
-	for end := c.now.Add(5 * time.Second); c.now.Before(end); c.pass(ms) {
+	for end := c.now.Add(5 * time.Second); c.now.Before(end); c.advance(ms) {
 		for _, call := range c.l.Due(c.now) {
 			if !call.Liveness {
 				t.Errorf("beside a first read whose server is heard: %+v", call)
 			}
-			c.take(call, call.Servers[0])
+			c.ack(call, call.Servers[0])
 		}
 	}
-	c = newClock(t)
+	c = newHarness(t)
 	terms := Terms{Request: "1", PinLimit: 500 * ms}
 	c.l.AttemptStarted("k", terms, "reader", true, c.now)
 	c.l.PlaceRequested("k", terms, "writer", c.now)
 	c.l.PlaceRequestEnded("k", "writer", Granted, c.now)
-	if got := c.released(5 * time.Second); len(got) > 0 {
+	if got := c.releaseTimes(5 * time.Second); len(got) > 0 {
 		t.Errorf("where it is not spared: released after %v", got)
 	}
 }
@@ -413,7 +413,7 @@
 // A release waits for a close to be noticed, and is made again in time: it may have overtaken the close.
 func TestCloseNoticedLate(t *testing.T) {
 	for _, pin := range []time.Duration{40 * ms, 250 * ms, 500 * ms, 0} {
-		c := newClock(t)
+		c := newHarness(t)
 		terms := shared
 		terms.PinLimit = pin
 		c.l.AttemptStarted("k", terms, "reader", true, c.now)
@@ -424,59 +424,59 @@
 		c.l.RequestEnded("k", c.now)
 		c.due(0)
 		c.now = c.l.Next()
-		if after := c.now.Sub(closed); after != min(25*ms, terms.pin()/4) {
+		if after := c.now.Sub(closed); after != min(25*ms, terms.pinLimit()/4) {
 			t.Errorf("pin limit %v: the first release after %v", pin, after)
 		}
 		heard := c.now
-		c.take(c.due(1)[0], "writer")
+		c.ack(c.due(1)[0], "writer")
 		c.due(0)
 		c.now = c.l.Next()
-		if after := c.now.Sub(closed); after > terms.pin()/2 {
+		if after := c.now.Sub(closed); after > terms.pinLimit()/2 {
 			t.Errorf("pin limit %v: the second release after %v", pin, after)
 		}
-		c.take(c.due(1)[0], "reader")
-		c.provenBehindCloses(heard, terms)
+		c.ack(c.due(1)[0], "reader")
+		c.requireEmptyAfterCloses(heard, terms)
 	}
 }
 
-// unheardWriter leaves a state behind a writer that is silent, with both early releases made.
-func unheardWriter(c *clock) {
+// unconfirmedWriter leaves a state behind a writer that is silent, with both early releases made.
+func unconfirmedWriter(c *harness) {
 	c.l.AttemptStarted("k", shared, "reader", true, c.now)
 	c.l.ReadEnded("k", "reader", Completed, c.now)
 	c.l.AttemptStarted("k", shared, "writer", false, c.now)
 	c.l.WriteEnded("k", "writer", ClosedByRouter, c.now)
 	c.l.RequestEnded("k", c.now)
 	for range 2 {
-		c.take(c.await(), "reader")
+		c.ack(c.awaitRelease(), "reader")
 	}
 }
 
 // What a server that hangs may still wait for is owed until it runs again: one probe is out to it, and a release
 // follows once it has had time to notice the close.
 func TestHungServer(t *testing.T) {
-	c := newClock(t)
-	unheardWriter(c)
+	c := newHarness(t)
+	unconfirmedWriter(c)
 	probe := c.due(1)[0]
 	if !probe.Probe || !slices.Equal(probe.Servers, []string{"writer"}) {
 		t.Fatalf("%+v", probe)
 	}
-	c.pass(10 * time.Second)
-	c.take(c.due(1)[0], "reader")                                  // one more, from time to time, and no second probe
+	c.advance(10 * time.Second)
+	c.ack(c.due(1)[0], "reader")                                   // one more, from time to time, and no second probe
 	c.l.ServerAnswered("writer", time.Unix(1000, 0), c.now, c.now) // it had answered this before it was closed
 	if c.l.PendingCount() != 1 || len(c.l.UnconfirmedServers()) != 1 {
 		t.Fatal("an old answer was taken for a new one")
 	}
 	heard := c.now
-	c.take(probe, "writer")
+	c.ack(probe, "writer")
 	c.due(0)
-	c.pass(25 * ms)
-	c.take(c.due(1)[0], "reader")
-	c.provenBehindCloses(heard, shared)
+	c.advance(25 * ms)
+	c.ack(c.due(1)[0], "reader")
+	c.requireEmptyAfterCloses(heard, shared)
 }
 
 // A server that was cut off is probed at a pace that hears it in time once it is back, and is not probed by each entry.
 func TestProbesAreBounded(t *testing.T) {
-	c := newClock(t)
+	c := newHarness(t)
 	for i := range 20 {
 		key, server := fmt.Sprint("k", i), fmt.Sprint("writer", i%2)
 		c.l.AttemptStarted(key, shared, server, false, c.now)
@@ -491,7 +491,7 @@
 			}
 			c.l.ReleaseEnded(call, ReleaseResult{Acknowledged: !call.Probe, Server: "another", SentAt: c.now}, c.now)
 		}
-		if next := c.l.Next(); next.Sub(c.now) > maxProbe {
+		if next := c.l.Next(); next.Sub(c.now) > maxProbeDelay {
 			t.Fatalf("next after %v", next.Sub(c.now))
 		}
 		c.now = c.l.Next()
@@ -503,7 +503,7 @@
 	c.l.ServerRemoved("writer1", c.now)
 	for c.l.PendingCount() > 0 && c.now.Sub(from) < time.Minute {
 		for _, call := range c.l.Due(c.now) {
-			c.take(call, "another")
+			c.ack(call, "another")
 		}
 		c.now = c.l.Next()
 	}
@@ -514,34 +514,34 @@
 
 // With two servers in doubt, a release follows once either is heard: what waited there is let go, whatever the other does.
 func TestTwoServersInDoubt(t *testing.T) {
-	c := newClock(t)
+	c := newHarness(t)
 	c.l.AttemptStarted("k", shared, "hung", true, c.now)
 	c.l.ReadEnded("k", "hung", ClosedByRouter, c.now)
 	c.l.AttemptStarted("k", shared, "cut", true, c.now)
 	c.l.ReadEnded("k", "cut", ClosedByRouter, c.now)
 	c.l.RequestEnded("k", c.now)
 	for range 2 {
-		c.take(c.await(), "another")
+		c.ack(c.awaitRelease(), "another")
 	}
 	probes := c.due(2)
-	c.pass(3 * time.Second)
+	c.advance(3 * time.Second)
 	c.l.ServerAnswered("hung", c.now, c.now, c.now)
-	c.pass(25 * ms)
-	c.take(c.due(1)[0], "another")
+	c.advance(25 * ms)
+	c.ack(c.due(1)[0], "another")
 	c.due(0)
 	c.l.ServerAnswered("cut", c.now, c.now, c.now)
 	heard := c.now
-	c.pass(25 * ms)
-	c.take(c.due(1)[0], "another")
+	c.advance(25 * ms)
+	c.ack(c.due(1)[0], "another")
 	for _, probe := range probes {
 		c.l.ReleaseEnded(probe, ReleaseResult{}, c.now)
 	}
-	c.provenBehindCloses(heard, shared)
+	c.requireEmptyAfterCloses(heard, shared)
 }
 
 // What a server may come to hold once it runs again outlives the stream that was served elsewhere.
 func TestStreamServedElsewhere(t *testing.T) {
-	c := newClock(t)
+	c := newHarness(t)
 	c.l.AttemptStarted("k", shared, "hung", true, c.now)
 	c.l.ReadEnded("k", "hung", ClosedByRouter, c.now)
 	if flushed := c.l.Flush("k"); flushed != nil {
@@ -551,37 +551,37 @@
 	c.l.ReadEnded("k", "reader", Completed, c.now)
 	c.l.AttemptStarted("k", shared, "writer", false, c.now)
 	c.l.StreamStarted("k", c.now)
-	c.pass(30 * ms)
+	c.advance(30 * ms)
 	probe := c.due(1)[0]
 	c.l.WriteEnded("k", "writer", ClosedByRouter, c.now) // the client left: its stream waits for nothing
-	c.pass(time.Second)
+	c.advance(time.Second)
 	heard := c.now
-	c.take(probe, "hung")
-	c.pass(25 * ms)
-	c.take(c.due(1)[0], "writer")
-	c.provenBehindCloses(heard, shared)
+	c.ack(probe, "hung")
+	c.advance(25 * ms)
+	c.ack(c.due(1)[0], "writer")
+	c.requireEmptyAfterCloses(heard, shared)
 }
 
 // A server that hung and was heard just before the stream began may still leave something behind it; one that was
 // heard well before may not.
 func TestStreamJustAfterAServerWasHeard(t *testing.T) {
 	for before, releases := range map[time.Duration]int{0: 1, 24 * ms: 1, 25 * ms: 0, time.Second: 0} {
-		c := newClock(t)
+		c := newHarness(t)
 		c.l.AttemptStarted("k", shared, "hung", true, c.now)
 		c.l.ReadEnded("k", "hung", ClosedByRouter, c.now)
 		c.l.AttemptStarted("k", shared, "reader", true, c.now)
 		c.l.ReadEnded("k", "reader", Completed, c.now)
 		c.l.AttemptStarted("k", shared, "writer", false, c.now)
-		c.pass(2 * time.Second)
+		c.advance(2 * time.Second)
 		c.l.ServerAnswered("hung", c.now.Add(-before-ms), c.now.Add(-before), c.now)
 		c.l.StreamStarted("k", c.now)
 		c.due(0)
-		c.pass(25 * ms)
+		c.advance(25 * ms)
 		for _, call := range c.due(releases) {
-			c.take(call, "reader")
+			c.ack(call, "reader")
 		}
 		c.l.WriteEnded("k", "writer", Completed, c.now)
-		c.provenBehindCloses(c.now, shared)
+		c.requireEmptyAfterCloses(c.now, shared)
 	}
 }
 
@@ -589,7 +589,7 @@
 func TestPlaceAnsweredLate(t *testing.T) {
 	for _, streams := range []bool{false, true} {
 		for _, held := range []bool{false, true} {
-			c := newClock(t)
+			c := newHarness(t)
 			c.l.AttemptStarted("k", shared, "reader", true, c.now)
 			c.l.PlaceRequested("k", shared, "writer", c.now)
 			c.l.ReadEnded("k", "reader", Rejected, c.now)
@@ -599,15 +599,15 @@
 			} else {
 				c.l.RequestEnded("k", c.now)
 			}
-			c.pass(100 * ms)
+			c.advance(100 * ms)
 			c.due(0)
 			c.l.PlaceRequestEnded("k", "writer", map[bool]PlaceResult{true: Unknown, false: Denied}[held], c.now)
 			if held {
-				c.take(c.due(1)[0], "writer")
+				c.ack(c.due(1)[0], "writer")
 			}
 			c.l.WriteEnded("k", "writer", Completed, c.now)
 			c.l.RequestEnded("k", c.now)
-			c.proven()
+			c.requireEmpty()
 		}
 	}
 }
@@ -616,7 +616,7 @@
 // first; and one whose answer is lost is let go in time.
 func TestPlaceAskedTwice(t *testing.T) {
 	for _, lost := range []bool{false, true} {
-		c := newClock(t)
+		c := newHarness(t)
 		c.l.AttemptStarted("k", shared, "full", true, c.now)
 		c.l.PlaceRequested("k", shared, "writer", c.now)
 		c.l.ReadEnded("k", "full", Rejected, c.now)
@@ -628,43 +628,43 @@
 		quiet := c.now
 		c.due(0) // it may be granted yet
 		if lost {
-			c.take(c.await(), "writer")
+			c.ack(c.awaitRelease(), "writer")
 			if after := c.now.Sub(quiet); after > 450*ms {
 				t.Errorf("let go after %v", after)
 			}
-			c.pass(time.Second - c.now.Sub(quiet))
+			c.advance(time.Second - c.now.Sub(quiet))
 			c.l.PlaceRequestEnded("k", "writer", NoAnswer, c.now)
 		} else {
-			c.pass(300 * ms)
+			c.advance(300 * ms)
 			c.l.PlaceRequestEnded("k", "writer", Granted, c.now)
 		}
 		for c.l.PendingCount() > 0 {
-			c.take(c.await(), "writer")
+			c.ack(c.awaitRelease(), "writer")
 		}
-		c.proven()
+		c.requireEmpty()
 	}
 }
 
 // A release that nobody takes is made again, at a growing distance, and is not given up with its request.
 func TestReleaseThatNobodyTakes(t *testing.T) {
-	c := newClock(t)
+	c := newHarness(t)
 	c.l.AttemptStarted("k", shared, "reader", true, c.now)
 	c.l.ReadEnded("k", "reader", Completed, c.now)
 	c.l.RequestEnded("k", c.now)
 	for range 10 {
-		c.l.ReleaseEnded(c.await(), ReleaseResult{}, c.now)
+		c.l.ReleaseEnded(c.awaitRelease(), ReleaseResult{}, c.now)
 		c.due(0)
-		if in := c.l.Next().Sub(c.now); in > maxRetry {
+		if in := c.l.Next().Sub(c.now); in > maxRetryDelay {
 			t.Fatalf("next in %v", in)
 		}
 	}
-	c.take(c.await(), "reader")
-	c.proven()
+	c.ack(c.awaitRelease(), "reader")
+	c.requireEmpty()
 }
 
 // One server takes a release for all; a holder that was asked and did not answer may not have got it.
 func TestHolderThatDidNotAnswer(t *testing.T) {
-	c := newClock(t)
+	c := newHarness(t)
 	c.l.AttemptStarted("k", shared, "reader", true, c.now)
 	c.l.ReadEnded("k", "reader", Completed, c.now)
 	c.l.RequestEnded("k", c.now)
@@ -672,19 +672,19 @@
 	if c.l.PendingCount() != 1 {
 		t.Fatal("the holder was not heard, and nothing is owed")
 	}
-	c.pass(time.Second)
+	c.advance(time.Second)
 	for c.l.PendingCount() > 0 && c.now.Before(time.Unix(1010, 0)) {
 		for _, call := range c.l.Due(c.now) {
-			c.take(call, append(call.Servers, "another")[0])
+			c.ack(call, append(call.Servers, "another")[0])
 		}
-		c.pass(ms)
+		c.advance(ms)
 	}
-	c.proven()
+	c.requireEmpty()
 }
 
 // Servers that know only what they hold themselves are each told, until each has answered or has gone.
 func TestEachServerIsTold(t *testing.T) {
-	c := newClock(t)
+	c := newHarness(t)
 	terms := Terms{Request: "1", PinLimit: 500 * ms}
 	c.l.AttemptStarted("k", terms, "reader", true, c.now)
 	c.l.PlaceRequested("k", terms, "writer", c.now)
@@ -701,36 +701,36 @@
 		c.l.ReleaseEnded(call, ReleaseResult{}, c.now)
 	}
 	c.l.ServerRemoved("writer", c.now)
-	c.proven()
+	c.requireEmpty()
 }
 
 // What is owed is bounded in number, not in age, and is told of: at half of its time, and when it is given up.
 func TestBoundsOfWhatIsOwed(t *testing.T) {
-	c := newClock(t)
-	for i := range maxOwed + 3 {
+	c := newHarness(t)
+	for i := range maxPending + 3 {
 		key := fmt.Sprint("k", i)
 		c.l.AttemptStarted(key, shared, "reader", true, c.now)
 		c.l.ReadEnded(key, "reader", Completed, c.now)
 		c.l.RequestEnded(key, c.now)
 	}
-	if f := c.l.Abandoned(); c.l.PendingCount() != maxOwed || len(f) != 3 || f[0].Key != "k0" || f[0].Reason != LedgerFull {
+	if f := c.l.Abandoned(); c.l.PendingCount() != maxPending || len(f) != 3 || f[0].Key != "k0" || f[0].Reason != LedgerFull {
 		t.Errorf("%d owed, %d forgotten", c.l.PendingCount(), len(f))
 	}
-	if n := len(c.l.Due(c.now)); n != maxReleases {
+	if n := len(c.l.Due(c.now)); n != maxReleasesInFlight {
 		t.Errorf("%d releases out", n)
 	}
-	c.pass(250 * ms)
+	c.advance(250 * ms)
 	c.l.Due(c.now)
-	if r := c.l.Reports(); len(r) != maxOwed || r[0].PendingFor != 250*ms {
+	if r := c.l.Reports(); len(r) != maxPending || r[0].PendingFor != 250*ms {
 		t.Errorf("%d reports", len(r))
 	}
-	c.pass(time.Hour)
+	c.advance(time.Hour)
 	c.l.Due(c.now)
-	if f := c.l.Abandoned(); c.l.PendingCount() != maxOwed || len(f) != 0 {
+	if f := c.l.Abandoned(); c.l.PendingCount() != maxPending || len(f) != 0 {
 		t.Errorf("%d owed, %d forgotten for their age", c.l.PendingCount(), len(f))
 	}
 	c.l.Stop(c.now)
-	if f := c.l.Abandoned(); c.l.PendingCount() != 0 || len(f) != maxOwed || f[0].Reason != RouterStopped {
+	if f := c.l.Abandoned(); c.l.PendingCount() != 0 || len(f) != maxPending || f[0].Reason != RouterStopped {
 		t.Errorf("%d owed, %d forgotten", c.l.PendingCount(), len(f))
 	}
 }
@@ -738,12 +738,12 @@
 // history is one drawn play of requests against a prefill server that runs and a decode server that may hang, and that
 // spares what a write in its queue waits for until it notices that the write was called off.
 type history struct {
-	*clock
-	rnd       *rand.Rand
-	steps     map[time.Time][]func()
-	hungUntil time.Time            // the decode server notices and answers nothing until then
-	waits     map[string]time.Time // writes in its queue by key, and when their close arrives
-	held      map[string]int       // states by key, and the ms for which nothing waited for each
+	*harness
+	rnd         *rand.Rand
+	steps       map[time.Time][]func()
+	hungUntil   time.Time            // the decode server notices and answers nothing until then
+	queuedUntil map[string]time.Time // writes in its queue by key, and when their close arrives
+	heldMs      map[string]int       // states by key, and the ms for which nothing waited for each
 }
 
 func (h *history) after(d time.Duration, do func()) {
@@ -755,12 +755,12 @@
 	return time.Duration(h.rnd.Int64N(int64(most)))
 }
 
-func (h *history) waited(key string) bool {
-	until, ok := h.waits[key]
+func (h *history) queued(key string) bool {
+	until, ok := h.queuedUntil[key]
 	if ok && (h.now.Before(until) || h.now.Before(h.hungUntil)) {
 		return true
 	}
-	delete(h.waits, key) // it has noticed
+	delete(h.queuedUntil, key) // it has noticed
 	return false
 }
 
@@ -768,51 +768,51 @@
 func (h *history) request(key string) {
 	h.l.AttemptStarted(key, shared, "reader", true, h.now)
 	h.l.ReadEnded(key, "reader", Completed, h.now)
-	h.held[key], h.waits[key] = 0, h.now.Add(time.Hour)
+	h.heldMs[key], h.queuedUntil[key] = 0, h.now.Add(time.Hour)
 	h.l.AttemptStarted(key, shared, "writer", false, h.now)
 	h.after(450*ms, func() {
 		h.l.RequestRelease(key, h.now)
 		h.l.ScheduleRelease(key, h.now)
 	})
 	h.after(h.upTo(2*time.Second), func() {
-		h.waits[key] = later(h.now, h.hungUntil).Add(h.upTo(CloseNoticeGrace))
+		h.queuedUntil[key] = later(h.now, h.hungUntil).Add(h.upTo(CloseNoticeGrace))
 		h.l.WriteEnded(key, "writer", ClosedByRouter, h.now)
 		h.l.RequestEnded(key, h.now)
 	})
 }
 
 // answer has a server take a release: a probe the decode server, once it runs.
-func (h *history) answer(call ReleaseCall, sent time.Time) {
+func (h *history) answer(call ReleaseCall, sentAt time.Time) {
 	server := "reader"
 	if call.Probe {
 		server = call.Servers[0]
 	}
 	if server == "writer" && h.now.Before(h.hungUntil) {
-		h.after(ms, func() { h.answer(call, sent) })
+		h.after(ms, func() { h.answer(call, sentAt) })
 		return
 	}
-	if !h.waited(call.Key) {
-		delete(h.held, call.Key)
+	if !h.queued(call.Key) {
+		delete(h.heldMs, call.Key)
 	}
-	h.l.ReleaseEnded(call, ReleaseResult{Acknowledged: true, Server: server, SentAt: sent}, h.now)
+	h.l.ReleaseEnded(call, ReleaseResult{Acknowledged: true, Server: server, SentAt: sentAt}, h.now)
 }
 
 // However writes are called off, and whenever their server hangs and notices, nothing stays held.
 func TestNothingStaysHeld(t *testing.T) {
 	for seed := range uint64(300) {
-		h := &history{clock: newClock(t), rnd: rand.New(rand.NewPCG(seed, 1)), steps: map[time.Time][]func(){}, waits: map[string]time.Time{},
-			held: map[string]int{}}
+		h := &history{harness: newHarness(t), rnd: rand.New(rand.NewPCG(seed, 1)), steps: map[time.Time][]func(){}, queuedUntil: map[string]time.Time{},
+			heldMs: map[string]int{}}
 		for i := range 20 {
 			h.after(h.upTo(3*time.Second), func() { h.request(fmt.Sprint("k", i)) })
 		}
 		h.after(h.upTo(3*time.Second), func() { h.hungUntil = h.now.Add(h.upTo(3 * time.Second)) })
-		for end := h.now.Add(12 * time.Second); h.now.Before(end); h.pass(ms) {
+		for end := h.now.Add(12 * time.Second); h.now.Before(end); h.advance(ms) {
 			for _, do := range h.steps[h.now] {
 				do()
 			}
-			for key, most := range h.held {
-				if !h.waited(key) {
-					h.held[key]++
+			for key, most := range h.heldMs {
+				if !h.queued(key) {
+					h.heldMs[key]++
 				}
 				if most > 500 {
 					t.Fatalf("seed %d: %s is held for %d ms", seed, key, most)
@@ -822,8 +822,8 @@
 				h.after(ms, func() { h.answer(call, h.now.Add(-ms)) })
 			}
 		}
-		if len(h.held) > 0 || h.l.PendingCount() > 0 {
-			t.Fatalf("seed %d: held %v, owed %d", seed, h.held, h.l.PendingCount())
+		if len(h.heldMs) > 0 || h.l.PendingCount() > 0 {
+			t.Fatalf("seed %d: held %v, owed %d", seed, h.heldMs, h.l.PendingCount())
 		}
 	}
 }
@@ -831,7 +831,7 @@
 // What a look through the ledger costs with as much owed as there may be, and an event where something is owed.
 func BenchmarkOwed(b *testing.B) {
 	now, l := time.Unix(1000, 0), New()
-	for i := range maxOwed {
+	for i := range maxPending {
 		key, server := fmt.Sprint("k", i), fmt.Sprint("s", i%64)
 		l.AttemptStarted(key, shared, server, true, now)
 		l.ReadEnded(key, server, ClosedByRouter, now)
@@ -846,10 +846,10 @@
 // While a server that may hold something is in doubt, a release goes out from time to time: another server's place may have
 // been spared for its read, and what waited there may have ended without anybody's being heard.
 func TestReleaseIsRepeatedInDoubt(t *testing.T) {
-	c := newClock(t)
-	unheardWriter(c)
+	c := newHarness(t)
+	unconfirmedWriter(c)
 	releases := 0
-	for end := c.now.Add(5 * time.Second); c.now.Before(end); c.pass(ms) {
+	for end := c.now.Add(5 * time.Second); c.now.Before(end); c.advance(ms) {
 		for _, call := range c.l.Due(c.now) {
 			if !call.Probe {
 				releases++
@@ -864,7 +864,7 @@
 
 // Before an attempt, a server that knows only what it holds itself is told of it; of others whoever answers soonest.
 func TestFlushNamesTheServer(t *testing.T) {
-	c := newClock(t)
+	c := newHarness(t)
 	terms := Terms{Request: "1", PinLimit: 500 * ms}
 	c.l.AttemptStarted("k", terms, "reader", true, c.now)
 	c.l.ReadEnded("k", "reader", Completed, c.now)
@@ -876,17 +876,17 @@
 
 // Guards against releases that overtake those which were due before them, while as many are in flight as may be.
 func TestReleasesGoInTheOrderInWhichTheyAreDue(t *testing.T) {
-	c := newClock(t)
-	const requests = maxReleases + 40
+	c := newHarness(t)
+	const requests = maxReleasesInFlight + 40
 	for i := range requests {
-		c.owe(fmt.Sprintf("k%03d", i), shared, "reader", Completed)
-		c.pass(ms)
+		c.endedRead(fmt.Sprintf("k%03d", i), shared, "reader", Completed)
+		c.advance(ms)
 	}
-	calls := c.due(maxReleases)
-	for next := maxReleases; next < requests; next++ {
-		c.pass(7 * ms)
+	calls := c.due(maxReleasesInFlight)
+	for next := maxReleasesInFlight; next < requests; next++ {
+		c.advance(7 * ms)
 		c.due(0)
-		c.take(calls[0], "reader")
+		c.ack(calls[0], "reader")
 		calls = append(calls[1:], c.due(1)...)
 		if got, want := calls[len(calls)-1].Key, fmt.Sprintf("k%03d", next); got != want {
 			t.Fatalf("%s is released before %s", got, want)
--- a/internal/heldstate/lostclose_test.go
+++ b/internal/heldstate/lostclose_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// heldBehind is for how long something stays held after an attempt has ended at its server, whose close was lost: until then
+// heldAfterEnd is for how long something stays held after an attempt has ended at its server, whose close was lost: until then
 // releases spare what it waits for, or it has left nothing yet. All servers of the list are heard all the while.
-func (c *clock) heldBehind(ends time.Duration, heard ...string) (held time.Duration) {
+func (c *harness) heldAfterEnd(endsAfter time.Duration, answering ...string) (held time.Duration) {
 	from := c.now
-	for ; c.now.Sub(from) < ends+10*time.Second; c.pass(ms) {
-		for _, server := range heard {
+	for ; c.now.Sub(from) < endsAfter+10*time.Second; c.advance(ms) {
+		for _, server := range answering {
 			c.l.ServerAnswered(server, c.now, c.now, c.now)
 		}
 		for _, call := range c.l.Due(c.now) {
@@ -19,13 +19,13 @@
 			if call.Probe {
 				server = call.Servers[0]
 			}
-			c.take(call, server)
-			if after := c.now.Sub(from) - ends; after >= 0 {
+			c.ack(call, server)
+			if after := c.now.Sub(from) - endsAfter; after >= 0 {
 				return after
 			}
 		}
 	}
-	return c.now.Sub(from) - ends
+	return c.now.Sub(from) - endsAfter
 }
 
 // An attempt's connection alone falls silent, and the router closes it. Its server runs and is heard on other connections, but
@@ -39,57 +39,57 @@
 // 300 failed so.
 func TestAttemptGoesOnBehindALostClose(t *testing.T) {
 	const goesOn = 2400 * ms // counted from the close
-	for name, play := range map[string]func(c *clock){
-		"a write, its request over": func(c *clock) {
+	for name, play := range map[string]func(c *harness){
+		"a write, its request over": func(c *harness) {
 			c.l.AttemptStarted("k", shared, "reader", true, c.now)
 			c.l.ReadEnded("k", "reader", Completed, c.now)
 			c.l.AttemptStarted("k", shared, "writer", false, c.now)
-			c.pass(200 * ms)
+			c.advance(200 * ms)
 			c.l.WriteEnded("k", "writer", ClosedByRouter, c.now)
 			c.l.RequestEnded("k", c.now)
 		},
-		"a write, the next attempt a write that never arrives": func(c *clock) {
+		"a write, the next attempt a write that never arrives": func(c *harness) {
 			c.l.AttemptStarted("k", shared, "reader", true, c.now)
 			c.l.ReadEnded("k", "reader", Completed, c.now)
 			c.l.AttemptStarted("k", shared, "writer", false, c.now)
-			c.pass(200 * ms)
+			c.advance(200 * ms)
 			c.l.WriteEnded("k", "writer", ClosedByRouter, c.now)
 			c.l.AttemptStarted("k", shared, "silent", false, c.now)
 		},
-		"a write, the next attempt a read that never arrives": func(c *clock) {
+		"a write, the next attempt a read that never arrives": func(c *harness) {
 			c.l.AttemptStarted("k", shared, "reader", true, c.now)
 			c.l.ReadEnded("k", "reader", Completed, c.now)
 			c.l.AttemptStarted("k", shared, "writer", false, c.now)
-			c.pass(200 * ms)
+			c.advance(200 * ms)
 			c.l.WriteEnded("k", "writer", ClosedByRouter, c.now)
 			c.l.AttemptStarted("k", shared, "silent", true, c.now)
 		},
-		"a read, its request over": func(c *clock) {
+		"a read, its request over": func(c *harness) {
 			c.l.AttemptStarted("k", shared, "reader", true, c.now)
-			c.pass(200 * ms)
+			c.advance(200 * ms)
 			c.l.ReadEnded("k", "reader", ClosedByRouter, c.now)
 			c.l.RequestEnded("k", c.now)
 		},
-		"a read, behind the first event of an answer": func(c *clock) {
+		"a read, behind the first event of an answer": func(c *harness) {
 			c.l.AttemptStarted("k", shared, "reader", true, c.now)
-			c.pass(200 * ms)
+			c.advance(200 * ms)
 			c.l.ReadEnded("k", "reader", ClosedByRouter, c.now)
 			c.l.AttemptStarted("k", shared, "second", true, c.now)
 			c.l.ReadEnded("k", "second", Completed, c.now)
 			c.l.ServerAnswered("reader", c.now.Add(100*ms), c.now.Add(100*ms), c.now.Add(100*ms))
 			c.l.AttemptStarted("k", shared, "other", false, c.now)
 			c.l.StreamStarted("k", c.now)
-			c.pass(100 * ms)
+			c.advance(100 * ms)
 			c.l.WriteEnded("k", "other", Completed, c.now)
 			c.l.RequestEnded("k", c.now)
 		},
-		"a read and a write, behind the first event of an answer": func(c *clock) {
+		"a read and a write, behind the first event of an answer": func(c *harness) {
 			c.l.AttemptStarted("k", shared, "reader", true, c.now)
 			c.l.ReadEnded("k", "reader", ClosedByRouter, c.now)
 			c.l.AttemptStarted("k", shared, "second", true, c.now)
 			c.l.ReadEnded("k", "second", Completed, c.now)
 			c.l.AttemptStarted("k", shared, "writer", false, c.now)
-			c.pass(200 * ms)
+			c.advance(200 * ms)
 			c.l.WriteEnded("k", "writer", ClosedByRouter, c.now)
 			c.l.AttemptStarted("k", shared, "other", false, c.now)
 			c.l.StreamStarted("k", c.now)
@@ -97,9 +97,9 @@
 			c.l.RequestEnded("k", c.now)
 		},
 	} {
-		c := newClock(t)
+		c := newHarness(t)
 		play(c)
-		if held := c.heldBehind(goesOn, "reader", "writer", "second", "other"); held > 800*ms {
+		if held := c.heldAfterEnd(goesOn, "reader", "writer", "second", "other"); held > 800*ms {
 			t.Errorf("%s: held for %v after the attempt's end", name, held)
 		}
 	}
@@ -113,13 +113,13 @@
 // at each look. With histories that begin in a cut the drawn histories failed 74 of 300 times on that ledger, 17 without.
 func TestFirstReadsInACut(t *testing.T) {
 	for _, pin := range []time.Duration{250 * ms, 500 * ms, time.Second} {
-		c := newClock(t)
+		c := newHarness(t)
 		terms := shared
 		terms.PinLimit = pin
 		c.l.AttemptStarted("k", terms, "reader", true, c.now)
 		c.l.PlaceRequested("k", terms, "writer", c.now)
 		c.l.PlaceRequestEnded("k", "writer", Granted, c.now)
-		if got := c.released(pin + 300*ms); len(got) == 0 {
+		if got := c.releaseTimes(pin + 300*ms); len(got) == 0 {
 			t.Errorf("pin limit %v: nothing was released in time", pin)
 		}
 	}
@@ -134,7 +134,7 @@
 func TestFirstReadWithoutAPlaceInACut(t *testing.T) {
 	for _, pin := range []time.Duration{250 * ms, 500 * ms, time.Second} {
 		for _, denied := range []bool{false, true} {
-			c := newClock(t)
+			c := newHarness(t)
 			terms := shared
 			terms.PinLimit = pin
 			c.l.AttemptStarted("k", terms, "reader", true, c.now)
@@ -142,7 +142,7 @@
 				c.l.PlaceRequested("k", terms, "writer", c.now)
 				c.l.PlaceRequestEnded("k", "writer", Denied, c.now)
 			}
-			if got := c.released(pin + 300*ms); len(got) == 0 {
+			if got := c.releaseTimes(pin + 300*ms); len(got) == 0 {
 				t.Errorf("pin limit %v, a place denied %v: nothing was released in time", pin, denied)
 			}
 		}
@@ -154,19 +154,19 @@
 // released beside a read whose server is heard, so that the state stays once the write has ended, until the read is given up. To
 // release beside such reads cost about 0.015 of the score of the users' short days.
 func TestReadLostBesideAWriteThatGoesOn(t *testing.T) {
-	c := newClock(t)
+	c := newHarness(t)
 	terms := shared
 	terms.AttemptTimeout = 200 * ms
 	c.l.AttemptStarted("k", terms, "reader", true, c.now)
 	c.l.ReadEnded("k", "reader", Completed, c.now)
 	c.l.AttemptStarted("k", terms, "writer", false, c.now)
 	c.l.AttemptBegunBy("k", "writer", false, c.now)
-	c.pass(200 * ms)
+	c.advance(200 * ms)
 	c.l.WriteEnded("k", "writer", ClosedByRouter, c.now)
 	c.l.ServerAnswered("writer", c.now.Add(30*ms), c.now.Add(30*ms), c.now.Add(30*ms))
-	c.pass(300 * ms) // beyond the told time
+	c.advance(300 * ms) // beyond the told time
 	c.l.AttemptStarted("k", shared, "second", true, c.now)
-	if held := c.heldBehind(2*time.Second, "reader", "writer", "second"); held > 800*ms {
+	if held := c.heldAfterEnd(2*time.Second, "reader", "writer", "second"); held > 800*ms {
 		t.Errorf("held for %v after the write's end", held)
 	}
 }
@@ -174,18 +174,18 @@
 // KNOWN-RED: a long blackout under load. Twenty requests a second lose their server for two and a half minutes; then it is heard.
 // What it held for each is to be let go. Of 3,000 entries the ledger forgets those beyond 2,048, and those owed for over 2 minutes.
 func TestLongBlackoutWithACrowd(t *testing.T) {
-	c := newClock(t)
+	c := newHarness(t)
 	const requests = 3000
-	let := map[string]bool{}
-	answer := func(heard bool) {
+	released := map[string]bool{}
+	answer := func(silentAnswers bool) {
 		for _, call := range c.l.Due(c.now) {
 			server := "another"
 			if call.Probe {
 				server = call.Servers[0]
 			}
-			r := ReleaseResult{Acknowledged: heard || !call.Probe, Server: server, SentAt: c.now}
-			if heard {
-				let[call.Key] = true
+			r := ReleaseResult{Acknowledged: silentAnswers || !call.Probe, Server: server, SentAt: c.now}
+			if silentAnswers {
+				released[call.Key] = true
 			}
 			c.l.ReleaseEnded(call, r, c.now)
 		}
@@ -195,34 +195,34 @@
 		c.l.AttemptStarted(key, shared, "silent", true, c.now)
 		c.l.ReadEnded(key, "silent", ClosedByRouter, c.now)
 		c.l.RequestEnded(key, c.now)
-		c.pass(50 * ms)
+		c.advance(50 * ms)
 		answer(false)
 	}
-	for end := c.now.Add(2 * time.Second); c.now.Before(end); c.pass(ms) {
+	for end := c.now.Add(2 * time.Second); c.now.Before(end); c.advance(ms) {
 		c.l.ServerAnswered("silent", c.now, c.now, c.now)
 		answer(true)
 	}
-	left := 0
+	remaining := 0
 	for i := range requests {
-		if !let[fmt.Sprint("k", i)] {
-			left++
+		if !released[fmt.Sprint("k", i)] {
+			remaining++
 		}
 	}
-	if left > 0 {
-		t.Errorf("%d of %d stay held at the server that is back; %d were forgotten", left, requests, len(c.l.Abandoned()))
+	if remaining > 0 {
+		t.Errorf("%d of %d stay held at the server that is back; %d were forgotten", remaining, requests, len(c.l.Abandoned()))
 	}
 }
 
 // A connection that the server's end has ended is no silent one: once its server is heard, and a release was answered 0.4 of the
 // limit behind it, nothing more is released.
 func TestBrokenConnectionIsNotSuspected(t *testing.T) {
-	c := newClock(t)
+	c := newHarness(t)
 	c.l.AttemptStarted("k", shared, "reader", true, c.now)
-	c.pass(100 * ms)
+	c.advance(100 * ms)
 	c.l.ReadEnded("k", "reader", ClosedByServer, c.now)
 	c.l.RequestEnded("k", c.now)
 	for range 2 {
-		c.take(c.await(), "reader")
+		c.ack(c.awaitRelease(), "reader")
 	}
-	c.proven()
+	c.requireEmpty()
 }
--- a/internal/heldstate/probe.go
+++ b/internal/heldstate/probe.go
@@ -6,43 +6,45 @@
 	"time"
 )
 
-// unheard is a server about which entries are in doubt.
-type unheard struct {
-	entries []*entry
-	dormant []dormant // the oldest first
-	woken   exchange  // by which it was heard, of dormant holdings that have had no room since; zero: it was not
-	probing bool
-	retry   time.Duration
-	next    time.Time // of the next probe
+// unconfirmedServer is a server whose answer entries or compact holdings wait for.
+type unconfirmedServer struct {
+	entries      []*entry
+	compact      []compactHolding // the oldest first
+	restorableBy exchange         // the answer after which they can be restored, while the ledger lacks capacity; zero: none
+	probing      bool             // a probe is in flight
+	retryDelay   time.Duration
+	nextProbeAt  time.Time
 }
 
 // exchange is a call that a server has answered.
-type exchange struct{ sent, answered time.Time }
+type exchange struct{ sentAt, answeredAt time.Time }
 
-// provesRun tells whether the server has run since a connection was closed, which it notices within a grace.
-func (x exchange) provesRun(closed time.Time, grace time.Duration) bool {
-	return !x.sent.Before(closed.Add(grace))
+// confirmsRunSince reports whether the exchange shows that the server has run for the grace since a connection was closed, so
+// that it has noticed the close unless that was lost.
+func (x exchange) confirmsRunSince(closedAt time.Time, grace time.Duration) bool {
+	return !x.sentAt.Before(closedAt.Add(grace))
 }
 
-// of is when the exchange proves of an entry's holdings that their server has run; zero: it does not.
-func (x exchange) of(e *entry) func(*holding) time.Time {
+// confirmedAt returns the function that gives for an entry's holding when the exchange confirmed that its server has run;
+// zero: it did not.
+func (x exchange) confirmedAt(e *entry) func(*holding) time.Time {
 	return func(h *holding) time.Time {
-		if !x.provesRun(h.closed, e.grace()) {
+		if !x.confirmsRunSince(h.closedAt, e.noticeGrace()) {
 			return time.Time{}
 		}
-		return x.answered
+		return x.answeredAt
 	}
 }
 
-// UnconfirmedServers is which servers entries wait to hear, in order.
-func (l *Ledger) UnconfirmedServers() []string { return slices.Sorted(maps.Keys(l.unheard)) }
+// UnconfirmedServers returns the servers whose answer entries or compact holdings wait for, sorted.
+func (l *Ledger) UnconfirmedServers() []string { return slices.Sorted(maps.Keys(l.unconfirmed)) }
 
-// ServersToMonitor is which servers' being heard may prove something: those that entries wait to hear, and those of reads in flight for
-// which all waits that is held.
+// ServersToMonitor returns the servers whose answers are evidence for some entry, sorted: the unconfirmed ones, and those of
+// protected reads.
 func (l *Ledger) ServersToMonitor() []string {
-	servers := slices.Collect(maps.Keys(l.unheard))
-	for _, e := range l.agenda {
-		if server := e.soleReader(); server != "" {
+	servers := slices.Collect(maps.Keys(l.unconfirmed))
+	for _, e := range l.queue {
+		if server := e.protectedReader(); server != "" {
 			servers = append(servers, server)
 		}
 	}
@@ -50,97 +52,97 @@
 	return slices.Compact(servers)
 }
 
-// proveByReader notes that the server of a read in flight was heard: the read had not been answered then, and the answer would
-// have been heard.
-func (l *Ledger) proveByReader(e *entry) {
-	if server := e.soleReader(); server != "" {
-		e.prove(l.reached[server])
+// applyReaderLiveness records that the server of a protected read has answered a call: when that was sent the read had not
+// been answered, since its answer would have arrived too.
+func (l *Ledger) applyReaderLiveness(e *entry) {
+	if server := e.protectedReader(); server != "" {
+		e.markLimitClear(l.answeredCallSentAt[server])
 	}
 }
 
-// nextReach is when the server of a read in flight is probed; zero: there is no need.
-func (l *Ledger) nextReach(e *entry) time.Time {
-	server := e.soleReader()
+// nextLivenessProbe returns when the server of a protected read is probed; zero: no probe is needed or allowed.
+func (l *Ledger) nextLivenessProbe(e *entry) time.Time {
+	server := e.protectedReader()
 	switch {
-	case server == "" || e.wanted || e.probedAt.Equal(e.proven):
+	case server == "" || e.releaseRequested || e.limitClearAtProbe.Equal(e.limitClearUntil):
 		return time.Time{}
-	case !e.terms.Shared || !e.terms.PreservesWaiting || l.reaching[server] || len(l.reaching) >= maxReaches:
+	case !e.terms.Shared || !e.terms.PreservesWaiting || l.livenessProbes[server] || len(l.livenessProbes) >= maxLivenessProbes:
 		return time.Time{}
 	}
-	return e.proven.Add(e.part(reachPart))
+	return e.limitClearUntil.Add(e.pinPart(livenessPart))
 }
 
-// reach has the server of a read in flight probed.
-func (l *Ledger) reach(e *entry) ReleaseCall {
-	server := e.soleReader()
-	e.probedAt = e.proven
-	l.reaching[server] = true
+// livenessProbe returns a probe of the server of a protected read.
+func (l *Ledger) livenessProbe(e *entry) ReleaseCall {
+	server := e.protectedReader()
+	e.limitClearAtProbe = e.limitClearUntil
+	l.livenessProbes[server] = true
 	return ReleaseCall{Servers: []string{server}, Probe: true, Liveness: true}
 }
 
-// dueProbes returns a call to each server that entries wait to hear, if none is
-// in flight: the release of one of them, which that server alone is to answer.
+// dueProbes returns a probe of each unconfirmed server that is due: the release of something that it may hold, which that
+// server itself has to answer. At most one is in flight for each server.
 func (l *Ledger) dueProbes(now time.Time) []ReleaseCall {
 	var calls []ReleaseCall
 	for _, server := range l.UnconfirmedServers() {
-		u := l.unheard[server]
-		if u.probing || u.next.After(now) || l.probes >= maxProbes {
+		u := l.unconfirmed[server]
+		if u.probing || u.nextProbeAt.After(now) || l.probesInFlight >= maxProbesInFlight {
 			continue
 		}
 		call := ReleaseCall{Servers: []string{server}, Probe: true}
-		i := slices.IndexFunc(u.entries, (*entry).waitsToHear)
+		i := slices.IndexFunc(u.entries, (*entry).needsServerAnswer)
 		switch {
 		case i >= 0:
-			call.Key, call.Concurrent = u.entries[i].key, u.entries[i].beside()
-		case len(u.dormant) > 0:
-			call.Key = u.dormant[0].key
-		default: // a release by the key of a request that goes on would let go of what it needs
+			call.Key, call.Concurrent = u.entries[i].key, u.entries[i].concurrentAttempt()
+		case len(u.compact) > 0:
+			call.Key = u.compact[0].key
+		default: // a release by the key of a request that goes on would drop what it needs
 			continue
 		}
 		u.probing = true
-		l.probes++
+		l.probesInFlight++
 		calls = append(calls, call)
 	}
 	return calls
 }
 
-// waitsToHear tells whether an entry is owed of which only a server's being heard can prove more.
-func (e *entry) waitsToHear() bool {
-	return !e.owedAt.IsZero() && e.releasing == 0 && e.takes > 1
+// needsServerAnswer reports whether an entry is pending for which only an answer of its server can show more.
+func (e *entry) needsServerAnswer() bool {
+	return !e.pendingSince.IsZero() && e.releasesInFlight == 0 && e.ackedReleases > 1
 }
 
-// nextProbe is when a probe is due; zero: when something else has come.
+// nextProbe returns when a probe is due; zero: not before something else has happened.
 func (l *Ledger) nextProbe() (next time.Time) {
-	if l.probes >= maxProbes {
+	if l.probesInFlight >= maxProbesInFlight {
 		return next
 	}
-	for _, u := range l.unheard {
-		if !u.probing && (len(u.dormant) > 0 || slices.ContainsFunc(u.entries, (*entry).waitsToHear)) {
-			next = sooner(next, u.next)
+	for _, u := range l.unconfirmed {
+		if !u.probing && (len(u.compact) > 0 || slices.ContainsFunc(u.entries, (*entry).needsServerAnswer)) {
+			next = sooner(next, u.nextProbeAt)
 		}
 	}
 	return next
 }
 
-// probed notes the end of a probe. One that was answered is a release too, at the server itself.
-func (l *Ledger) probed(c ReleaseCall, r ReleaseResult, now time.Time) {
-	l.probes--
-	server, answered := c.Servers[0], r.Acknowledged
-	if e := l.entries[c.Key]; e != nil && answered && c.Concurrent == NoAttempt && !e.inFlight() {
-		e.releasedAt(server, r.SentAt)
+// probeEnded records the end of a probe. One that was acknowledged is a release too, at the server itself.
+func (l *Ledger) probeEnded(c ReleaseCall, r ReleaseResult, now time.Time) {
+	l.probesInFlight--
+	server, acked := c.Servers[0], r.Acknowledged
+	if e := l.entries[c.Key]; e != nil && acked && c.Concurrent == NoAttempt && !e.attemptInFlight() {
+		e.removeReleasedAt(server, r.SentAt)
 		l.schedule(e, now)
 	}
-	u := l.unheard[server]
+	u := l.unconfirmed[server]
 	if u == nil {
 		return
 	}
 	u.probing = false
-	if answered {
-		u.retry = 0
-		u.next = now.Add(CloseNoticeGrace)
+	if acked {
+		u.retryDelay = 0
+		u.nextProbeAt = now.Add(CloseNoticeGrace)
 	} else {
-		u.retry = min(max(2*u.retry, firstProbe), maxProbe)
-		u.next = now.Add(u.retry)
+		u.retryDelay = min(max(2*u.retryDelay, firstProbeDelay), maxProbeDelay)
+		u.nextProbeAt = now.Add(u.retryDelay)
 	}
-	l.forgetIfNoneWaits(server, u)
+	l.dropServerIfUnused(server, u)
 }
--- a/internal/heldstate/reference_test.go
+++ b/internal/heldstate/reference_test.go
@@ -13,26 +13,26 @@
 // is told only what a router sees: what it sent, what was answered, what it closed. The two views are drawn apart by servers
 // that fall silent, servers that hang, and single connections that fall silent.
 
-// link is how one call's connection behaves.
-type link struct {
-	lostOut   bool // what is written to it does not arrive
-	lostBack  bool // what is answered on it does not come back
-	lostClose bool // its server does not notice that it was closed
+// connection is how one call's connection behaves.
+type connection struct {
+	requestLost bool // what is written to it does not arrive
+	answerLost  bool // what is answered on it does not come back
+	closeLost   bool // its server does not notice that it was closed
 }
 
-// task is an attempt as the platform sees it.
-type task struct {
-	server  *refServer
-	key     string
-	reads   bool
-	fetched bool
-	voided  bool // all was let go beside it: it leaves no state
-	over    bool
-	left    time.Duration // for which its server was told that the answer is waited for
-	begun   time.Time     // by when it is known to have begun; zero: it is not
-	closed  bool          // by the router
+// refAttempt is an attempt as the platform sees it.
+type refAttempt struct {
+	server         *refServer
+	key            string
+	reads          bool
+	fetchedState   bool
+	leavesNoState  bool // all was let go beside it: it leaves no state
+	ended          bool
+	timeout        time.Duration // for which its server was told that the answer is waited for
+	startedBy      time.Time     // by when it is known to have begun; zero: it is not
+	closedByRouter bool          // by the router
 
-	answered bool // it is done, and its answer was lost
+	answerLost bool // it is done, and its answer was lost
 }
 
 // refServer is one server of the reference.
@@ -43,29 +43,29 @@
 	hungUntil   time.Time // it begins, answers and notices nothing
 }
 
-// refKey is what the platform holds for one request.
-type refKey struct {
+// refRequest is what the platform holds for one request.
+type refRequest struct {
 	state, place *refServer
-	out          []*task
-	from         time.Time // since when something is held with no attempt out; zero: nothing is
-	over         bool      // for the router
+	attempts     []*refAttempt
+	heldSince    time.Time // since when something is held with no attempt out; zero: nothing is
+	ended        bool      // for the router
 	streamed     bool
 }
 
 // reference is the platform and the router beside a ledger.
 type reference struct {
-	*clock
-	rnd     *rand.Rand
-	pin     time.Duration
-	steps   map[time.Time][]func()
-	servers []*refServer
-	keys    map[string]*refKey
-	going   map[string]int // releases in flight by key; an attempt is written once they have been answered
-	calls   int
-	failed  string
+	*harness
+	rnd              *rand.Rand
+	pin              time.Duration
+	steps            map[time.Time][]func()
+	servers          []*refServer
+	requests         map[string]*refRequest
+	releasesInFlight map[string]int // releases in flight by key; an attempt is written once they have been answered
+	calls            int
+	failure          string
 
-	endsAsTold bool // servers end attempts whose time is up
-	trace      []string
+	endsAtTimeout bool // servers end attempts whose time is up
+	trace         []string
 }
 
 func (p *reference) logf(format string, args ...any) {
@@ -93,51 +93,51 @@
 	}
 }
 
-// link draws a connection to a server.
-func (p *reference) link(s *refServer) link {
+// drawConnection draws a connection to a server.
+func (p *reference) drawConnection(s *refServer) connection {
 	if p.silent(s) {
-		return link{lostOut: true, lostBack: true}
+		return connection{requestLost: true, answerLost: true}
 	}
 	switch p.rnd.IntN(12) {
 	case 0:
-		return link{lostOut: true, lostBack: true}
+		return connection{requestLost: true, answerLost: true}
 	case 1, 2: // it falls silent behind a message that has arrived
-		return link{lostBack: true, lostClose: true}
+		return connection{answerLost: true, closeLost: true}
 	}
-	return link{}
+	return connection{}
 }
 
-// whenItRuns does something at a server once it runs, on the way there for a millisecond.
-func (p *reference) whenItRuns(s *refServer, do func()) {
+// whenRunning does something at a server once it runs, on the way there for a millisecond.
+func (p *reference) whenRunning(s *refServer, do func()) {
 	p.after(ms, func() {
 		if !p.runs(s) {
-			p.whenItRuns(s, do)
+			p.whenRunning(s, do)
 			return
 		}
 		do()
 	})
 }
 
-// count has the time begin or end in which something is held with no attempt out.
-func (p *reference) count(k *refKey) {
-	held, out := k.state != nil || k.place != nil, slices.ContainsFunc(k.out, func(a *task) bool { return !a.over })
+// updateHeldSince has the time begin or end in which something is held with no attempt out.
+func (p *reference) updateHeldSince(k *refRequest) {
+	held, inFlight := k.state != nil || k.place != nil, slices.ContainsFunc(k.attempts, func(a *refAttempt) bool { return !a.ended })
 	switch {
-	case !held || out:
-		k.from = time.Time{}
-	case k.from.IsZero():
-		k.from = p.now
+	case !held || inFlight:
+		k.heldSince = time.Time{}
+	case k.heldSince.IsZero():
+		k.heldSince = p.now
 	}
 }
 
 // deliver has an attempt arrive and begin at its server, written once the releases by its key have been answered, unless it was
 // given up before.
-func (p *reference) deliver(a *task, ended func() bool, begin func()) {
+func (p *reference) deliver(a *refAttempt, ended func() bool, begin func()) {
 	switch {
 	case ended():
-	case p.going[a.key] > 0:
+	case p.releasesInFlight[a.key] > 0:
 		p.after(ms, func() { p.deliver(a, ended, begin) })
 	default:
-		p.whenItRuns(a.server, func() {
+		p.whenRunning(a.server, func() {
 			p.arrive(a)
 			begin()
 		})
@@ -145,58 +145,58 @@
 }
 
 // arrive begins an attempt at its server, which ends it once the time is up that it was told.
-func (p *reference) arrive(a *task) {
-	k := p.keys[a.key]
-	k.out = append(k.out, a)
-	p.count(k)
-	if p.endsAsTold {
-		p.after(a.left+p.upTo(toldSlack), func() { p.timeIsUp(a) })
+func (p *reference) arrive(a *refAttempt) {
+	k := p.requests[a.key]
+	k.attempts = append(k.attempts, a)
+	p.updateHeldSince(k)
+	if p.endsAtTimeout {
+		p.after(a.timeout+p.upTo(timeoutSlack), func() { p.timeoutExpired(a) })
 	}
 }
 
-// timeIsUp has a server end an attempt whose close was lost.
-func (p *reference) timeIsUp(a *task) {
-	if !a.over {
+// timeoutExpired has a server end an attempt whose close was lost.
+func (p *reference) timeoutExpired(a *refAttempt) {
+	if !a.ended {
 		p.logf("%s: the time of its attempt at %s is up", a.key, a.server.name)
 	}
 	p.end(a)
 }
 
 // close has the router close an attempt's connection, which its server notices unless that has fallen silent.
-func (p *reference) close(a *task, on link, done bool) {
-	a.closed = true
+func (p *reference) close(a *refAttempt, conn connection, done bool) {
+	a.closedByRouter = true
 	if done { // its answer was lost before
 		p.end(a)
 	}
-	if on.lostClose && !p.endsAsTold {
-		p.after(p.upTo(4500*ms), func() { p.timeIsUp(a) }) // the connection is reset
+	if conn.closeLost && !p.endsAtTimeout {
+		p.after(p.upTo(4500*ms), func() { p.timeoutExpired(a) }) // the connection is reset
 	}
-	if !on.lostClose {
-		p.whenItRuns(a.server, func() { p.after(p.upTo(24*ms), func() { p.end(a) }) })
+	if !conn.closeLost {
+		p.whenRunning(a.server, func() { p.after(p.upTo(24*ms), func() { p.end(a) }) })
 	}
 }
 
-// leftAt is for how long the server of an attempt is told that its answer is waited for, which is given up after a time: by its
+// drawTimeout is for how long the server of an attempt is told that its answer is waited for, which is given up after a time: by its
 // client, or since that time is up.
-func (p *reference) leftAt(givenUp time.Duration) time.Duration {
+func (p *reference) drawTimeout(closeAfter time.Duration) time.Duration {
 	if p.rnd.IntN(2) == 0 {
-		return givenUp
+		return closeAfter
 	}
-	return givenUp + p.upTo(3*time.Second)
+	return closeAfter + p.upTo(3*time.Second)
 }
 
 // end ends an attempt at its server.
-func (p *reference) end(a *task) {
-	if a.over {
+func (p *reference) end(a *refAttempt) {
+	if a.ended {
 		return
 	}
-	a.over = true
-	p.count(p.keys[a.key])
+	a.ended = true
+	p.updateHeldSince(p.requests[a.key])
 }
 
-// keep has a read leave its state, where a place may have drawn it.
-func (p *reference) keep(a *task) {
-	if k := p.keys[a.key]; !a.voided {
+// storeState has a read leave its state, where a place may have drawn it.
+func (p *reference) storeState(a *refAttempt) {
+	if k := p.requests[a.key]; !a.leavesNoState {
 		if k.state = a.server; k.place != nil {
 			k.state = k.place
 		}
@@ -205,11 +205,11 @@
 
 // reserve has a writer hold a place, and answer: in one of two also where it knows of no read.
 func (p *reference) reserve(key string, s *refServer) (grant PlaceResult, delay time.Duration) {
-	k := p.keys[key]
-	known := slices.ContainsFunc(k.out, func(a *task) bool { return a.reads && !a.over })
+	k := p.requests[key]
+	known := slices.ContainsFunc(k.attempts, func(a *refAttempt) bool { return a.reads && !a.ended })
 	if known || p.rnd.IntN(2) == 0 {
 		k.place = s
-		p.count(k)
+		p.updateHeldSince(k)
 	}
 	if known {
 		return Granted, ms
@@ -217,29 +217,29 @@
 	return Unknown, 300 * ms
 }
 
-// letGo is a release as any server takes it.
-func (p *reference) letGo(key string) {
-	k := p.keys[key]
+// releaseAll is a release as any server takes it.
+func (p *reference) releaseAll(key string) {
+	k := p.requests[key]
 	if k == nil { // no request has it
 		return
 	}
-	if slices.ContainsFunc(k.out, func(a *task) bool { return !a.reads && !a.over && !a.fetched }) {
+	if slices.ContainsFunc(k.attempts, func(a *refAttempt) bool { return !a.reads && !a.ended && !a.fetchedState }) {
 		return
 	}
 	if k.state != nil && !p.silent(k.state) { // else nobody reaches it
 		k.state = nil
 	}
 	reading := false
-	for _, a := range k.out {
-		if a.reads && !a.over {
-			a.voided, reading = true, true
+	for _, a := range k.attempts {
+		if a.reads && !a.ended {
+			a.leavesNoState, reading = true, true
 		}
 	}
 	if !reading && k.place != nil && !p.silent(k.place) {
 		k.place = nil
 	}
-	k.from = time.Time{}
-	p.count(k)
+	k.heldSince = time.Time{}
+	p.updateHeldSince(k)
 }
 
 // makeReleases carries out the ledger's calls: by a server that answers, once one does.
@@ -247,21 +247,21 @@
 	for _, c := range calls {
 		p.calls++
 		if !c.Probe {
-			p.going[c.Key]++
+			p.releasesInFlight[c.Key]++
 		}
-		sent := p.now
-		if later := c.NotBefore.Sub(p.now); !c.NotBefore.IsZero() && later > 0 {
-			p.after(later, func() { p.release(c, p.now) })
+		sentAt := p.now
+		if wait := c.NotBefore.Sub(p.now); !c.NotBefore.IsZero() && wait > 0 {
+			p.after(wait, func() { p.release(c, p.now) })
 			continue
 		}
-		p.release(c, sent)
+		p.release(c, sentAt)
 	}
 }
 
 // release asks one server, then, each 60 ms, twice as many, until one has answered. A probe asks its server alone.
-func (p *reference) release(c ReleaseCall, sent time.Time) {
+func (p *reference) release(c ReleaseCall, sentAt time.Time) {
 	if c.Probe {
-		p.releaseAt(c, p.server(c.Servers[0]), sent, func(ReleaseResult) bool { return true })
+		p.releaseAt(c, p.server(c.Servers[0]), sentAt, func(ReleaseResult) bool { return true })
 		return
 	}
 	order := p.rnd.Perm(len(p.servers))
@@ -291,7 +291,7 @@
 }
 
 // releaseAt asks one server. The result goes to the ledger where it is the first, or the only one.
-func (p *reference) releaseAt(c ReleaseCall, s *refServer, sent time.Time, first func(ReleaseResult) bool) {
+func (p *reference) releaseAt(c ReleaseCall, s *refServer, sentAt time.Time, first func(ReleaseResult) bool) {
 	if p.silent(s) || !p.runs(s) || p.rnd.IntN(20) == 0 {
 		if c.Probe {
 			p.after(time.Second, func() { p.l.ReleaseEnded(c, ReleaseResult{}, p.now) })
@@ -299,20 +299,20 @@
 		return
 	}
 	p.after(ms, func() {
-		p.letGo(c.Key)
+		p.releaseAll(c.Key)
 		p.logf("release of %s taken by %s", c.Key, s.name)
-		if r := (ReleaseResult{Acknowledged: true, Server: s.name, SentAt: sent, Unresponsive: p.unanswered(c, s)}); first(r) {
+		if r := (ReleaseResult{Acknowledged: true, Server: s.name, SentAt: sentAt, Unresponsive: p.unresponsive(c, s)}); first(r) {
 			if !c.Probe {
-				p.going[c.Key]--
+				p.releasesInFlight[c.Key]--
 			}
 			p.l.ReleaseEnded(c, r, p.now)
 		}
 	})
 }
 
-// unanswered is which holders of a release that a server has taken did not answer it: those that are silent, that hang, or that
+// unresponsive is which holders of a release that a server has taken did not answer it: those that are silent, that hang, or that
 // have turned the connection away.
-func (p *reference) unanswered(c ReleaseCall, by *refServer) (names []string) {
+func (p *reference) unresponsive(c ReleaseCall, by *refServer) (names []string) {
 	for _, name := range c.Servers {
 		if s := p.server(name); s != by && (p.silent(s) || !p.runs(s) || p.rnd.IntN(4) == 0) {
 			names = append(names, name)
@@ -330,25 +330,25 @@
 	return Terms{Request: key, Shared: true, PreservesWaiting: true, PinLimit: p.pin, AttemptTimeout: left}
 }
 
-// watch notes when the server of an attempt has answered something that was sent behind it.
-func (p *reference) watch(a *task) {
+// watchStart notes when the server of an attempt has answered something that was sent behind it.
+func (p *reference) watchStart(a *refAttempt) {
 	p.after(p.upTo(300*ms), func() {
 		if p.silent(a.server) || !p.runs(a.server) {
-			p.watch(a)
+			p.watchStart(a)
 			return
 		}
-		a.begun = p.now
+		a.startedBy = p.now
 	})
 }
 
 // request plays one request: a read and perhaps a place, a write, and some attempts more, each given up after a time.
 func (p *reference) request(key string) {
-	p.keys[key] = &refKey{}
+	p.requests[key] = &refRequest{}
 	p.read(key, 1+p.rnd.IntN(3))
 }
 
-func (p *reference) finish(key string) {
-	p.keys[key].over = true
+func (p *reference) finishRequest(key string) {
+	p.requests[key].ended = true
 	p.logf("%s is over", key)
 	p.l.RequestEnded(key, p.now)
 }
@@ -356,11 +356,11 @@
 // read sends a read, and asks for a place in one of two.
 func (p *reference) read(key string, tries int) {
 	s := p.pick(true)
-	givenUp := 200*ms + p.upTo(2*time.Second)
-	a, ended, on := &task{server: s, key: key, reads: true, left: p.leftAt(givenUp)}, false, p.link(s)
+	closeAfter := 200*ms + p.upTo(2*time.Second)
+	a, ended, conn := &refAttempt{server: s, key: key, reads: true, timeout: p.drawTimeout(closeAfter)}, false, p.drawConnection(s)
 	p.makeReleases(p.l.Flush(key))
-	p.l.AttemptStarted(key, p.terms(key, a.left), s.name, true, p.now)
-	p.logf("%s: read sent to %s, %+v", key, s.name, on)
+	p.l.AttemptStarted(key, p.terms(key, a.timeout), s.name, true, p.now)
+	p.logf("%s: read sent to %s, %+v", key, s.name, conn)
 	finish := func(end AttemptEnd, next func()) {
 		if ended {
 			return
@@ -368,47 +368,47 @@
 		ended = true
 		p.logf("%s: read at %s ended %d", key, s.name, end)
 		if end == ClosedByRouter {
-			p.l.AttemptBegunBy(key, s.name, true, a.begun)
+			p.l.AttemptBegunBy(key, s.name, true, a.startedBy)
 		}
 		p.l.ReadEnded(key, s.name, end, p.now)
 		next()
 	}
-	p.watch(a)
-	if !on.lostOut {
+	p.watchStart(a)
+	if !conn.requestLost {
 		p.deliver(a, func() bool { return ended }, func() {
-			p.after(p.upTo([]time.Duration{120 * ms, 900 * ms, 3 * time.Second}[p.rnd.IntN(3)]), func() { p.readIsDone(a, on, finish, tries) })
+			p.after(p.upTo([]time.Duration{120 * ms, 900 * ms, 3 * time.Second}[p.rnd.IntN(3)]), func() { p.readDone(a, conn, finish, tries) })
 		})
 	}
 	if p.rnd.IntN(2) == 0 {
-		p.after(2*ms, func() { p.ask(key, p.pick(false)) })
+		p.after(2*ms, func() { p.requestPlace(key, p.pick(false)) })
 	}
-	p.after(givenUp, func() {
+	p.after(closeAfter, func() {
 		finish(ClosedByRouter, func() {
-			p.close(a, on, a.answered)
-			p.goOn(key, tries)
+			p.close(a, conn, a.answerLost)
+			p.retryOrFinish(key, tries)
 		})
 	})
 }
 
-// readIsDone has a read leave its state, and its answer come back. Where that is lost on its connection alone the read is out
+// readDone has a read leave its state, and its answer come back. Where that is lost on its connection alone the read is out
 // until the router closes it (docs/questions.md).
-func (p *reference) readIsDone(a *task, on link, finish func(AttemptEnd, func()), tries int) {
+func (p *reference) readDone(a *refAttempt, conn connection, finish func(AttemptEnd, func()), tries int) {
 	if !p.runs(a.server) {
-		p.after(ms, func() { p.readIsDone(a, on, finish, tries) })
+		p.after(ms, func() { p.readDone(a, conn, finish, tries) })
 		return
 	}
-	if a.over {
+	if a.ended {
 		return
 	}
 	p.logf("%s: read is done at %s", a.key, a.server.name)
-	p.keep(a)
+	p.storeState(a)
 	if p.silent(a.server) { // its answer is lost in the cut, and its connection is reset once that is over
 		p.end(a)
-		p.after(a.server.silentUntil.Sub(p.now), func() { finish(ClosedByRouter, func() { p.goOn(a.key, tries) }) })
+		p.after(a.server.silentUntil.Sub(p.now), func() { finish(ClosedByRouter, func() { p.retryOrFinish(a.key, tries) }) })
 		return
 	}
-	if on.lostBack {
-		if a.answered = true; a.closed {
+	if conn.answerLost {
+		if a.answerLost = true; a.closedByRouter {
 			p.end(a)
 		}
 		return
@@ -419,24 +419,24 @@
 	})
 }
 
-// goOn reads again or gives up, after all was let go.
-func (p *reference) goOn(key string, tries int) {
+// retryOrFinish reads again or gives up, after all was let go.
+func (p *reference) retryOrFinish(key string, tries int) {
 	p.l.RequestRelease(key, p.now)
 	if tries <= 1 {
-		p.finish(key)
+		p.finishRequest(key)
 		return
 	}
 	p.read(key, tries-1)
 }
 
-// ask asks a writer for a place.
-func (p *reference) ask(key string, s *refServer) {
-	k := p.keys[key]
-	if k.over || k.streamed {
+// requestPlace asks a writer for a place.
+func (p *reference) requestPlace(key string, s *refServer) {
+	k := p.requests[key]
+	if k.ended || k.streamed {
 		return
 	}
 	p.l.PlaceRequested(key, p.terms(key, 0), s.name, p.now)
-	answered, on := false, p.link(s)
+	answered, conn := false, p.drawConnection(s)
 	p.logf("%s: place asked for at %s", key, s.name)
 	finish := func(grant PlaceResult) {
 		if answered {
@@ -446,11 +446,11 @@
 		p.logf("%s: place at %s: %d", key, s.name, grant)
 		p.l.PlaceRequestEnded(key, s.name, grant, p.now)
 	}
-	if !on.lostOut {
-		p.whenItRuns(s, func() {
+	if !conn.requestLost {
+		p.whenRunning(s, func() {
 			granted, delay := p.reserve(key, s)
 			p.after(delay, func() {
-				if !on.lostBack && !p.silent(s) {
+				if !conn.answerLost && !p.silent(s) {
 					finish(granted)
 				}
 			})
@@ -462,36 +462,36 @@
 // write sends a write that waits in its writer's queue, is answered, or is called off.
 func (p *reference) write(key string, tries int) {
 	s := p.pick(false)
-	givenUp := 300*ms + p.upTo(2*time.Second)
-	a, ended, on := &task{server: s, key: key, left: p.leftAt(givenUp)}, false, p.link(s)
-	p.l.AttemptStarted(key, p.terms(key, a.left), s.name, false, p.now)
-	p.logf("%s: write sent to %s, %+v", key, s.name, on)
+	closeAfter := 300*ms + p.upTo(2*time.Second)
+	a, ended, conn := &refAttempt{server: s, key: key, timeout: p.drawTimeout(closeAfter)}, false, p.drawConnection(s)
+	p.l.AttemptStarted(key, p.terms(key, a.timeout), s.name, false, p.now)
+	p.logf("%s: write sent to %s, %+v", key, s.name, conn)
 	finish := func(end AttemptEnd) bool {
 		was := ended
 		if !ended {
 			ended = true
 			p.logf("%s: write at %s ended %d", key, s.name, end)
 			if end == ClosedByRouter {
-				p.l.AttemptBegunBy(key, s.name, false, a.begun)
+				p.l.AttemptBegunBy(key, s.name, false, a.startedBy)
 			}
 			p.l.WriteEnded(key, s.name, end, p.now)
 		}
 		return !was
 	}
-	p.watch(a)
-	if !on.lostOut {
+	p.watchStart(a)
+	if !conn.requestLost {
 		p.deliver(a, func() bool { return ended }, func() {
-			p.after(p.upTo(3*time.Second), func() { p.begin(a, on, func() bool { return ended }, finish) })
+			p.after(p.upTo(3*time.Second), func() { p.startWrite(a, conn, func() bool { return ended }, finish) })
 		})
 	}
-	p.after(givenUp, func() {
-		if p.keys[key].streamed || !finish(ClosedByRouter) {
+	p.after(closeAfter, func() {
+		if p.requests[key].streamed || !finish(ClosedByRouter) {
 			return
 		}
-		p.close(a, on, false)
+		p.close(a, conn, false)
 		switch {
 		case tries <= 1:
-			p.finish(key)
+			p.finishRequest(key)
 		case p.rnd.IntN(2) == 0:
 			p.write(key, tries-1)
 		default: // without a release asked for
@@ -500,30 +500,30 @@
 	})
 }
 
-// begin has a write pass its queue and fetch the state; its first event may be lost.
-func (p *reference) begin(a *task, on link, ended func() bool, finish func(AttemptEnd) bool) {
+// startWrite has a write pass its queue and fetch the state; its first event may be lost.
+func (p *reference) startWrite(a *refAttempt, conn connection, ended func() bool, finish func(AttemptEnd) bool) {
 	if !p.runs(a.server) {
-		p.after(ms, func() { p.begin(a, on, ended, finish) })
+		p.after(ms, func() { p.startWrite(a, conn, ended, finish) })
 		return
 	}
-	k := p.keys[a.key]
-	if a.over {
+	k := p.requests[a.key]
+	if a.ended {
 		return
 	}
 	if k.state == nil || k.state == k.place && k.place != a.server {
 		p.end(a)
-		if !on.lostBack && !p.silent(a.server) {
+		if !conn.answerLost && !p.silent(a.server) {
 			p.after(ms, func() {
 				if finish(Rejected) {
-					p.finish(a.key)
+					p.finishRequest(a.key)
 				}
 			})
 		}
 		return
 	}
-	a.fetched, k.state, k.place = true, nil, nil
-	p.count(k)
-	if on.lostBack || p.silent(a.server) || ended() {
+	a.fetchedState, k.state, k.place = true, nil, nil
+	p.updateHeldSince(k)
+	if conn.answerLost || p.silent(a.server) || ended() {
 		return
 	}
 	p.l.StreamStarted(a.key, p.now)
@@ -532,12 +532,12 @@
 	p.after(p.upTo(time.Second), func() {
 		p.end(a)
 		finish(Completed)
-		p.finish(a.key)
+		p.finishRequest(a.key)
 	})
 }
 
-// hear has the ledger told of servers that answer something.
-func (p *reference) hear() {
+// reportAnswers has the ledger told of servers that answer something.
+func (p *reference) reportAnswers() {
 	for _, name := range p.l.ServersToMonitor() {
 		if s := p.server(name); !p.silent(s) && p.runs(s) && p.rnd.IntN(4) == 0 {
 			p.l.ServerAnswered(name, p.now, p.now, p.now)
@@ -550,29 +550,29 @@
 	return slices.ContainsFunc(p.servers, func(s *refServer) bool { return !p.silent(s) && p.runs(s) })
 }
 
-// judge fails the play where something is held for too long. What is at a server that nobody reaches counts from its
+// checkHeld fails the play where something is held for too long. What is at a server that nobody reaches counts from its
 // return, and while no server at all answers nothing counts.
-func (p *reference) judge() {
+func (p *reference) checkHeld() {
 	reachable := p.reachable()
-	for key, k := range p.keys {
+	for key, k := range p.requests {
 		at := k.state
 		if at == nil {
 			at = k.place
 		}
-		if k.from.IsZero() || p.silent(at) || !reachable {
-			k.from = time.Time{}
-			p.count(k)
+		if k.heldSince.IsZero() || p.silent(at) || !reachable {
+			k.heldSince = time.Time{}
+			p.updateHeldSince(k)
 			continue
 		}
-		if held := p.now.Sub(k.from); held > p.pin+300*ms {
-			p.failed = fmt.Sprintf("%s is held for %v at %s", key, held, at.name)
+		if held := p.now.Sub(k.heldSince); held > p.pin+300*ms {
+			p.failure = fmt.Sprintf("%s is held for %v at %s", key, held, at.name)
 		}
 	}
 }
 
-func newReference(t *testing.T, seed uint64, endsAsTold bool) *reference {
-	p := &reference{clock: newClock(t), rnd: rand.New(rand.NewPCG(seed, 1)), steps: map[time.Time][]func(){}, keys: map[string]*refKey{}, going: map[string]int{}}
-	p.endsAsTold = endsAsTold
+func newReference(t *testing.T, seed uint64, endsAtTimeout bool) *reference {
+	p := &reference{harness: newHarness(t), rnd: rand.New(rand.NewPCG(seed, 1)), steps: map[time.Time][]func(){}, requests: map[string]*refRequest{}, releasesInFlight: map[string]int{}}
+	p.endsAtTimeout = endsAtTimeout
 	p.pin = []time.Duration{250 * ms, 500 * ms, time.Second}[p.rnd.IntN(3)]
 	for i := range 10 {
 		p.servers = append(p.servers, &refServer{name: fmt.Sprint("s", i), reads: i%2 == 0})
@@ -611,44 +611,44 @@
 	return p
 }
 
-// play plays a history to its end, and returns what was held for too long, or what is left.
-func (p *reference) play() string {
-	for end := p.now.Add(25 * time.Second); p.now.Before(end) && p.failed == ""; p.pass(ms) {
+// run plays a history to its end, and returns what was held for too long, or what is left.
+func (p *reference) run() string {
+	for end := p.now.Add(25 * time.Second); p.now.Before(end) && p.failure == ""; p.advance(ms) {
 		for _, do := range p.steps[p.now] {
 			do()
 		}
 		delete(p.steps, p.now)
-		p.judge()
+		p.checkHeld()
 		if p.now.UnixMilli()%20 == 0 {
-			p.hear()
+			p.reportAnswers()
 		}
 		p.makeReleases(p.l.Due(p.now))
 	}
-	if p.failed == "" && (p.l.PendingCount() > 0 || p.l.Len() > 0) {
-		p.failed = fmt.Sprintf("%d owed, %d entries at the end", p.l.PendingCount(), p.l.Len())
+	if p.failure == "" && (p.l.PendingCount() > 0 || p.l.Len() > 0) {
+		p.failure = fmt.Sprintf("%d owed, %d entries at the end", p.l.PendingCount(), p.l.Len())
 		for key := range p.l.entries {
-			p.failed = key + " is left: " + p.failed
+			p.failure = key + " is left: " + p.failure
 		}
 	}
-	return p.failed
+	return p.failure
 }
 
 // Whatever arrives or is lost on its way, nothing that the platform holds stays held for longer than the limit.
-func TestNothingIsHeldForTooLong(t *testing.T) { playHistories(t, true) }
+func TestNothingIsHeldForTooLong(t *testing.T) { runHistories(t, true) }
 
 // The same with servers that go on behind a lost close for longer than they were told, up to 4.5 s. Of 3,000 histories three fail
 // (seeds 1413, 1427 and 2897), in the way of TestReadLostBesideAWriteThatGoesOn; none of the first 300.
-func TestNothingIsHeldBehindServersThatGoOn(t *testing.T) { playHistories(t, false) }
+func TestNothingIsHeldBehindServersThatGoOn(t *testing.T) { runHistories(t, false) }
 
-// playHistories plays 300 drawn histories, and tells the stories of the first that fail.
-func playHistories(t *testing.T, endsAsTold bool) {
+// runHistories plays 300 drawn histories, and tells the stories of the first that fail.
+func runHistories(t *testing.T, endsAtTimeout bool) {
 	t.Helper()
 	failed, calls := 0, 0
 	for seed := range uint64(300) {
-		p := newReference(t, seed, endsAsTold)
-		if why := p.play(); why != "" {
+		p := newReference(t, seed, endsAtTimeout)
+		if why := p.run(); why != "" {
 			if failed++; failed <= 3 {
-				t.Errorf("seed %d, pin limit %v: %s\n%s", seed, p.pin, why, p.story(why))
+				t.Errorf("seed %d, pin limit %v: %s\n%s", seed, p.pin, why, p.traceOf(why))
 			}
 		}
 		calls += p.calls
@@ -659,14 +659,14 @@
 	t.Logf("%d releases", calls)
 }
 
-// story is what happened to the request that a failure names.
-func (p *reference) story(why string) string {
-	key, _, _ := strings.Cut(why, " ")
-	var story []string
+// traceOf is what happened to the request that a failure names.
+func (p *reference) traceOf(failure string) string {
+	key, _, _ := strings.Cut(failure, " ")
+	var lines []string
 	for _, line := range p.trace {
 		if strings.Contains(line, key+":") || strings.Contains(line, key+" ") {
-			story = append(story, line)
+			lines = append(lines, line)
 		}
 	}
-	return strings.Join(story, "\n")
+	return strings.Join(lines, "\n")
 }
--- a/internal/heldstate/release.go
+++ b/internal/heldstate/release.go
@@ -5,237 +5,241 @@
 	"time"
 )
 
-// Due returns the releases to be made now.
+// Due returns the releases and probes to send now.
 func (l *Ledger) Due(now time.Time) []ReleaseCall {
-	l.wakeHeard(now)
-	calls := l.releaseLine(now)
-	for len(l.agenda) > 0 && !l.agenda[0].lookAt.After(now) {
-		calls = append(calls, l.look(l.agenda[0], now)...)
+	l.restoreDue(now)
+	calls := l.releaseWaiting(now)
+	for len(l.queue) > 0 && !l.queue[0].nextActionAt.After(now) {
+		calls = append(calls, l.act(l.queue[0], now)...)
 	}
 	return append(calls, l.dueProbes(now)...)
 }
 
-// releaseLine makes the releases that were due while as many were in flight as may be, in the order in which they came to be due.
-func (l *Ledger) releaseLine(now time.Time) (calls []ReleaseCall) {
-	waiting := l.line
-	for l.line = nil; len(waiting) > 0 && l.inFlight < maxReleases; waiting = waiting[1:] {
+// releaseWaiting returns the releases that became due while the maximum was in flight, as far as that allows, in the order in
+// which they became due.
+func (l *Ledger) releaseWaiting(now time.Time) (calls []ReleaseCall) {
+	waiting := l.waiting
+	for l.waiting = nil; len(waiting) > 0 && l.releasesInFlight < maxReleasesInFlight; waiting = waiting[1:] {
 		e := waiting[0]
-		e.inLine = false
+		e.waitingForSlot = false
 		if l.entries[e.key] == e {
-			calls = append(calls, l.look(e, now)...)
+			calls = append(calls, l.act(e, now)...)
 		}
 	}
-	l.line = waiting
+	l.waiting = waiting
 	return calls
 }
 
-// look does what an entry has to do, and sets when it has something to do next.
-func (l *Ledger) look(e *entry, now time.Time) (calls []ReleaseCall) {
-	if !e.owedAt.IsZero() {
+// act returns the calls that are due for an entry, and sets the time of its next action.
+func (l *Ledger) act(e *entry, now time.Time) (calls []ReleaseCall) {
+	if !e.pendingSince.IsZero() {
 		l.report(e, now)
 	}
 	if l.dropIfEmpty(e, now) {
 		return nil
 	}
-	l.proveByReader(e)
-	if at := l.nextReach(e); !at.IsZero() && !at.After(now) {
-		calls = append(calls, l.reach(e))
+	l.applyReaderLiveness(e)
+	if at := l.nextLivenessProbe(e); !at.IsZero() && !at.After(now) {
+		calls = append(calls, l.livenessProbe(e))
 	}
 	next := e.nextRelease()
 	switch {
 	case next.IsZero() || next.After(now):
-	case e.inLine:
-	case l.inFlight >= maxReleases || len(l.line) > 0:
-		l.line, e.inLine = append(l.line, e), true
+	case e.waitingForSlot:
+	case l.releasesInFlight >= maxReleasesInFlight || len(l.waiting) > 0:
+		l.waiting, e.waitingForSlot = append(l.waiting, e), true
 	default:
 		calls = append(calls, l.release(e)...)
 	}
-	l.agenda.set(e, l.nextLook(e))
+	l.queue.set(e, l.nextAction(e))
 	return calls
 }
 
-// nextLook is when an entry has something to do; zero: when something is heard.
-func (l *Ledger) nextLook(e *entry) time.Time {
-	at := l.nextReach(e)
-	if !e.inLine {
+// nextAction returns the time of an entry's next action; zero: not before something else has happened.
+func (l *Ledger) nextAction(e *entry) time.Time {
+	at := l.nextLivenessProbe(e)
+	if !e.waitingForSlot {
 		at = sooner(at, e.nextRelease())
 	}
-	if e.owedAt.IsZero() {
+	if e.pendingSince.IsZero() {
 		return at
 	}
 	return sooner(at, e.reportAt)
 }
 
-// MayBeDue tells whether Due may have something in time.
-func (l *Ledger) MayBeDue() bool { return len(l.agenda) > 0 || len(l.line) > 0 || len(l.unheard) > 0 }
+// MayBeDue reports whether Due may have calls to return, now or later.
+func (l *Ledger) MayBeDue() bool {
+	return len(l.queue) > 0 || len(l.waiting) > 0 || len(l.unconfirmed) > 0
+}
 
-// Next is when Due may have something; zero: when something else has come.
+// Next returns when Due may next return calls; zero: not before another event.
 func (l *Ledger) Next() time.Time {
 	var next time.Time
-	if len(l.agenda) > 0 {
-		next = l.agenda[0].lookAt
+	if len(l.queue) > 0 {
+		next = l.queue[0].nextActionAt
 	}
-	return sooner(sooner(next, l.nextProbe()), l.woken())
+	return sooner(sooner(next, l.nextProbe()), l.nextRestore())
 }
 
-// ReleaseResult is how a call went.
+// ReleaseResult is the outcome of a call.
 type ReleaseResult struct {
-	Acknowledged bool      // a server answered that it has let go
-	Server       string    // which one
-	SentAt       time.Time // when it was asked
+	Acknowledged bool      // a server answered that it has released
+	Server       string    // the one that acknowledged
+	SentAt       time.Time // when that server was asked
 	Unresponsive []string  // servers that were asked before it and did not answer
 }
 
-// ReleaseEnded notes how a call went.
+// ReleaseEnded records the outcome of a call.
 func (l *Ledger) ReleaseEnded(c ReleaseCall, r ReleaseResult, now time.Time) {
 	if r.Acknowledged {
 		l.ServerAnswered(r.Server, r.SentAt, now, now)
 	}
 	switch {
 	case c.Liveness:
-		delete(l.reaching, c.Servers[0])
+		delete(l.livenessProbes, c.Servers[0])
 		return
 	case c.Probe:
-		l.probed(c, r, now)
+		l.probeEnded(c, r, now)
 		return
 	}
-	l.inFlight--
+	l.releasesInFlight--
 	e := l.entries[c.Key]
 	if e == nil {
 		return
 	}
-	e.releasing--
+	e.releasesInFlight--
 	if r.Acknowledged {
-		l.taken(e, c, r, now)
+		l.releaseAcked(e, c, r, now)
 	} else {
 		e.round.failed = true
 	}
-	if e.releasing == 0 {
+	if e.releasesInFlight == 0 {
 		e.endRound(now)
 	}
 	l.schedule(e, now)
 }
 
-// taken notes that a server has answered a release. What was spared then had an attempt in flight, so that the limit began anew
-// in either case.
-func (l *Ledger) taken(e *entry, c ReleaseCall, r ReleaseResult, now time.Time) {
-	e.round.sent = sooner(e.round.sent, r.SentAt)
+// releaseAcked records that a server has acknowledged a release. Whatever the servers preserved then had an attempt in flight,
+// so that the pin limit restarted in either case.
+func (l *Ledger) releaseAcked(e *entry, c ReleaseCall, r ReleaseResult, now time.Time) {
+	e.round.firstSentAt = sooner(e.round.firstSentAt, r.SentAt)
 	for _, server := range r.Unresponsive {
-		l.doubtReach(e, server, r.SentAt)
+		l.markReleaseUnconfirmed(e, server, r.SentAt)
 	}
-	e.missed = slices.ContainsFunc(e.holdings, func(h holding) bool { return h.unreached() })
+	e.releaseMayHaveMissed = slices.ContainsFunc(e.holdings, func(h holding) bool { return h.releaseUnconfirmed() })
 	switch {
 	case c.Concurrent == NoAttempt:
-		e.releasedBy(r.Server, r.SentAt)
-	case c.Concurrent == ReadInFlight && e.terms.Shared && e.settledBy(r.SentAt):
-		e.setSole(true)
+		e.removeReleasedBy(r.Server, r.SentAt)
+	case c.Concurrent == ReadInFlight && e.terms.Shared && e.releasableBy(r.SentAt):
+		e.setReadProtected(true)
 	}
 }
 
-// doubtReach notes that a server that may hold something did not answer a release: another that took it may not have
-// reached it. There is no close that it had to notice: what it holds is released again once it is heard.
-func (l *Ledger) doubtReach(e *entry, server string, sent time.Time) {
+// markReleaseUnconfirmed records that a server that may hold something did not answer a release: the one that acknowledged it
+// may not have reached this server. There is no close to notice, so what it holds is released again once it has answered any
+// call that was sent later.
+func (l *Ledger) markReleaseUnconfirmed(e *entry, server string, sentAt time.Time) {
 	for i := range e.holdings {
-		if h := &e.holdings[i]; h.server == server && !h.pending && h.closed.IsZero() {
-			l.doubt(e, i, sent.Add(-e.grace()))
+		if h := &e.holdings[i]; h.server == server && !h.inFlight && h.closedAt.IsZero() {
+			l.markUnconfirmed(e, i, sentAt.Add(-e.noticeGrace()))
 		}
 	}
 }
 
-// endRound notes that all releases that were made together are over. Where each server is told of what it holds itself, the
-// limit began anew only if all of them have answered.
+// endRound records that all releases that were sent together have ended. Where each holder is asked for itself, the pin limit
+// restarted only if all of them acknowledged.
 func (e *entry) endRound(now time.Time) {
 	if e.round.failed {
-		e.retry = min(max(2*e.retry, firstRetry), maxRetry)
-		e.retryAt = now.Add(e.retry)
+		e.retryDelay = min(max(2*e.retryDelay, firstRetryDelay), maxRetryDelay)
+		e.retryAt = now.Add(e.retryDelay)
 		return
 	}
-	e.retry, e.retryAt = 0, time.Time{}
-	e.prove(e.round.sent)
-	e.taken = later(e.taken, e.round.sent)
-	e.takes++
+	e.retryDelay, e.retryAt = 0, time.Time{}
+	e.markLimitClear(e.round.firstSentAt)
+	e.ackedReleaseSentAt = later(e.ackedReleaseSentAt, e.round.firstSentAt)
+	e.ackedReleases++
 }
 
-// ServerAnswered notes that a server answered a call that was sent at a time. It ran
-// since: what was closed before it notices within the grace, unless the close
-// was lost.
-func (l *Ledger) ServerAnswered(server string, sent, answered, now time.Time) {
-	if len(l.reached) >= maxReached {
-		clear(l.reached)
+// ServerAnswered records that a server answered a call that was sent at a time. The server has run since, and notices within
+// the grace what was closed before, unless that close was lost.
+func (l *Ledger) ServerAnswered(server string, sentAt, answeredAt, now time.Time) {
+	if len(l.answeredCallSentAt) >= maxAnsweredServers {
+		clear(l.answeredCallSentAt)
 	}
-	l.reached[server] = later(l.reached[server], sent)
-	u := l.unheard[server]
+	l.answeredCallSentAt[server] = later(l.answeredCallSentAt[server], sentAt)
+	u := l.unconfirmed[server]
 	if u == nil {
 		return
 	}
-	heard := exchange{sent, answered}
+	answer := exchange{sentAt, answeredAt}
 	for _, e := range slices.Clone(u.entries) {
-		l.resolve(e, server, now, heard.of(e))
+		l.confirmServer(e, server, now, answer.confirmedAt(e))
 	}
-	if len(u.dormant) > 0 {
-		u.woken = heard
+	if len(u.compact) > 0 {
+		u.restorableBy = answer
 	}
 }
 
-// ServerRemoved notes that a server has left the list, or has started anew: nothing
-// waits there, and nothing is held there.
+// ServerRemoved records that a server was removed or has restarted: nothing waits or is held there.
 func (l *Ledger) ServerRemoved(server string, now time.Time) {
-	delete(l.reached, server)
-	if u := l.unheard[server]; u != nil {
+	delete(l.answeredCallSentAt, server)
+	if u := l.unconfirmed[server]; u != nil {
 		for _, e := range slices.Clone(u.entries) {
-			e.endAttempts(server)
-			l.resolve(e, server, now, func(*holding) time.Time { return now })
+			e.markAttemptsEnded(server)
+			l.confirmServer(e, server, now, func(*holding) time.Time { return now })
 		}
-		if len(u.dormant) > 0 {
-			for i := range u.dormant {
-				u.dormant[i].left = 0
+		if len(u.compact) > 0 {
+			for i := range u.compact {
+				u.compact[i].timeout = 0
 			}
-			u.woken = exchange{now.Add(CloseNoticeGrace), now}
+			u.restorableBy = exchange{now.Add(CloseNoticeGrace), now}
 		}
 	}
-	for _, e := range slices.Clone(l.owed) {
-		if e.endAttempts(server) {
+	for _, e := range slices.Clone(l.pending) {
+		if e.markAttemptsEnded(server) {
 			l.schedule(e, now)
 		}
 		if !e.terms.Shared {
-			e.holdings = slices.DeleteFunc(e.holdings, func(h holding) bool { return h.server == server && !h.pending })
+			e.holdings = slices.DeleteFunc(e.holdings, func(h holding) bool { return h.server == server && !h.inFlight })
 			l.schedule(e, now)
 		}
 	}
 }
 
-// resolve ends an entry's doubt whether a server has run since it closed a connection to it; heard is when that is known, zero:
-// it is not. What waited there is let go, or left, by then; not at once, since a close may be noticed later than it should.
-func (l *Ledger) resolve(e *entry, server string, now time.Time, heard func(*holding) time.Time) {
-	resolved := false
+// confirmServer records that a server has run since a close, or since a release that it did not answer; confirmedAt gives for
+// each holding when that is known, zero if it is not. What waited there ends within the grace, or leaves its state; a close
+// may be noticed later than it should, so that the last release follows no sooner than 0.4 of the pin limit after the close.
+func (l *Ledger) confirmServer(e *entry, server string, now time.Time, confirmedAt func(*holding) time.Time) {
+	confirmed := false
 	for i := range e.holdings {
 		h := &e.holdings[i]
-		if h.server != server || !h.unheard() {
+		if h.server != server || !h.unconfirmed() {
 			continue
 		}
-		if at := heard(h); !at.IsZero() {
-			h.heard(at, later(at.Add(e.grace()), h.closed.Add(e.part(confirmPart))), e.grace())
-			resolved = true
+		if at := confirmedAt(h); !at.IsZero() {
+			h.confirmRunning(at, later(at.Add(e.noticeGrace()), h.closedAt.Add(e.pinPart(lastReleasePart))), e.noticeGrace())
+			confirmed = true
 		}
 	}
-	if resolved {
-		l.forgetDoubts(e, []string{server})
-		e.takes = 0
+	if confirmed {
+		l.clearUnconfirmed(e, []string{server})
+		e.ackedReleases = 0
 		l.schedule(e, now)
 	}
 }
 
-// Stop forgets all that is owed.
+// Stop abandons all that is pending.
 func (l *Ledger) Stop(now time.Time) {
-	for _, e := range slices.Clone(l.owed) {
-		l.forget(e, RouterStopped, now)
+	for _, e := range slices.Clone(l.pending) {
+		l.abandon(e, RouterStopped, now)
 	}
-	for l.dormant > 0 {
-		l.forgetDormant(RouterStopped, now)
+	for l.compactCount > 0 {
+		l.abandonOldestCompact(RouterStopped, now)
 	}
 }
 
-func (l *Ledger) forget(e *entry, why AbandonReason, now time.Time) {
-	l.forgot = append(l.forgot, AbandonedEntry{Request: e.terms.Request, Key: e.key, PendingFor: now.Sub(e.owedAt), Servers: e.where(), Reason: why})
+// abandon removes an entry without evidence.
+func (l *Ledger) abandon(e *entry, reason AbandonReason, now time.Time) {
+	l.abandoned = append(l.abandoned, AbandonedEntry{Request: e.terms.Request, Key: e.key, PendingFor: now.Sub(e.pendingSince), Servers: e.holders(), Reason: reason})
 	l.drop(e)
 }
--- a/internal/heldstate/report.go
+++ b/internal/heldstate/report.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// AbandonedEntry is an entry that left without proof.
+// AbandonedEntry is an entry that was removed without evidence that nothing is held.
 type AbandonedEntry struct {
 	Request, Key string
 	PendingFor   time.Duration
@@ -13,55 +13,55 @@
 	Reason       AbandonReason
 }
 
-// AbandonReason tells why an entry was forgotten.
+// AbandonReason is why an entry was abandoned.
 type AbandonReason uint8
 
 // The reasons.
 const (
-	LedgerFull    AbandonReason = iota // the ledger was full
+	LedgerFull    AbandonReason = iota // too many entries or compact holdings
 	RouterStopped                      // the router ended
 )
 
-func (w AbandonReason) String() string {
-	return [...]string{"too many owed", "the router ends"}[w]
+func (r AbandonReason) String() string {
+	return [...]string{"too many pending", "the router ends"}[r]
 }
 
-// Report tells of an entry that has been owed for half of its time.
+// Report describes an entry that has been pending for half of its pin limit.
 type Report struct {
 	Request, Key string
 	PendingFor   time.Duration
-	Releases     int      // that were answered
+	Releases     int      // acknowledged ones
 	Holders      []string // servers that may hold something
 	Unconfirmed  []string // servers that may not have noticed a close
 }
 
-// Abandoned returns what left without proof since the last call.
+// Abandoned returns the entries that were abandoned since the last call.
 func (l *Ledger) Abandoned() []AbandonedEntry {
-	list := l.forgot
-	l.forgot = nil
+	list := l.abandoned
+	l.abandoned = nil
 	return list
 }
 
-// report notes an entry that has been owed for half of its time, once.
+// report adds the report of an entry that has been pending for half of its pin limit, once.
 func (l *Ledger) report(e *entry, now time.Time) {
 	if e.reportAt.IsZero() || now.Before(e.reportAt) {
 		return
 	}
-	if e.onlyHalfOpen() { // a suspicion, which each call that is given up leaves behind
-		_, gone := e.closesEnd()
-		e.reportAt = gone.Add(e.part(evidencePart))
+	if e.onlyHalfOpen() { // only suspected, as after each call that the router closes
+		_, goneBy := e.halfOpenEnds()
+		e.reportAt = goneBy.Add(e.pinPart(reportPart))
 		return
 	}
 	e.reportAt = time.Time{}
-	if !e.answered() {
-		return // a place that is asked for, and nothing else: its answer may be slow
+	if !e.anyCallEnded() {
+		return // only a place request in flight, whose answer may be slow
 	}
-	r := Report{Request: e.terms.Request, Key: e.key, PendingFor: now.Sub(e.owedAt), Releases: e.takes, Unconfirmed: e.doubted()}
-	r.Holders = slices.DeleteFunc(e.where(), e.doubts)
+	r := Report{Request: e.terms.Request, Key: e.key, PendingFor: now.Sub(e.pendingSince), Releases: e.ackedReleases, Unconfirmed: e.unconfirmedServers()}
+	r.Holders = slices.DeleteFunc(e.holders(), e.isUnconfirmed)
 	l.reports = append(l.reports, r)
 }
 
-// Reports returns the entries that have been owed for half of their time since the last call.
+// Reports returns the reports since the last call.
 func (l *Ledger) Reports() []Report {
 	list := l.reports
 	l.reports = nil
