--- a/internal/connpool/connpool.go
+++ b/internal/connpool/connpool.go
@@ -1,4 +1,5 @@
-// Package connpool looks at connections that are kept.
+// Package connpool keeps idle connections for reuse, tests without reading whether a
+// connection is still usable, and writes through transient local errors.
 package connpool
 
 import (
@@ -10,64 +11,64 @@
 	"gannethook/internal/faults"
 )
 
-// State is what can be read on a connection.
+// State is what a read on a connection would return.
 type State int
 
 // The states of a connection.
 const (
-	Quiet       State = iota // nothing yet
-	Readable                 // bytes, or what only a read can tell
-	PeerClosing              // the peer's end, with nothing left before it
+	Quiet       State = iota // no data yet
+	Readable                 // data, or a connection that can't be peeked at
+	PeerClosing              // end of stream or a connection error, and no data before it
 )
 
-// Look tells what can be read without a wait. It may be called while another
-// goroutine waits in Read.
+// Look returns the state of a connection without blocking or reading. It may be called
+// while another goroutine blocks in Read.
 func Look(nc net.Conn) State {
 	n, err := peek(nc)
 	switch {
-	case err == errNoSocket || nothingYet(err):
+	case err == errNotSocket || inconclusive(err):
 		return Quiet
 	case n <= 0:
-		return PeerClosing // in order, or by any error that a broken connection shows
+		return PeerClosing // end of stream, or the error of a broken connection
 	}
 	return Readable
 }
 
-// PeerClosed tells whether the peer has closed a connection on which nothing is left
-// to read. It may be called while another goroutine waits in Read.
+// PeerClosed reports whether the peer has closed a connection that has no more data to
+// read. It may be called while another goroutine blocks in Read.
 func PeerClosed(nc net.Conn) bool {
 	return Look(nc) == PeerClosing
 }
 
-// IsUsable tells whether nothing is readable on an unused connection: neither its
-// end nor bytes. A request written into a closed one would count as one that may
-// have run; bytes that nobody asked for spoil the next answer. It may be called
-// while another goroutine waits in Read.
+// IsUsable reports whether an idle connection is neither closed by the peer nor has data
+// to read. A request written to a closed connection would count as one that may have
+// run; unsolicited data would be taken for the next response. It may be called while
+// another goroutine blocks in Read.
 func IsUsable(nc net.Conn) bool {
 	return Look(nc) == Quiet
 }
 
-// nothingYet tells whether a look failed without saying anything of the connection:
-// nothing is there, or the system could not look just now.
-func nothingYet(err error) bool {
+// inconclusive reports whether an error of a peek says nothing about the connection:
+// there is no data yet, or the system lacked a resource.
+func inconclusive(err error) bool {
 	return errors.Is(err, syscall.EAGAIN) || IsLocal(err)
 }
 
-// IsLocal tells whether a system call failed for want of something of this machine,
-// which passes and says nothing of the peer.
+// IsLocal reports whether a system call failed for lack of a local resource (descriptors,
+// ports, buffers), which is transient and says nothing about the peer.
 func IsLocal(err error) bool {
-	for _, passing := range []syscall.Errno{syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
+	for _, errno := range []syscall.Errno{syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
 		syscall.EADDRNOTAVAIL, syscall.EAGAIN} {
-		if errors.Is(err, passing) {
+		if errors.Is(err, errno) {
 			return true
 		}
 	}
 	return false
 }
 
-// AwaitReadable waits until something is readable, bytes or the peer's end, and takes
-// nothing: until it is taken, IsUsable tells of it. It ends with an error when the
-// read deadline has passed or the connection is closed.
+// AwaitReadable waits until data or the peer's close can be read, without reading it, so
+// that IsUsable still sees it. It fails when the read deadline has passed or the
+// connection is closed.
 func AwaitReadable(nc net.Conn) error {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
@@ -78,39 +79,40 @@
 		return err
 	}
 	for {
-		var looked error
+		var peekErr error
 		err := raw.Read(func(fd uintptr) bool {
-			_, looked = peekAt(fd)
-			return !errors.Is(looked, syscall.EAGAIN) // else it would wait for more than is there already
+			_, peekErr = peekAt(fd)
+			return !errors.Is(peekErr, syscall.EAGAIN) // waits only if nothing is there: new data ends the wait, not data already there
 		})
-		if err != nil || !nothingYet(looked) {
+		if err != nil || !inconclusive(peekErr) {
 			return err
 		}
-		time.Sleep(lookPause)
+		time.Sleep(peekRetryPause)
 	}
 }
 
-// lookPause is the wait after a look that the system could not make.
-const lookPause = time.Millisecond
+// peekRetryPause is the pause after a peek that failed for lack of a local resource.
+const peekRetryPause = time.Millisecond
 
-var errNoSocket = errors.New("not a socket")
+var errNotSocket = errors.New("not a socket")
 
-// peek looks at one byte without a wait; 0 without an error is the end.
+// peek peeks at one byte without blocking; n is 0 without an error at the end of the stream.
 func peek(nc net.Conn) (n int, err error) {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
-		return 1, errNoSocket
+		return 1, errNotSocket
 	}
 	raw, err := sc.SyscallConn()
 	if err != nil {
 		return 0, err
 	}
-	failed := raw.Control(func(fd uintptr) { // not Read: that waits for whoever reads
+	controlErr := raw.Control(func(fd uintptr) { // not raw.Read, which would wait for a goroutine that blocks in Read
 		n, err = peekAt(fd)
 	})
-	return n, errors.Join(err, failed)
+	return n, errors.Join(err, controlErr)
 }
 
+// peekAt is peek for a descriptor; it retries on EINTR.
 func peekAt(fd uintptr) (n int, err error) {
 	var b [1]byte
 	for {
--- a/internal/connpool/idle.go
+++ b/internal/connpool/idle.go
@@ -13,25 +13,25 @@
 // Conn is a connection with its buffers, owned by one exchange at a time.
 type Conn struct {
 	net.Conn
-	BR      *bufio.Reader
-	BW      *bufio.Writer
-	IdleFor time.Duration // before it was taken; 0: it is new
-	ID      uint64        // in the log, of all connections of this process
-	name    string
-	since   time.Time // when it was put back
-	once    sync.Once
-	closed  func()
+	BR        *bufio.Reader
+	BW        *bufio.Writer
+	IdleFor   time.Duration // before Take; 0: the connection is new
+	ID        uint64        // number in the log, unique in this process
+	name      string        // under which Idle keeps it
+	idleSince time.Time     // when Put kept it
+	closeOnce sync.Once
+	onClose   func() // may be nil
 }
 
-// New wraps a connection; closed, if not nil, is called once it is closed.
-func New(nc net.Conn, size int, closed func()) *Conn {
-	return &Conn{Conn: nc, ID: made.Add(1), BR: bufio.NewReaderSize(nc, size), BW: bufio.NewWriterSize(nc, size), closed: closed}
+// New wraps a connection with buffers of the given size; onClose, if not nil, is called once, when it is closed.
+func New(nc net.Conn, size int, onClose func()) *Conn {
+	return &Conn{Conn: nc, ID: lastConnID.Add(1), BR: bufio.NewReaderSize(nc, size), BW: bufio.NewWriterSize(nc, size), onClose: onClose}
 }
 
-// made counts the connections of this process.
-var made atomic.Uint64
+// lastConnID is the ID of the newest connection.
+var lastConnID atomic.Uint64
 
-// String tells which connection it is, and how it was come by.
+// String returns the connection's number and whether it is new or was reused, for the log.
 func (c *Conn) String() string {
 	if c.IdleFor > 0 {
 		return fmt.Sprintf("conn %d, unused for %v", c.ID, c.IdleFor.Round(time.Millisecond))
@@ -39,62 +39,63 @@
 	return fmt.Sprintf("conn %d, new", c.ID)
 }
 
-// Close closes it, from anywhere and any number of times.
+// Close closes the connection. It is safe for concurrent and repeated use.
 func (c *Conn) Close() error {
-	c.once.Do(func() {
-		if c.closed != nil {
-			c.closed()
+	c.closeOnce.Do(func() {
+		if c.onClose != nil {
+			c.onClose()
 		}
 	})
 	return c.Conn.Close()
 }
 
-// Idle keeps unused connections by name, newest last. It is safe for concurrent
-// use. What it does not keep it closes.
+// Idle is a pool of idle connections by name, such as the peer's address, newest last.
+// It closes connections that it does not keep. It is safe for concurrent use.
 type Idle struct {
-	life   time.Duration // after which an unused connection is retired
-	rest   time.Duration // for which it is not taken: what comes out of turn a little late spoils it
-	most   int           // of one name
-	mu     sync.Mutex
-	byName map[string][]*Conn
-	shut   bool
+	maxIdle    time.Duration // after which an idle connection is closed
+	reuseDelay time.Duration // idle time before a connection is reused: an unsolicited response may still arrive on it
+	maxPerName int           // connections of one name
+	mu         sync.Mutex
+	byName     map[string][]*Conn
+	closed     bool // nothing more is kept
 }
 
-// NewIdle keeps so many of one name, each unused for life at the most and for rest at the least.
-func NewIdle(life, rest time.Duration, most int) *Idle {
-	return &Idle{life: life, rest: rest, most: most, byName: map[string][]*Conn{}}
+// NewIdle returns a pool that keeps up to maxPerName connections of each name. Take returns those that have been idle
+// for reuseDelay at least and less than maxIdle.
+func NewIdle(maxIdle, reuseDelay time.Duration, maxPerName int) *Idle {
+	return &Idle{maxIdle: maxIdle, reuseDelay: reuseDelay, maxPerName: maxPerName, byName: map[string][]*Conn{}}
 }
 
-// SetLimits sets other bounds for what is kept from now on.
-func (i *Idle) SetLimits(life, rest time.Duration, most int) {
+// SetLimits changes the limits from now on.
+func (i *Idle) SetLimits(maxIdle, reuseDelay time.Duration, maxPerName int) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.life, i.rest, i.most = life, rest, most
+	i.maxIdle, i.reuseDelay, i.maxPerName = maxIdle, reuseDelay, maxPerName
 }
 
-// Take gives the newest that has rested and still stands, or nil. Those that do not stand are closed.
+// Take returns the newest usable connection that has been idle for reuseDelay, or nil. It closes the unusable ones it finds.
 func (i *Idle) Take(name string) *Conn {
 	for {
-		c, life := i.pop(name)
+		c, maxIdle := i.pop(name)
 		if c == nil {
 			return nil
 		}
-		c.IdleFor = time.Since(c.since)
-		if c.IdleFor < life && IsUsable(c.Conn) {
+		c.IdleFor = time.Since(c.idleSince)
+		if c.IdleFor < maxIdle && IsUsable(c.Conn) {
 			return c
 		}
 		c.Close()
 	}
 }
 
-func (i *Idle) pop(name string) (c *Conn, life time.Duration) {
+func (i *Idle) pop(name string) (c *Conn, maxIdle time.Duration) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	list := i.byName[name]
 	for at := len(list) - 1; at >= 0; at-- { // newest last
-		if c := list[at]; time.Since(c.since) >= i.rest {
+		if c := list[at]; time.Since(c.idleSince) >= i.reuseDelay {
 			i.set(name, slices.Delete(list, at, at+1))
-			return c, i.life
+			return c, i.maxIdle
 		}
 	}
 	return nil, 0
@@ -106,9 +107,9 @@
 	}
 }
 
-// Put keeps a connection after a whole exchange, unless it was cut meanwhile or talks out of turn.
+// Put keeps a connection after a complete exchange; it closes one that was closed meanwhile or has unsolicited data.
 func (i *Idle) Put(name string, c *Conn) {
-	c.name, c.since = name, time.Now()
+	c.name, c.idleSince = name, time.Now()
 	if c.SetDeadline(time.Time{}) != nil || c.BR.Buffered() > 0 || !i.keep(c) {
 		c.Close()
 	}
@@ -117,40 +118,40 @@
 func (i *Idle) keep(c *Conn) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if i.shut || len(i.byName[c.name]) >= i.most {
+	if i.closed || len(i.byName[c.name]) >= i.maxPerName {
 		return false
 	}
 	i.byName[c.name] = append(i.byName[c.name], c)
 	return true
 }
 
-// Count is how many of a name are kept.
+// Count returns the number of connections kept under a name.
 func (i *Idle) Count(name string) int {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return len(i.byName[name])
 }
 
-// Names are those of which at least one connection is kept that has rested.
+// Names returns the names with a connection that has been idle for reuseDelay.
 func (i *Idle) Names() map[string]bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	names := make(map[string]bool, len(i.byName))
 	for name, list := range i.byName {
-		if time.Since(list[0].since) >= i.rest { // the oldest
+		if time.Since(list[0].idleSince) >= i.reuseDelay { // the oldest
 			names[name] = true
 		}
 	}
 	return names
 }
 
-// CloseOldest closes the one unused for longest; it is false where none is kept.
+// CloseOldest closes the connection idle for longest; it returns false if none is kept.
 func (i *Idle) CloseOldest() bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	var oldest *Conn
 	for _, list := range i.byName {
-		if oldest == nil || list[0].since.Before(oldest.since) {
+		if oldest == nil || list[0].idleSince.Before(oldest.idleSince) {
 			oldest = list[0]
 		}
 	}
@@ -162,25 +163,25 @@
 	return true
 }
 
-// Sweep retires what has been unused for too long, and all of the names that gone tells.
-func (i *Idle) Sweep(gone func(name string) bool) {
+// Sweep closes connections idle for maxIdle, and all those whose name is removed; removed may be nil.
+func (i *Idle) Sweep(removed func(name string) bool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	for name, list := range i.byName {
-		all := gone != nil && gone(name)
+		all := removed != nil && removed(name)
 		i.set(name, slices.DeleteFunc(list, func(c *Conn) bool {
-			old := all || time.Since(c.since) >= i.life
-			if old {
+			expired := all || time.Since(c.idleSince) >= i.maxIdle
+			if expired {
 				c.Close()
 			}
-			return old
+			return expired
 		}))
 	}
 }
 
-// Run sweeps every while until stop closes.
-func (i *Idle) Run(every time.Duration, stop <-chan struct{}) {
-	tick := time.NewTicker(every)
+// Run sweeps at every interval until stop is closed.
+func (i *Idle) Run(interval time.Duration, stop <-chan struct{}) {
+	tick := time.NewTicker(interval)
 	defer tick.Stop()
 	for {
 		select {
@@ -192,10 +193,10 @@
 	}
 }
 
-// Close closes all that is kept, and whatever is put back later.
+// Close closes all connections, also those that are put back later.
 func (i *Idle) Close() {
 	i.mu.Lock()
-	i.shut = true
+	i.closed = true
 	i.mu.Unlock()
 	i.Sweep(func(string) bool { return true })
 }
--- a/internal/connpool/write.go
+++ b/internal/connpool/write.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// Pauses of a Writer whose write failed for want of something of this machine.
+// Retries of a write that failed for lack of a local resource.
 const (
-	firstWritePause = time.Millisecond
+	minWritePause   = time.Millisecond // doubled with each retry up to maxWritePause
 	maxWritePause   = 20 * time.Millisecond
-	writePauses     = 40 // then the error is told: well over half a second has passed
+	maxWriteRetries = 40 // then the write fails, after well over half a second
 )
 
-// Writer writes to a connection, and goes on after errors that pass and say
-// nothing of the peer, as want of buffers. The connection's deadline holds.
+// Writer writes to a connection and retries after transient local errors, such as a lack
+// of buffers. The connection's deadline applies.
 type Writer struct{ Conn io.Writer }
 
-// Write writes all of p, unless the connection fails.
+// Write writes all of p unless the connection fails or the retries are used up.
 func (w Writer) Write(p []byte) (int, error) {
-	written, pause := 0, firstWritePause
-	for tries := 0; ; tries++ {
+	written, pause := 0, minWritePause
+	for retries := 0; ; retries++ {
 		n, err := w.Conn.Write(p[written:])
 		written += max(n, 0)
-		if err == nil || !IsLocal(err) || tries == writePauses {
+		if err == nil || !IsLocal(err) || retries == maxWriteRetries {
 			return written, err
 		}
 		time.Sleep(pause)
--- a/internal/connreuse/connreuse.go
+++ b/internal/connreuse/connreuse.go
@@ -1,11 +1,10 @@
-// Package connreuse decides whether a request goes by a connection that was used
-// before, or by a new one. It has no clock and does no I/O.
+// Package connreuse decides whether a request uses an idle connection or a new one. It
+// has no clock and does no I/O.
 //
-// A connection that was kept may be reset at its next request, which then may
-// have run: an unsafe request has failed, and a safe one has lost an attempt. A
-// new connection costs a handshake, and can fail too. So kept connections are
-// used until they are seen to be reset more often than new ones by more than the
-// handshake is worth.
+// A reused connection may be reset at its next request, which may then have run: an
+// unsafe request has failed, and a safe one has used up an attempt. A new connection
+// costs a handshake, and can fail too. So connections are reused until they break more
+// often than new ones by more than the handshake is worth.
 package connreuse
 
 import (
@@ -14,76 +13,76 @@
 )
 
 const (
-	fade     = 10 * time.Second // ours: in which what was seen fades to 1/e
-	prior    = 15               // ours: answers that each kind is taken to have had before any
-	dear     = 0.01             // ours: how much worse kept ones may be for what can't be tried again,
-	usual    = 0.04             // ours: and for all else
-	lastOnes = 1                // ours: attempts left at which one counts as not to be made again: a read and its write
-	lookout  = 0.05             // ours: part of what goes by kept ones all the same, so that an end is seen
+	decayTime          = 10 * time.Second // in which counts decay to 1/e
+	priorRequests      = 15               // requests without a break that each kind starts with, so that one break changes little
+	maxExcessSingleTry = 0.01             // how much greater the share of reused connections that break may be, for requests that can't be retried,
+	maxExcess          = 0.04             // and for all others
+	fewRetries         = 1                // retries remaining at which a request counts as not retriable: it needs a read and a write
+	probeShare         = 0.05             // share of requests that reuse a connection all the same, to detect that resets have ended
 )
 
-// Policy learns how kept and new connections do. It is not safe for concurrent use.
+// Policy compares how often reused and new connections break. It is not safe for concurrent use.
 type Policy struct {
-	seen [2]struct{ all, bad float64 } // new, kept
-	at   time.Duration
-	turn float64
+	counts      [2]struct{ total, broken float64 } // decaying counters of requests; 0: on new connections, 1: on reused ones
+	updatedAt   time.Duration
+	probeCredit float64
 }
 
-// Record takes in how a request on a connection went; bad is one that broke before
-// its answer began. Times count from any moment.
-func (k *Policy) Record(now time.Duration, kept, bad bool) {
-	k.fade(now)
-	s := &k.seen[index(kept)]
-	s.all++
-	if bad {
-		s.bad++
+// Record counts a request; broken is set if its connection broke before the response
+// began. Times are durations since a common moment.
+func (p *Policy) Record(now time.Duration, reused, broken bool) {
+	p.decay(now)
+	s := &p.counts[index(reused)]
+	s.total++
+	if broken {
+		s.broken++
 	}
 }
 
-// UseNewConnection tells whether an attempt should go by a new connection: an unsafe one
-// may not be made again should it break; else left tells how many more its
-// request may make, negative any number.
-func (k *Policy) UseNewConnection(now time.Duration, unsafe bool, left int) bool {
-	k.fade(now)
-	once := unsafe || left >= 0 && left <= lastOnes
-	most := usual
-	if once {
-		most = dear
+// UseNewConnection reports whether an attempt should use a new connection. An unsafe
+// attempt must not be retried if it breaks; else its request has retriesLeft retries
+// remaining, any number if negative.
+func (p *Policy) UseNewConnection(now time.Duration, unsafe bool, retriesLeft int) bool {
+	p.decay(now)
+	singleTry := unsafe || retriesLeft >= 0 && retriesLeft <= fewRetries
+	allowed := maxExcess
+	if singleTry {
+		allowed = maxExcessSingleTry
 	}
-	if k.part(true)-k.part(false) <= most {
+	if p.brokenShare(true)-p.brokenShare(false) <= allowed {
 		return false
 	}
-	if once {
+	if singleTry {
 		return true
 	}
-	k.turn += lookout
-	if k.turn >= 1 {
-		k.turn--
+	p.probeCredit += probeShare
+	if p.probeCredit >= 1 {
+		p.probeCredit--
 		return false
 	}
 	return true
 }
 
-// part is the part of requests that broke.
-func (k *Policy) part(kept bool) float64 {
-	s := k.seen[index(kept)]
-	return s.bad / (s.all + prior)
+// brokenShare returns the share of requests that broke, with priorRequests added as unbroken.
+func (p *Policy) brokenShare(reused bool) float64 {
+	s := p.counts[index(reused)]
+	return s.broken / (s.total + priorRequests)
 }
 
-func (k *Policy) fade(now time.Duration) {
-	if now <= k.at {
+func (p *Policy) decay(now time.Duration) {
+	if now <= p.updatedAt {
 		return
 	}
-	f := math.Exp(-float64(now-k.at) / float64(fade))
-	for i := range k.seen {
-		k.seen[i].all *= f
-		k.seen[i].bad *= f
+	f := math.Exp(-float64(now-p.updatedAt) / float64(decayTime))
+	for i := range p.counts {
+		p.counts[i].total *= f
+		p.counts[i].broken *= f
 	}
-	k.at = now
+	p.updatedAt = now
 }
 
-func index(kept bool) int {
-	if kept {
+func index(reused bool) int {
+	if reused {
 		return 1
 	}
 	return 0
--- a/internal/connreuse/connreuse_test.go
+++ b/internal/connreuse/connreuse_test.go
@@ -77,7 +77,7 @@
 			bad := rapid.Bool().Draw(t, "bad")
 			k.Record(now, true, bad)
 			k.Record(now, false, bad)
-			if p := k.part(true); p < 0 || p > 1 {
+			if p := k.brokenShare(true); p < 0 || p > 1 {
 				t.Fatalf("part %v", p)
 			}
 			if k.UseNewConnection(now, true, -1) {
--- a/internal/platform/clients/clients_test.go
+++ b/internal/platform/clients/clients_test.go
@@ -32,20 +32,20 @@
 
 func TestReadJob(t *testing.T) {
 	classes := map[string]int{"chat": 1}
-	job, bad := readJob(parse(t, head), classes)
+	job, bad := parseJob(parse(t, head), classes)
 	if bad != nil {
 		t.Fatal(bad)
 	}
-	if job.Name != "9b1f" || job.Class != 1 || job.Session != keyOf("7f3a") || job.Prefix != keyOf("5c0f") || job.Session == job.Prefix ||
+	if job.Name != "9b1f" || job.Class != 1 || job.Session != hashKey("7f3a") || job.Prefix != hashKey("5c0f") || job.Session == job.Prefix ||
 		job.PromptSize != 5120 || job.PrefixTokens != 2048 || job.MaxTokens != 800 || job.Timeout.Milliseconds() != 4800 {
 		t.Errorf("%+v", job)
 	}
-	job, bad = readJob(parse(t, strings.Replace(head, "X-Attrs", "X-Tenant-Id: norte\r\nX-Attrs", 1)), classes)
+	job, bad = parseJob(parse(t, strings.Replace(head, "X-Attrs", "X-Tenant-Id: norte\r\nX-Attrs", 1)), classes)
 	if bad != nil || job.TenantName != "norte" {
 		t.Errorf("of a tenant: %+v, %v", job, bad)
 	}
 	// What a request need not say.
-	job, bad = readJob(parse(t, strings.Replace(head, "X-Attrs: prefix=5c0f,prompt_len=5120,prefix_len=2048,max_out=800\r\n", "", 1)), classes)
+	job, bad = parseJob(parse(t, strings.Replace(head, "X-Attrs: prefix=5c0f,prompt_len=5120,prefix_len=2048,max_out=800\r\n", "", 1)), classes)
 	if bad != nil || job.Prefix != 0 || job.PromptSize != 0 || job.TenantName != "" {
 		t.Errorf("%+v, %v", job, bad)
 	}
@@ -62,14 +62,14 @@
 		if err != nil {
 			return
 		}
-		job, bad := readJob(req, map[string]int{"chat": 0})
+		job, bad := parseJob(req, map[string]int{"chat": 0})
 		if (job == nil) == (bad == nil) {
 			t.Fatalf("%+v, %v", job, bad)
 		}
 		if job == nil {
 			return
 		}
-		if !isName(job.Name) || job.Timeout <= 0 || job.PromptSize > maxTokens || strings.ContainsAny(job.Path, "\r\n ") {
+		if !validRequestID(job.Name) || job.Timeout <= 0 || job.PromptSize > maxTokens || strings.ContainsAny(job.Path, "\r\n ") {
 			t.Errorf("%+v", job)
 		}
 		if b, err := http1.RequestBody(br, req.Header); err == nil {
@@ -252,10 +252,10 @@
 	}()
 	var err error
 	for err == nil {
-		err = a.readOnce(a.small[:])
+		err = a.readOnce(a.smallBuf[:])
 	}
-	if !errors.Is(err, io.EOF) || a.dropped != 256 || a.held != 512 {
-		t.Errorf("%v, %d lost, %d held", err, a.dropped, a.held)
+	if !errors.Is(err, io.EOF) || a.droppedBytes != 256 || a.heldBytes != 512 {
+		t.Errorf("%v, %d lost, %d held", err, a.droppedBytes, a.heldBytes)
 	}
 	text, err := io.ReadAll(a)
 	if string(text) != strings.Repeat("a", 256)+strings.Repeat("b", 256) || err != nil {
--- a/internal/platform/clients/closing.go
+++ b/internal/platform/clients/closing.go
@@ -9,37 +9,37 @@
 	"gannethook/internal/guard"
 )
 
-// closeReason tells why a client's connection closed.
+// closeReason is why a client's connection closed.
 type closeReason uint8
 
-// The reasons. The first that is noted of a connection counts.
+// The reasons. The first one set for a connection counts.
 const (
-	notClosed       closeReason = iota
-	byClient                    // its client closed it between two requests
-	byClientWaiting             // its client left while its request was open
-	onIdle                      // nothing came on it for too long
-	onStop                      // the router stops, and no request was on its way
-	onStopAll                   // the router ended with the connection open
-	forRoom                     // it was the one unused for longest as another came,
-	forRoomNew                  // and nothing had come on it
-	noRoomTold                  // there was no room; its client got a 503
-	noRoomUntold                // there was no room, and too many were being told so; nothing was read
-	badRequest                  // what came is no request, or more than is taken
-	asAsked                     // its client asked for it, or speaks HTTP/1.0
-	streamBroken                // a worker's stream broke, or was ended for its client to go on elsewhere
-	writeFailed                 // its client took nothing, or the connection broke under an answer
-	closeReasons
+	notClosed               closeReason = iota
+	closedByClient                      // the client closed it between two requests
+	closedWhileWaiting                  // the client closed it while its request was open
+	closedIdle                          // no request arrived within Limits.Idle, or a first one within Limits.Head
+	closedOnStop                        // idle when the router stopped
+	closedAtExit                        // still open when the router exited
+	closedEvicted                       // idle for longest when another connection arrived,
+	closedEvictedNew                    // and without any request so far
+	closedOverLimit                     // over the limit on connections; the client got a 503
+	closedOverLimitSilently             // over the limit, and over Limits.Rejections; closed without reading or a response
+	closedBadRequest                    // the request was invalid, too large or a duplicate of an open one
+	closedAsRequested                   // the client asked for it or uses HTTP/1.0, or the router is stopping
+	closedStreamBroken                  // the stream broke at the worker, or was ended by the router for its client to resume it elsewhere
+	closedWriteFailed                   // the client accepted no data, or the connection broke during a response
+	closeReasonCount
 )
 
 func (r closeReason) String() string {
-	return [closeReasons]string{"open", "client closed", "client left a request", "idle", "stopping", "stopped", "evicted for room", "evicted for room, new",
+	return [closeReasonCount]string{"open", "client closed", "client left a request", "idle", "stopping", "stopped", "evicted for room", "evicted for room, new",
 		"no room, told", "no room, not told", "bad request", "as asked", "stream broken", "write failed"}[r]
 }
 
 // closeCounts counts closed connections by reason. It is safe for concurrent use.
-type closeCounts [closeReasons]atomic.Int64
+type closeCounts [closeReasonCount]atomic.Int64
 
-// Closes lists how many connections closed, by reason.
+// Closes returns the number of closed connections by reason.
 func (s *Server) Closes() map[string]int64 {
 	counts := map[string]int64{}
 	for r := range s.closes {
@@ -50,24 +50,24 @@
 	return counts
 }
 
-// note has the connection close for a reason, if none was noted before.
-func (l *clientConn) note(why closeReason) {
-	if l.why == notClosed {
-		l.why = why
+// setCloseReason sets the reason for closing the connection, unless one is set.
+func (c *clientConn) setCloseReason(reason closeReason) {
+	if c.closeReason == notClosed {
+		c.closeReason = reason
 	}
 }
 
-// noteClosed counts a connection that closes, and logs its story.
-func (s *Server) noteClosed(l *clientConn) {
-	s.closes[l.why].Add(1)
+// recordClosed counts and logs a connection that closes.
+func (s *Server) recordClosed(c *clientConn) {
+	s.closes[c.closeReason].Add(1)
 	if e := s.cfg.Log.Check(zap.DebugLevel, "client connection closed"); e != nil {
-		e.Write(zap.Uint64("conn", l.id), zap.Stringer("why", l.why), zap.Int("requests", l.requests),
-			zap.Stringer("client", l.nc.RemoteAddr()), zap.Duration("after", time.Since(l.since)))
+		e.Write(zap.Uint64("conn", c.id), zap.Stringer("why", c.closeReason), zap.Int("requests", c.requests),
+			zap.Stringer("client", c.nc.RemoteAddr()), zap.Duration("after", time.Since(c.acceptedAt)))
 	}
 }
 
-// mayClose asks the guard, as an exchange ends, whether its request was seen to.
-func (x *exchange) mayClose() {
-	why := guard.MayClose(guard.CloseFacts{Accepted: true, Answered: x.answered, ClientGone: x.left.Load()})
-	x.conn.s.cfg.Guard.Check(guard.Close, why, x.name)
+// checkClose has the guard check, as an exchange ends, that its request was answered or its client disconnected.
+func (x *exchange) checkClose() {
+	reason := guard.MayClose(guard.CloseFacts{Accepted: true, Answered: x.answered, ClientGone: x.clientDisconnected.Load()})
+	x.conn.s.cfg.Guard.Check(guard.Close, reason, x.id)
 }
--- a/internal/platform/clients/conn.go
+++ b/internal/platform/clients/conn.go
@@ -16,180 +16,179 @@
 	"gannethook/internal/http1"
 )
 
-// clientConn is a client's connection. One goroutine has it.
+// clientConn is a client's connection, served by one goroutine.
 type clientConn struct {
-	s           *Server
-	nc          net.Conn
-	id          uint64 // in the log
-	since       time.Time
-	requests    int         // read whole on it
-	why         closeReason // once it is about to close
-	br          *bufio.Reader
-	bw          *bufio.Writer
-	readAhead   *readAhead
-	clientGone  bool // its client has left
-	shutDown    bool
-	idleElement *list.Element // among the idle; the server's lock guards it
-	evicted     bool          // the same
-	rejected    bool          // evicted, and counted among those that are refused
+	s                  *Server
+	nc                 net.Conn
+	id                 uint64 // number in the log
+	acceptedAt         time.Time
+	requests           int         // read whole
+	closeReason        closeReason // once it is to close
+	br                 *bufio.Reader
+	bw                 *bufio.Writer
+	readAhead          *readAhead
+	clientDisconnected bool          // by the client
+	shutDown           bool          // the write side is closed
+	idleElement        *list.Element // in Server.idle; nil: not idle. Guarded by the server's lock
+	evicted            bool          // closed to make room for another; guarded by the server's lock
+	countsAsRefusal    bool          // evicted, and counted in Server.refusalsInFlight
 }
 
-func (l *clientConn) initBuffers(size int) {
-	l.readAhead = &readAhead{nc: l.nc, budget: &l.s.bodies, limit: l.s.limits.Load().Bodies}
-	l.br, l.bw = bufio.NewReaderSize(l.readAhead, size), bufio.NewWriterSize(connpool.Writer{Conn: l.nc}, size)
+func (c *clientConn) initBuffers(size int) {
+	c.readAhead = &readAhead{nc: c.nc, budget: &c.s.bodies, limit: c.s.limits.Load().Bodies}
+	c.br, c.bw = bufio.NewReaderSize(c.readAhead, size), bufio.NewWriterSize(connpool.Writer{Conn: c.nc}, size)
 }
 
-// shutdown ends a connection in order: its end is told, and what still comes is read
-// for a while and not served. A request that was written at that very moment has
-// then met a connection that had ended, and its client sends it anew; and to
-// close on unread bytes would reset the connection, and lose what the client has
-// not read yet.
-func (l *clientConn) shutdown() {
-	out, ok := l.nc.(interface{ CloseWrite() error })
-	if !ok || l.clientGone || l.shutDown || l.s.closedAll.Load() || out.CloseWrite() != nil {
+// shutdown ends a connection gracefully: it closes the write side, then reads and
+// discards what still arrives, for up to Limits.Shutdown. A client whose request
+// crosses the close sees an orderly end and sends it again. Closing with unread data
+// would reset the connection and lose what the client has not read yet.
+func (c *clientConn) shutdown() {
+	half, ok := c.nc.(interface{ CloseWrite() error })
+	if !ok || c.clientDisconnected || c.shutDown || c.s.closedAll.Load() || half.CloseWrite() != nil {
 		return
 	}
-	l.shutDown = true
-	l.nc.SetReadDeadline(time.Now().Add(l.s.limits.Load().Shutdown))
-	io.CopyN(io.Discard, l.nc, maxShutdownBytes)
+	c.shutDown = true
+	c.nc.SetReadDeadline(time.Now().Add(c.s.limits.Load().Shutdown))
+	io.CopyN(io.Discard, c.nc, shutdownDrainBytes)
 }
 
 // serve reads requests until the connection ends.
-func (l *clientConn) serve() {
-	l.initBuffers(2048)
-	l.nc.SetReadDeadline(time.Now().Add(l.s.limits.Load().Head))
-	if l.s.closing.Load() { // taken as the router turned away: CloseIdle may have come before the deadline above
-		l.nc.SetReadDeadline(expired)
-	}
-	for l.awaitRequest() && l.serveOne() {
-		l.s.markIdle(l, !l.hasBuffered())
-		l.nc.SetReadDeadline(time.Now().Add(l.s.limits.Load().Idle))
-		if l.s.closing.Load() {
-			l.nc.SetReadDeadline(expired)
+func (c *clientConn) serve() {
+	c.initBuffers(2048)
+	c.nc.SetReadDeadline(time.Now().Add(c.s.limits.Load().Head))
+	if c.s.closing.Load() { // CloseIdle may have set its deadline before the one above
+		c.nc.SetReadDeadline(pastDeadline)
+	}
+	for c.awaitRequest() && c.serveOne() {
+		c.s.markIdle(c, !c.hasBuffered())
+		c.nc.SetReadDeadline(time.Now().Add(c.s.limits.Load().Idle))
+		if c.s.closing.Load() {
+			c.nc.SetReadDeadline(pastDeadline)
 		}
 	}
 }
 
-// lastByteGrace is how long an unused connection is still heard once the router stops.
+// lastByteGrace is how long an idle connection is still read once the router stops.
 const lastByteGrace = 50 * time.Millisecond
 
-// awaitRequest waits for the first byte of a request. The byte is taken only once the
-// connection counts as used: read before, it would be seen by nobody who looks for
-// an idle connection to close, and its request would be lost with it.
-func (l *clientConn) awaitRequest() bool {
-	err := l.awaitReadable()
-	stopping := l.s.closing.Load()
+// awaitRequest waits for the first byte of a request. The byte is read only once the
+// connection is no longer marked idle: read earlier, it would be invisible to evictIdle,
+// which would then close the connection and lose the request.
+func (c *clientConn) awaitRequest() bool {
+	err := c.awaitReadable()
+	stopping := c.s.closing.Load()
 	if err != nil && stopping {
-		l.nc.SetReadDeadline(time.Now().Add(lastByteGrace))
-		err = l.awaitReadable()
+		c.nc.SetReadDeadline(time.Now().Add(lastByteGrace))
+		err = c.awaitReadable()
 	}
 	switch {
-	case !l.s.markIdle(l, false) && l.requests == 0:
-		l.note(forRoomNew)
+	case !c.s.markIdle(c, false) && c.requests == 0:
+		c.setCloseReason(closedEvictedNew)
 		return false
-	case l.evicted:
-		l.note(forRoom)
+	case c.evicted:
+		c.setCloseReason(closedEvicted)
 		return false
 	case err != nil && stopping:
-		l.note(onStop)
+		c.setCloseReason(closedOnStop)
 		return false
 	case err != nil:
-		l.note(onIdle)
+		c.setCloseReason(closedIdle)
 		return false
 	}
-	if _, err = l.br.Peek(1); err != nil {
-		l.note(byClient)
+	if _, err = c.br.Peek(1); err != nil {
+		c.setCloseReason(closedByClient)
 	}
 	return err == nil
 }
 
-// hasBuffered tells whether something that came ahead waits for its turn.
-func (l *clientConn) hasBuffered() bool { return l.br.Buffered() > 0 || len(l.readAhead.buffered) > 0 }
+// hasBuffered reports whether pipelined data is buffered.
+func (c *clientConn) hasBuffered() bool { return c.br.Buffered() > 0 || len(c.readAhead.buffered) > 0 }
 
-// closesNext tells whether no further request is taken: the router stops, and none
-// was read ahead, which would then be lost.
-func (l *clientConn) closesNext() bool { return l.s.closing.Load() && !l.hasBuffered() }
+// closesNext reports whether the connection closes after the current request: the router
+// is stopping and no pipelined data was read, which would be lost.
+func (c *clientConn) closesNext() bool { return c.s.closing.Load() && !c.hasBuffered() }
 
-func (l *clientConn) awaitReadable() error {
-	if l.hasBuffered() {
+func (c *clientConn) awaitReadable() error {
+	if c.hasBuffered() {
 		return nil
 	}
-	return connpool.AwaitReadable(l.nc)
+	return connpool.AwaitReadable(c.nc)
 }
 
-// serveOne serves one request; it tells whether another may follow.
-func (l *clientConn) serveOne() bool {
-	from := time.Now()
-	l.nc.SetReadDeadline(from.Add(l.s.limits.Load().Head))
-	req, err := http1.ReadRequest(l.br)
+// serveOne serves one request and reports whether another may follow.
+func (c *clientConn) serveOne() bool {
+	startedAt := time.Now()
+	c.nc.SetReadDeadline(startedAt.Add(c.s.limits.Load().Head))
+	req, err := http1.ReadRequest(c.br)
 	if err != nil {
-		l.note(badRequest)
+		c.setCloseReason(closedBadRequest)
 	}
-	if err != nil && l.readAhead.dropped > 0 {
-		l.refuse("503 Service Unavailable", "too much was sent behind an open request")
+	if err != nil && c.readAhead.droppedBytes > 0 {
+		c.refuse("503 Service Unavailable", "too much was sent behind an open request")
 		return false
 	}
 	if err != nil {
-		l.refuseHead(err)
+		c.refuseHead(err)
 		return false
 	}
 	if req.Method == "GET" && path(req.Target) == ReadyPath {
-		return l.ready(req)
+		return c.ready(req)
 	}
-	x := &exchange{conn: l, req: req, from: from, done: make(chan struct{}),
-		keep: req.Minor == 1 && !req.Header.Has("Connection", "close")}
+	x := &exchange{conn: c, req: req, startedAt: startedAt, done: make(chan struct{}),
+		keepAlive: req.Minor == 1 && !req.Header.Has("Connection", "close")}
 	return x.serve()
 }
 
-// ready answers the front.
-func (l *clientConn) ready(req *http1.Request) bool {
-	status, keep := "200 OK", req.Minor == 1 && !req.Header.Has("Connection", "close")
-	if l.s.stopping() || !l.s.cfg.Ready() {
+// ready answers a readiness check of the load balancer.
+func (c *clientConn) ready(req *http1.Request) bool {
+	status, keepAlive := "200 OK", req.Minor == 1 && !req.Header.Has("Connection", "close")
+	if c.s.stopping() || !c.s.cfg.Ready() {
 		status = "503 Service Unavailable"
 	}
-	if b, err := http1.RequestBody(l.br, req.Header); err != nil || b.Length() > 0 || b.Chunked() {
-		l.note(badRequest)
-		l.refuse("400 Bad Request", "a body has no place here")
+	if b, err := http1.RequestBody(c.br, req.Header); err != nil || b.Length() > 0 || b.Chunked() {
+		c.setCloseReason(closedBadRequest)
+		c.refuse("400 Bad Request", "a body has no place here")
 		return false
 	}
-	if e := l.s.cfg.Log.Check(zap.DebugLevel, "asked whether it is ready"); e != nil {
+	if e := c.s.cfg.Log.Check(zap.DebugLevel, "readiness check"); e != nil {
 		e.Write(zap.String("answer", status))
 	}
-	l.writePlain(status, "", keep)
-	if !keep {
-		l.note(asAsked)
+	c.writePlain(status, "", keepAlive)
+	if !keepAlive {
+		c.setCloseReason(closedAsRequested)
 	}
-	return keep
+	return keepAlive
 }
 
-func (l *clientConn) refuseHead(err error) {
+func (c *clientConn) refuseHead(err error) {
 	switch {
 	case errors.Is(err, http1.ErrTooLarge):
-		l.refuse("431 Request Header Fields Too Large", err.Error())
+		c.refuse("431 Request Header Fields Too Large", err.Error())
 	case errors.Is(err, http1.ErrMalformed):
-		l.refuse("400 Bad Request", err.Error())
+		c.refuse("400 Bad Request", err.Error())
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		l.refuse("408 Request Timeout", "the head did not come in time")
+		c.refuse("408 Request Timeout", "the head did not come in time")
 	}
 }
 
-// writePlain writes an answer without a stream. An error tells that its client
-// does not take it.
-func (l *clientConn) writePlain(status, text string, keep bool, more ...http1.Field) error {
-	l.nc.SetWriteDeadline(time.Now().Add(l.s.limits.Load().Write))
-	h := append(http1.Header{{Name: "Content-Length", Value: strconv.Itoa(len(text))}}, more...)
-	if !keep {
+// writePlain writes a response that is not a stream. An error means that the client did
+// not accept it.
+func (c *clientConn) writePlain(status, text string, keepAlive bool, extra ...http1.Field) error {
+	c.nc.SetWriteDeadline(time.Now().Add(c.s.limits.Load().Write))
+	h := append(http1.Header{{Name: "Content-Length", Value: strconv.Itoa(len(text))}}, extra...)
+	if !keepAlive {
 		h = append(h, http1.Field{Name: "Connection", Value: "close"})
 	}
-	http1.WriteHead(l.bw, "HTTP/1.1 "+status, h)
-	l.bw.WriteString(text)
-	return l.bw.Flush()
+	http1.WriteHead(c.bw, "HTTP/1.1 "+status, h)
+	c.bw.WriteString(text)
+	return c.bw.Flush()
 }
 
-// refuse writes an error, the connection's last answer, and shuts it down.
-func (l *clientConn) refuse(status, why string) {
-	l.writePlain(status, why+"\n", false)
-	l.shutdown()
+// refuse writes an error as the connection's last response, and shuts the connection down.
+func (c *clientConn) refuse(status, reason string) {
+	c.writePlain(status, reason+"\n", false)
+	c.shutdown()
 }
 
-const maxShutdownBytes = 512 << 10 // bytes heard after the last answer
+const shutdownDrainBytes = 512 << 10 // bytes read and discarded after the last response
--- a/internal/platform/clients/crossing_test.go
+++ b/internal/platform/clients/crossing_test.go
@@ -37,7 +37,7 @@
 func TestFloodIsAnswered(t *testing.T) {
 	addr, asked, _ := served(t, 10, nil)
 	nc := dial(t, addr)
-	go io.WriteString(nc, strings.Repeat(whole, 4*maxReadAhead/len(whole)))
+	go io.WriteString(nc, strings.Repeat(whole, 4*maxReadAheadBytes/len(whole)))
 	br, answers, last := bufio.NewReader(nc), 0, ""
 	for {
 		res, err := http1.ReadResponse(br)
@@ -129,7 +129,7 @@
 		t.Fatal(err)
 	}
 	s.mu.Lock()
-	if n := len(s.pending); n > maxPending {
+	if n := len(s.pending); n > maxPendingBytes {
 		t.Errorf("%d bytes wait", n)
 	}
 	s.mu.Unlock()
@@ -164,7 +164,7 @@
 			break
 		}
 		s.mu.Lock()
-		if n := len(s.pending); n > maxPending+2000 {
+		if n := len(s.pending); n > maxPendingBytes+2000 {
 			t.Errorf("%d bytes wait", n)
 		}
 		s.mu.Unlock()
--- a/internal/platform/clients/exchange.go
+++ b/internal/platform/clients/exchange.go
@@ -26,120 +26,120 @@
 	ReadyPath = "/ready"
 )
 
-// exchange is one request until its answer is written. The connection's
-// goroutine waits for the final answer and for the client to leave, whichever is
-// first; events are written from the attempt's goroutine as they come.
+// exchange is one request until its response is written. The connection's goroutine
+// waits for the final answer or for the client to disconnect, whichever comes first;
+// events are written by the attempt's goroutine as they arrive.
 type exchange struct {
 	conn      *clientConn
 	req       *http1.Request
-	from      time.Time
-	keep      bool
-	heldBytes int64 // bytes of the head and the body
+	startedAt time.Time
+	keepAlive bool
+	heldBytes int64 // bytes of head and body counted in Server.bodies
 
-	streamID uint64        // its number among the streams, once begun
-	since    time.Duration // of the server's life, when it began
+	streamID        uint64        // number in Server.streams, once streaming
+	streamStartedAt time.Duration // after Server.startedAt
 
-	mu     sync.Mutex    // never held while writing
-	stream *streamWriter // of the stream, once begun
-	begun  bool          // events are passed on; false for good once the final answer came before the first
-	final  *driver.Answer
-	done   chan struct{}
+	mu        sync.Mutex    // never held while writing
+	stream    *streamWriter // once streaming
+	streaming bool          // events are passed on; stays false if the final answer came before the first event
+	final     *driver.Answer
+	done      chan struct{} // closed once final is set
 
-	announced atomic.Bool // its stream's head told that the connection closes
+	closeAnnounced atomic.Bool // the stream's head said that the connection closes
 
-	abandon func()      // takes the request back; guarded by mu
-	cut     atomic.Bool // the router ended its stream
+	abandon     func()      // cancels the request; guarded by mu
+	cutByRouter atomic.Bool // the router ended the stream
 
-	// Of the connection's goroutine, for the guard and the log:
-	name     string // the request's id
-	answered bool   // its answer went out as far as its client took it, or its stream's end was told by the close
+	// Used by the connection's goroutine, for the guard and the log:
+	id       string // of the request
+	answered bool   // the response was written as far as the client accepted it, or closing the connection ended its stream
 
-	left atomic.Bool // its client has left
+	clientDisconnected atomic.Bool
 }
 
-// serve serves the request; it tells whether another may follow.
+// serve serves the request and reports whether another may follow on the connection.
 func (x *exchange) serve() bool {
 	s := x.conn.s
 	defer func() { s.bodies.Give(x.heldBytes) }()
-	job, bad := readJob(x.req, *s.classes.Load())
+	job, bad := parseJob(x.req, *s.classes.Load())
 	if bad == nil {
-		bad = x.count(job.Header.Size())
+		bad = x.reserveHead(job.Header.Size())
 	}
 	if bad == nil {
 		job.Body, bad = x.body()
 	}
 	if bad != nil {
-		x.conn.note(badRequest)
-		x.conn.refuse(bad.status, bad.why)
+		x.conn.setCloseReason(closedBadRequest)
+		x.conn.refuse(bad.status, bad.reason)
 		return false
 	}
-	x.name = job.Name
+	x.id = job.Name
 	if !x.start(job.Name) {
 		return false
 	}
 	defer s.releaseID(job.Name)
 	x.conn.requests++
-	defer x.mayClose()
+	defer x.checkClose()
 	if e := s.cfg.Log.Check(zap.DebugLevel, "came"); e != nil {
 		e.Write(zap.String("id", job.Name), zap.Uint64("conn", x.conn.id), zap.String("session", job.SessionID), zap.String("class", job.ClassName), zap.String("tenant", job.TenantName),
 			zap.Duration("give-up", job.Timeout), zap.String("retried", x.req.Header.Get("X-Retried")),
-			zap.String("attrs", x.req.Header.Get("X-Attrs")), zap.Duration("read", time.Since(x.from)))
+			zap.String("attrs", x.req.Header.Get("X-Attrs")), zap.Duration("read", time.Since(x.startedAt)))
 	}
-	job.Timeout, job.QueuedFor, job.ClientGone = s.timeLeft(job.Timeout), time.Since(x.from), x.clientGone
+	job.Timeout, job.QueuedFor, job.ClientGone = s.capTimeout(job.Timeout), time.Since(x.startedAt), x.checkDisconnected
 	call, err := s.cfg.Submit(*job, x)
-	if err != nil { // the platform's bounds: nothing has run
-		x.plain("503 Service Unavailable", err.Error()+"\n")
-		return x.keep
+	if err != nil { // over the driver's limits: nothing has run
+		x.writePlain("503 Service Unavailable", err.Error()+"\n")
+		return x.keepAlive
 	}
 	a := x.wait(call.Abandon)
 	s.streamEnded(x)
-	x.keep = x.keep && !x.closesBehind()
+	x.keepAlive = x.keepAlive && !x.closesAfterResponse()
 	x.answer(a)
-	return x.keep
+	return x.keepAlive
 }
 
-// closesBehind tells whether the connection closes behind the answer. Once the router is told to stop each answer that
-// begins announces it; a stream that had begun before can't, and what follows it is heard until the stop's grace for
-// new requests is over. What was read ahead is answered all the same.
-func (x *exchange) closesBehind() bool {
-	if x.stream != nil && !x.announced.Load() {
+// closesAfterResponse reports whether the connection closes after the response. While the router is stopping, each response
+// that begins announces the close. A stream that had begun before could not: its connection stays open for requests until
+// the grace for new requests is over. Pipelined requests that were read are always answered.
+func (x *exchange) closesAfterResponse() bool {
+	if x.stream != nil && !x.closeAnnounced.Load() {
 		return x.conn.closesNext()
 	}
 	return x.conn.s.stopping() && !x.conn.hasBuffered()
 }
 
-// start asks the guard whether the request may begin, and takes its id.
+// start asks the guard whether the request may begin, and reserves its id.
 func (x *exchange) start(id string) bool {
-	facts := guard.StartFacts{ClientGone: x.conn.readAhead.clientGone()}
+	facts := guard.StartFacts{ClientGone: x.conn.readAhead.clientDisconnected()}
 	facts.IDOpen = !facts.ClientGone && !x.conn.s.reserveID(id)
-	why := guard.MayStart(facts)
-	if x.conn.s.cfg.Guard.Check(guard.Start, why, id) {
+	reason := guard.MayStart(facts)
+	if x.conn.s.cfg.Guard.Check(guard.Start, reason, id) {
 		return true
 	}
-	if why == guard.ClientGone { // while its request was read: no answer is owed, and nothing may begin, nor keep its id from another
-		x.conn.clientGone = true
-		x.conn.note(byClientWaiting)
+	if reason == guard.ClientGone { // while its request was read: it needs no response, and must neither begin nor reserve its id
+		x.conn.clientDisconnected = true
+		x.conn.setCloseReason(closedWhileWaiting)
 		return false
 	}
-	x.conn.note(badRequest)
+	x.conn.setCloseReason(closedBadRequest)
 	x.conn.refuse("409 Conflict", "a request with this id is open")
 	return false
 }
 
-// plain writes an answer without a stream.
-func (x *exchange) plain(status, text string, more ...http1.Field) {
+// writePlain writes a response that is not a stream.
+func (x *exchange) writePlain(status, text string, extra ...http1.Field) {
 	x.answered = true
-	if x.conn.writePlain(status, text, x.keep, more...) != nil {
-		x.keep = false
-		x.conn.note(writeFailed)
+	if x.conn.writePlain(status, text, x.keepAlive, extra...) != nil {
+		x.keepAlive = false
+		x.conn.setCloseReason(closedWriteFailed)
 	}
-	if !x.keep {
-		x.conn.note(asAsked)
+	if !x.keepAlive {
+		x.conn.setCloseReason(closedAsRequested)
 	}
 }
 
-// count counts what is kept of the request's head in the bound on all bodies.
-func (x *exchange) count(size int64) *requestError {
+// reserveHead counts the memory of the request's head in the limit on all bodies.
+func (x *exchange) reserveHead(size int64) *requestError {
 	if !x.conn.s.bodies.Take(size, x.conn.s.limits.Load().Bodies) {
 		return &requestError{"503 Service Unavailable", http1.ErrCrowded.Error()}
 	}
@@ -147,14 +147,14 @@
 	return nil
 }
 
-// body reads the request's body.
+// body reads and checks the request's body.
 func (x *exchange) body() ([]byte, *requestError) {
-	lim := x.conn.s.limits.Load()
+	limits := x.conn.s.limits.Load()
 	b, err := http1.RequestBody(x.conn.br, x.req.Header)
 	if err != nil {
 		return nil, &requestError{"400 Bad Request", err.Error()}
 	}
-	if b.Length() > lim.Body {
+	if b.Length() > limits.Body {
 		return nil, &requestError{"413 Content Too Large", "the body is too large"}
 	}
 	if expect := x.req.Header.Get("Expect"); expect != "" {
@@ -163,7 +163,7 @@
 		}
 		io.WriteString(x.conn.nc, "HTTP/1.1 100 Continue\r\n\r\n")
 	}
-	text, held, err := b.ReadWhole(lim.Body, lim.Bodies, &x.conn.s.bodies)
+	text, held, err := b.ReadWhole(limits.Body, limits.Bodies, &x.conn.s.bodies)
 	x.heldBytes += held
 	switch {
 	case err == nil && !validJSON(text):
@@ -180,8 +180,8 @@
 	return nil, &requestError{"400 Bad Request", "body: " + err.Error()}
 }
 
-// wait waits for the final answer. A client that leaves meanwhile takes its
-// request back. What it sends ahead is kept for its turn.
+// wait waits for the final answer. If the client disconnects meanwhile, the request is
+// cancelled. Pipelined data is buffered.
 func (x *exchange) wait(abandon func()) driver.Answer {
 	x.mu.Lock()
 	x.abandon = abandon
@@ -190,10 +190,10 @@
 	}
 	x.mu.Unlock()
 	if err := x.conn.readAhead.watch(); !errors.Is(err, os.ErrDeadlineExceeded) && !faults.Broken(faults.BreakGone) {
-		x.keep = false
+		x.keepAlive = false
 		if !errors.Is(err, net.ErrClosed) { // else this router closed it
-			x.left.Store(true)
-			x.conn.note(byClientWaiting)
+			x.clientDisconnected.Store(true)
+			x.conn.setCloseReason(closedWhileWaiting)
 		}
 		abandon()
 	}
@@ -201,27 +201,27 @@
 	return *x.final
 }
 
-// clientGone tells whether the client has left, at the instant at which an attempt is
-// about to begin: the connection's goroutine may not have run since.
-func (x *exchange) clientGone() bool {
+// checkDisconnected reports whether the client has disconnected, just before an attempt begins:
+// the connection's goroutine may not have run since.
+func (x *exchange) checkDisconnected() bool {
 	if faults.Broken(faults.BreakGone) || !connpool.PeerClosed(x.conn.nc) {
 		return false
 	}
-	x.left.Store(true)
+	x.clientDisconnected.Store(true)
 	x.mu.Lock()
 	abandon := x.abandon
 	x.mu.Unlock()
-	if abandon != nil { // else the connection's goroutine is about to see it
+	if abandon != nil { // else wait is about to see it
 		abandon()
 	}
 	return true
 }
 
-// Token passes a chunk of events on.
+// Token implements driver.Sink: it passes events on as one chunk, and returns false if the client gets no more.
 func (x *exchange) Token(text []byte) bool {
 	x.mu.Lock()
-	first, late := !x.begun, x.final != nil
-	x.begun = x.begun || !late
+	first, late := !x.streaming, x.final != nil
+	x.streaming = x.streaming || !late
 	x.mu.Unlock()
 	if late {
 		return false
@@ -232,7 +232,7 @@
 		x.stream = newStreamWriter(x.conn.nc, s.limits.Load, &s.bodies, s.wg.Go)
 		x.stream.frame = append(x.stream.frame, streamHead...)
 		if s.stopping() {
-			x.announced.Store(true)
+			x.closeAnnounced.Store(true)
 			x.stream.frame = append(x.stream.frame, closeField...)
 		}
 		x.stream.frame = append(x.stream.frame, "\r\n"...)
@@ -242,72 +242,72 @@
 	return x.stream.chunk(text) == nil
 }
 
-// brokenStreamGrace is how long a client may take what was passed on of a stream that
-// broke, before its connection ends.
+// brokenStreamGrace is how long a client has to read the events that precede a stream's
+// break, before its connection closes.
 const brokenStreamGrace = 2 * time.Second
 
-// The head of a stream, and the field of one behind which the connection closes.
+// The head of a stream's response, and the field that announces that the connection closes after it.
 const (
 	streamHead = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n"
 	closeField = "Connection: close\r\n"
 )
 
-// cutStream ends a stream before its end: its client is told at once, so that it may
-// go on elsewhere.
+// cutStream ends an incomplete stream and closes the write side, so that the client can
+// resume it at another router at once.
 func (x *exchange) cutStream() {
-	x.cut.Store(true)
-	if out, ok := x.conn.nc.(interface{ CloseWrite() error }); ok {
-		out.CloseWrite()
+	x.cutByRouter.Store(true)
+	if half, ok := x.conn.nc.(interface{ CloseWrite() error }); ok {
+		half.CloseWrite()
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.abandon != nil { // else the next event finds nobody
-		go x.abandon() // not here: it waits for the driver, which may be about to tell of a stream
+	if x.abandon != nil { // else the next write fails and cancels the attempt
+		go x.abandon() // not synchronously: it waits for the driver, which may be waiting for the locks held here
 	}
 }
 
-// Final takes the final answer and wakes the connection's goroutine.
+// Final implements driver.Sink: it sets the final answer and wakes the connection's goroutine.
 func (x *exchange) Final(a driver.Answer) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.final = &a
 	close(x.done)
-	x.conn.nc.SetReadDeadline(expired)
+	x.conn.nc.SetReadDeadline(pastDeadline)
 }
 
-// answer writes what is left to say. A stream that is not whole ends with its
-// connection, without the last chunk.
+// answer writes the response, or the end of the stream. An incomplete stream ends with
+// its connection, without the last chunk.
 func (x *exchange) answer(a driver.Answer) {
 	if faults.Broken(faults.BreakAnswer) && x.conn.id%10 == 0 {
-		x.keep = false
+		x.keepAlive = false
 		return
 	}
 	switch {
-	case a.Outcome == driver.Served && x.begun:
+	case a.Outcome == driver.Served && x.streaming:
 		x.answered = true
 		if x.stream.chunk(nil) != nil || x.stream.drain(time.Time{}) != nil {
-			x.keep = false
-			x.conn.note(writeFailed)
+			x.keepAlive = false
+			x.conn.setCloseReason(closedWriteFailed)
 		}
-	case x.begun && a.Outcome == driver.Failed: // what came before it broke is still its client's
-		x.keep, x.answered = false, true
-		x.conn.note(streamBroken)
+	case x.streaming && a.Outcome == driver.Failed: // the client still gets what precedes the break
+		x.keepAlive, x.answered = false, true
+		x.conn.setCloseReason(closedStreamBroken)
 		x.stream.drain(time.Now().Add(brokenStreamGrace))
-	case x.begun: // taken back by its client, or ended by the router for its client to go on elsewhere
-		x.keep, x.answered = false, x.left.Load() || x.cut.Load()
-		x.conn.note(streamBroken)
+	case x.streaming: // cancelled by the client, or ended by the router
+		x.keepAlive, x.answered = false, x.clientDisconnected.Load() || x.cutByRouter.Load()
+		x.conn.setCloseReason(closedStreamBroken)
 	case a.Outcome == driver.Cancelled:
-		x.keep = false
+		x.keepAlive = false
 	case a.Outcome == driver.Refused:
-		var more []http1.Field
+		var extra []http1.Field
 		if a.RetryAfter > 0 {
-			more = append(more, http1.Field{Name: "Retry-After", Value: strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', 3, 64)})
+			extra = append(extra, http1.Field{Name: "Retry-After", Value: strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', 3, 64)})
 		}
-		x.plain("503 Service Unavailable", "refused: nothing was done\n", more...)
+		x.writePlain("503 Service Unavailable", "refused: nothing was done\n", extra...)
 	default:
-		x.plain("500 Internal Server Error", "failed\n")
+		x.writePlain("500 Internal Server Error", "failed\n")
 	}
-	if !x.keep {
-		x.conn.note(asAsked)
+	if !x.keepAlive {
+		x.conn.setCloseReason(closedAsRequested)
 	}
 }
--- a/internal/platform/clients/job.go
+++ b/internal/platform/clients/job.go
@@ -14,30 +14,31 @@
 	"gannethook/internal/http1"
 )
 
+// path returns a request target without its query.
 func path(target string) string {
 	p, _, _ := strings.Cut(target, "?")
 	return p
 }
 
-// requestError tells why a request can't be taken.
-type requestError struct{ status, why string }
+// requestError is the response to an invalid request.
+type requestError struct{ status, reason string }
 
-// Bounds of what a request may say of itself.
+// Limits on the values in a request's header.
 const (
-	maxRequestID = 128
-	maxTokens    = 1 << 22
-	maxTimeoutMS = int64(time.Hour / time.Millisecond)
+	maxRequestID = 128                                 // bytes
+	maxTokens    = 1 << 22                             // in each field of X-Attrs
+	maxTimeoutMS = int64(time.Hour / time.Millisecond) // ms
 )
 
-// validJSON tells whether a body is a JSON object: no worker could use another.
+// validJSON reports whether a body is a JSON object; workers accept nothing else.
 func validJSON(body []byte) bool {
 	body = bytes.TrimLeft(body, " \t\r\n")
 	return len(body) > 0 && body[0] == '{' && json.Valid(body)
 }
 
-// readJob reads a request's head.
-func readJob(req *http1.Request, classes map[string]int) (*driver.Job, *requestError) {
-	bad := func(why string) (*driver.Job, *requestError) { return nil, &requestError{"400 Bad Request", why} }
+// parseJob parses a request's head into a job for the driver.
+func parseJob(req *http1.Request, classes map[string]int) (*driver.Job, *requestError) {
+	reject := func(reason string) (*driver.Job, *requestError) { return nil, &requestError{"400 Bad Request", reason} }
 	if path(req.Target) != ChatPath {
 		return nil, &requestError{"404 Not Found", "only " + ChatPath + " is served"}
 	}
@@ -45,44 +46,44 @@
 		return nil, &requestError{"405 Method Not Allowed", "POST is expected"}
 	}
 	if req.Header.Get("Host") == "" {
-		return bad("Host is missing")
+		return reject("Host is missing")
 	}
-	var values [len(headers)]string
-	for i, name := range headers {
-		v, ok := singleValue(req.Header, name)
+	var values [len(jobHeaders)]string
+	for i, id := range jobHeaders {
+		v, ok := singleValue(req.Header, id)
 		if !ok {
-			return bad(name + " comes twice")
+			return reject(id + " comes twice")
 		}
 		values[i] = v
 	}
-	name, class, key, timeout, attrs, tenant := values[0], values[1], values[2], values[3], values[4], values[5]
-	if !isName(name) {
-		return bad("X-Request-ID: up to 128 letters, digits, '-', '_' or '.' expected")
+	id, class, session, timeout, attrs, tenant := values[0], values[1], values[2], values[3], values[4], values[5]
+	if !validRequestID(id) {
+		return reject("X-Request-ID: up to 128 letters, digits, '-', '_' or '.' expected")
 	}
-	at, ok := classes[class]
+	classIndex, ok := classes[class]
 	if !ok {
-		return bad("X-Priority-Class: not known")
+		return reject("X-Priority-Class: not known")
 	}
 	ms, err := strconv.ParseInt(timeout, 10, 64)
 	if err != nil || ms <= 0 || ms > maxTimeoutMS {
-		return bad("X-Timeout-Ms: milliseconds expected")
+		return reject("X-Timeout-Ms: milliseconds expected")
 	}
-	job := &driver.Job{Name: name, Class: at, ClassName: class, TenantName: tenant, Path: req.Target, Session: keyOf(key),
-		SessionID: key, Timeout: time.Duration(ms) * time.Millisecond, Header: req.Header.EndToEnd(ownFields...)}
-	if why := readAttrs(attrs, job); why != "" {
-		return bad(why)
+	job := &driver.Job{Name: id, Class: classIndex, ClassName: class, TenantName: tenant, Path: req.Target, Session: hashKey(session),
+		SessionID: session, Timeout: time.Duration(ms) * time.Millisecond, Header: req.Header.EndToEnd(perAttemptFields...)}
+	if reason := parseAttrs(attrs, job); reason != "" {
+		return reject(reason)
 	}
 	return job, nil
 }
 
-// ownFields are the fields that each attempt writes for itself. All others that
-// go end to end are passed on as they came: workers may know a repeat by any of
-// them, as by an idempotency key.
-var ownFields = []string{"X-Request-ID", "X-Timeout-Ms"}
+// perAttemptFields are the header fields that each attempt sets itself. All other
+// end-to-end fields are forwarded unchanged: workers may detect repeated requests by any
+// of them, such as an idempotency key.
+var perAttemptFields = []string{"X-Request-ID", "X-Timeout-Ms"}
 
-var headers = [...]string{"X-Request-ID", "X-Priority-Class", "X-Route-Key", "X-Timeout-Ms", "X-Attrs", "X-Tenant-Id"}
+var jobHeaders = [...]string{"X-Request-ID", "X-Priority-Class", "X-Route-Key", "X-Timeout-Ms", "X-Attrs", "X-Tenant-Id"}
 
-// singleValue is a field's one value.
+// singleValue returns the value of a header field, empty if missing; ok is false if the field is repeated.
 func singleValue(h http1.Header, name string) (value string, ok bool) {
 	seen := false
 	for _, f := range h {
@@ -96,7 +97,8 @@
 	return value, true
 }
 
-func isName(s string) bool {
+// validRequestID reports whether s has 1 to maxRequestID letters, digits, '-', '_' or '.'.
+func validRequestID(s string) bool {
 	for i := range len(s) {
 		c := s[i]
 		if !(c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '-' || c == '_' || c == '.') {
@@ -106,15 +108,15 @@
 	return s != "" && len(s) <= maxRequestID
 }
 
-// readAttrs reads what a request says of its prompt; it returns what is wrong.
-func readAttrs(attrs string, job *driver.Job) string {
+// parseAttrs parses X-Attrs, which describes the prompt; it returns the error, empty if there is none.
+func parseAttrs(attrs string, job *driver.Job) string {
 	for part := range strings.SplitSeq(attrs, ",") {
 		name, value, ok := strings.Cut(strings.TrimSpace(part), "=")
 		if name == "" && !ok {
 			continue
 		}
 		if name == "prefix" {
-			job.Prefix, job.PrefixName = keyOf(value), value
+			job.Prefix, job.PrefixName = hashKey(value), value
 			continue
 		}
 		n, err := strconv.ParseUint(value, 10, 32)
@@ -133,8 +135,8 @@
 	return ""
 }
 
-// keyOf names a session or a shared beginning in the module's terms.
-func keyOf(text string) gannethook.Key {
+// hashKey maps the name of a session or of a shared prefix to a key of the decision module; 0: none.
+func hashKey(text string) gannethook.Key {
 	if text == "" {
 		return 0
 	}
--- a/internal/platform/clients/readahead.go
+++ b/internal/platform/clients/readahead.go
@@ -11,66 +11,66 @@
 	"gannethook/internal/http1"
 )
 
-// readAhead reads a connection further than its user asks: what a client pipelines
-// behind an open request is buffered in bounded memory, so that its disconnect is
-// seen. It has one user at a time.
+// readAhead reads a connection ahead of its user: data that a client pipelines after an
+// open request is buffered in bounded memory, so that a disconnect after it is detected.
+// It is used by one goroutine at a time.
 type readAhead struct {
-	nc       net.Conn
-	budget   *http1.Budget
-	limit    int64  // bytes that the budget allows
-	buffered []byte // read and not yet asked for
-	held     int64  // bytes counted in the budget
-	dropped  int    // bytes for which there was no room: nothing behind may be taken
-	small    [256]byte
+	nc           net.Conn
+	budget       *http1.Budget
+	limit        int64  // bytes allowed in the whole budget
+	buffered     []byte // read ahead
+	heldBytes    int64  // counted in the budget
+	droppedBytes int    // read and discarded for lack of memory: nothing after them may be used
+	smallBuf     [256]byte
 }
 
 const (
-	maxReadAhead = 256 << 10        // bytes kept of one connection
-	floodPause   = time.Millisecond // between two reads of a client that sends on and on behind its open request
+	maxReadAheadBytes = 256 << 10        // buffered for one connection
+	floodReadPause    = time.Millisecond // between two reads once a client has sent more than shutdownDrainBytes beyond the buffer
 )
 
-// largeBuffers are buffers for what is there already; what is waited for has the small one.
+// largeBuffers are for reading available data; a connection that waits for data uses its smallBuf.
 var largeBuffers = sync.Pool{New: func() any { return new([16 << 10]byte) }}
 
-// Read gives what is kept, then what comes.
+// Read returns buffered data first, then reads the connection.
 func (a *readAhead) Read(p []byte) (int, error) {
 	if len(a.buffered) > 0 {
 		n := copy(p, a.buffered)
 		a.buffered = a.buffered[n:]
 		if len(a.buffered) == 0 {
-			a.budget.Give(a.held)
-			a.buffered, a.held = nil, 0
+			a.budget.Give(a.heldBytes)
+			a.buffered, a.heldBytes = nil, 0
 		}
 		return n, nil
 	}
-	if a.dropped > 0 {
+	if a.droppedBytes > 0 {
 		return 0, io.EOF
 	}
 	return a.nc.Read(p)
 }
 
-// watch reads until the client leaves, which is io.EOF or another error of the
-// connection, or until the read deadline passes. It hears a client out that sends
-// on and on, at a pace: its leaving lies behind all that it sent.
+// watch reads until the client disconnects (io.EOF or another connection error) or the
+// read deadline passes. It keeps reading, at a limited rate, from a client that sends on
+// and on: its disconnect is detected only after all data before it.
 func (a *readAhead) watch() error {
 	for {
-		if err := a.readOnce(a.small[:]); err != nil {
+		if err := a.readOnce(a.smallBuf[:]); err != nil {
 			return err
 		}
-		if err := a.drain(); err != nil {
+		if err := a.readAvailable(); err != nil {
 			return err
 		}
 	}
 }
 
-// clientGone tells whether the client has left, behind whatever it sent ahead.
-func (a *readAhead) clientGone() bool {
-	err := a.drain()
+// clientDisconnected reports whether the client has disconnected, after any pipelined data.
+func (a *readAhead) clientDisconnected() bool {
+	err := a.readAvailable()
 	return err != nil && !isTimeout(err)
 }
 
-// drain reads what is there already; io.EOF tells that the client has left.
-func (a *readAhead) drain() error {
+// readAvailable reads the data available without waiting; io.EOF means that the client has disconnected.
+func (a *readAhead) readAvailable() error {
 	for {
 		switch connpool.Look(a.nc) {
 		case connpool.Quiet:
@@ -84,8 +84,8 @@
 		if err != nil {
 			return err
 		}
-		if a.dropped > maxShutdownBytes {
-			time.Sleep(floodPause)
+		if a.droppedBytes > shutdownDrainBytes {
+			time.Sleep(floodReadPause)
 		}
 	}
 }
@@ -95,15 +95,15 @@
 	return errors.As(err, &t) && t.Timeout()
 }
 
-// readOnce reads once, and keeps it. Where there is no room it is heard and dropped.
+// readOnce reads once and buffers the data, or discards it if the buffer or the budget is full.
 func (a *readAhead) readOnce(part []byte) error {
 	n, err := a.nc.Read(part)
 	switch {
 	case n == 0:
-	case a.dropped > 0 || len(a.buffered)+n > maxReadAhead || !a.budget.Take(int64(n), a.limit):
-		a.dropped += n
+	case a.droppedBytes > 0 || len(a.buffered)+n > maxReadAheadBytes || !a.budget.Take(int64(n), a.limit):
+		a.droppedBytes += n
 	default:
-		a.held += int64(n)
+		a.heldBytes += int64(n)
 		a.buffered = append(a.buffered, part[:n]...)
 	}
 	return err
--- a/internal/platform/clients/server.go
+++ b/internal/platform/clients/server.go
@@ -1,6 +1,7 @@
-// Package clients is the way in from the platform's clients: connections,
-// requests with their ids and deadlines, answers and streams. It decides nothing
-// but what can't be taken as a request at all.
+// Package clients is the HTTP/1.1 server for the platform's clients. It owns their
+// connections, parses requests with their ids and deadlines, and writes responses and
+// streams. It refuses only what is not a valid request or exceeds its own limits; all
+// else is decided by the driver.
 package clients
 
 import (
@@ -23,80 +24,81 @@
 	"gannethook/internal/streamdrain"
 )
 
-// Limits bound what clients can take up.
+// Limits bound the resources that clients can use.
 type Limits struct {
-	Conns      int           // open at once
-	Body       int64         // bytes of one body
-	Bodies     int64         // of all bodies under way
-	Head       time.Duration // for a request to come in whole, and for a new connection to begin one
-	Idle       time.Duration // an unused connection closes
-	Write      time.Duration // a client that takes nothing for so long is cut
-	Rejections int           // connections beyond Conns that are told so at once; the others are closed untold
-	Shutdown   time.Duration // how long a client that still sends is heard out after its error
+	Conns      int           // connections open at once
+	Body       int64         // bytes of one request body
+	Bodies     int64         // bytes buffered for all clients: requests, pipelined data and unsent stream data
+	Head       time.Duration // for a request to arrive whole, and for a new connection to begin its first one
+	Idle       time.Duration // after which an idle connection is closed
+	Write      time.Duration // a client that accepts no data for so long is disconnected
+	Rejections int           // connections beyond Conns that get a 503 at a time; any more are closed without a response
+	Shutdown   time.Duration // for reading what a client still sends once its connection's write side is closed
 }
 
-// Config sets a server up.
+// Config has what New needs.
 type Config struct {
 	Limits  Limits
-	Classes []string // their names, in the module's order
-	Submit  func(driver.Job, driver.Sink) (*driver.Call, error)
-	Ready   func() bool
+	Classes []string                                            // priority classes, in the module's order
+	Submit  func(driver.Job, driver.Sink) (*driver.Call, error) // hands a request to the driver; an error: nothing has run
+	Ready   func() bool                                         // answers the load balancer's readiness checks
 	Log     *zap.Logger
-	Guard   *guard.Monitor // counts what may not be done; nil: nobody asks
+	Guard   *guard.Monitor // checks and counts what the guard denies; may be nil
 }
 
-// Server serves clients. Its methods may be called from anywhere.
+// Server serves clients. Its methods are safe for concurrent use.
 type Server struct {
-	cfg       Config
-	start     time.Time
-	limits    atomic.Pointer[Limits]
-	classes   atomic.Pointer[map[string]int] // by name
-	wg        sync.WaitGroup
-	bodies    http1.Budget
-	answerBy  atomic.Int64 // ns of the server's life by which all must be answered; 0: it goes on
-	refusing  atomic.Int64 // connections beyond the bound that are being told
-	closing   atomic.Bool  // no connection takes another request
-	closedAll atomic.Bool  // no connection is shut down in order any more
-	closes    closeCounts
-	conns     atomic.Uint64 // taken: numbers them in the log
+	cfg              Config
+	startedAt        time.Time
+	limits           atomic.Pointer[Limits]
+	classes          atomic.Pointer[map[string]int] // name to index
+	wg               sync.WaitGroup
+	bodies           http1.Budget
+	answerDeadline   atomic.Int64 // nanoseconds after startedAt by which every request must be answered; 0: not stopping
+	refusalsInFlight atomic.Int64 // connections being closed with a 503 or by eviction, up to Limits.Rejections
+	closing          atomic.Bool  // connections accept no further request
+	closedAll        atomic.Bool  // connections are no longer shut down gracefully
+	closes           closeCounts
+	connCount        atomic.Uint64 // accepted; numbers them in the log
 
 	mu         sync.Mutex
 	open       map[*clientConn]struct{}
-	idle       *list.List          // of *clientConn, the longest unused first
-	requestIDs map[string]struct{} // ids of open requests
-	rejecting  bool
+	idle       *list.List          // of *clientConn, longest idle first
+	requestIDs map[string]struct{} // of open requests
+	rejectNew  bool                // CloseAll was called
 
-	streams map[uint64]*exchange // begun and not ended
-	serial  uint64
+	streams      map[uint64]*exchange // open streams by number
+	lastStreamID uint64
 }
 
-// New returns a server; Serve takes connections.
+// New returns a server; Serve accepts connections.
 func New(cfg Config) *Server {
 	s := &Server{cfg: cfg, open: map[*clientConn]struct{}{}, idle: list.New(), requestIDs: map[string]struct{}{},
-		streams: map[uint64]*exchange{}, start: time.Now()}
+		streams: map[uint64]*exchange{}, startedAt: time.Now()}
 	s.Reconfigure(cfg.Classes, cfg.Limits)
 	return s
 }
 
-// Reconfigure has requests that come from now on go by other classes and limits.
-func (s *Server) Reconfigure(names []string, limits Limits) {
-	classes := make(map[string]int, len(names))
-	for i, name := range names {
+// Reconfigure sets the classes and limits for requests that arrive from now on.
+func (s *Server) Reconfigure(classNames []string, limits Limits) {
+	classes := make(map[string]int, len(classNames))
+	for i, name := range classNames {
 		classes[name] = i
 	}
 	s.classes.Store(&classes)
 	s.limits.Store(&limits)
 }
 
-var expired = time.Unix(1, 0)
+// pastDeadline, set as a read deadline, ends a pending read at once.
+var pastDeadline = time.Unix(1, 0)
 
-// Pauses after a failed accept.
+// Pauses after a failed accept, doubled with each failure in a row.
 const (
 	firstAcceptPause = time.Millisecond
 	maxAcceptPause   = 50 * time.Millisecond
 )
 
-// Serve takes connections until the listener closes or is of no more use.
+// Serve accepts connections until the listener is closed, which is no error, or broken.
 func (s *Server) Serve(ln net.Listener) error {
 	pause := firstAcceptPause
 	for {
@@ -109,7 +111,7 @@
 			return nil
 		case isBrokenListener(err):
 			return err
-		default: // what is open goes on
+		default: // transient; open connections are served on
 			if e := s.cfg.Log.Check(zap.WarnLevel, "no connection could be accepted"); e != nil && pause == firstAcceptPause {
 				e.Write(zap.Error(err))
 			}
@@ -119,50 +121,50 @@
 	}
 }
 
-// isBrokenListener tells whether no later accept can go well. Every other error of
-// accept passes: want of descriptors or memory, and what Linux reports of the
-// network or of the connection that would have been accepted.
+// isBrokenListener reports whether no later accept can succeed. All other errors of
+// accept are transient: lack of descriptors or memory, and errors of the network or of
+// the new connection, which Linux passes on.
 func isBrokenListener(err error) bool {
 	return errors.Is(err, syscall.EBADF) || errors.Is(err, syscall.EINVAL) || errors.Is(err, syscall.ENOTSOCK) || errors.Is(err, syscall.EFAULT)
 }
 
-const brokenAt = 20 // the connection at which a build without that guard ends
+const crashConn = 20 // number of the connection at which a build with the fault BreakCrash panics
 
-// accept begins a connection, in place of the one unused for longest where there are too many.
+// accept starts serving a connection; at the limit it evicts the connection idle for longest.
 func (s *Server) accept(nc net.Conn) {
-	l := &clientConn{s: s, nc: nc, id: s.conns.Add(1), since: time.Now()}
-	if l.id == brokenAt && faults.Broken(faults.BreakCrash) {
+	c := &clientConn{s: s, nc: nc, id: s.connCount.Add(1), acceptedAt: time.Now()}
+	if c.id == crashConn && faults.Broken(faults.BreakCrash) {
 		panic("a fault that was asked for")
 	}
 	s.mu.Lock()
 	full := len(s.open) >= s.limits.Load().Conns && !s.evictIdle()
-	if full || s.rejecting {
+	if full || s.rejectNew {
 		s.mu.Unlock()
-		s.rejectOverLimit(l)
+		s.rejectOverLimit(c)
 		return
 	}
-	s.open[l] = struct{}{}
-	l.idleElement = s.idle.PushBack(l) // it has begun nothing yet
+	s.open[c] = struct{}{}
+	c.idleElement = s.idle.PushBack(c) // no request has begun on it
 	s.mu.Unlock()
 	s.wg.Go(func() {
-		defer s.close(l)
-		l.serve()
+		defer s.close(c)
+		c.serve()
 	})
 }
 
-// evictIdle closes the connection unused for longest on which no request is on its
-// way; it looks at few, and is false where it finds none.
+// evictIdle closes the connection idle for longest on which no request is arriving. It
+// examines up to maxEvictionScan connections, and returns false if it finds none.
 func (s *Server) evictIdle() bool {
 	e := s.idle.Front()
 	for range maxEvictionScan {
 		if e == nil {
 			return false
 		}
-		if l := e.Value.(*clientConn); connpool.IsUsable(l.nc) {
-			s.setIdle(l, false)
-			l.evicted = true
-			delete(s.open, l)
-			s.shutEvicted(l)
+		if c := e.Value.(*clientConn); connpool.IsUsable(c.nc) {
+			s.setIdle(c, false)
+			c.evicted = true
+			delete(s.open, c)
+			s.shutdownEvicted(c)
 			return true
 		}
 		e = e.Next()
@@ -170,132 +172,136 @@
 	return false
 }
 
-const maxEvictionScan = 8 // idle connections looked at for one that may be closed
+const maxEvictionScan = 8 // idle connections; bounds the time under the server's lock
 
-// shutEvicted shuts an idle connection down for want of room. A request that comes
-// at this very moment is read and not served, so that its client sends it anew; the
-// connection's goroutine does so, unless too many are being shut down already.
-func (s *Server) shutEvicted(l *clientConn) {
-	out, ok := l.nc.(interface{ CloseWrite() error })
-	if !ok || s.refusing.Add(1) > int64(s.limits.Load().Rejections) {
+// shutdownEvicted shuts down an idle connection gracefully, so that a client whose
+// request crosses the close sees an orderly end and sends it again. The request is read
+// and discarded by the connection's goroutine. If Limits.Rejections connections are
+// being closed so already, it closes the connection at once.
+func (s *Server) shutdownEvicted(c *clientConn) {
+	half, ok := c.nc.(interface{ CloseWrite() error })
+	if !ok || s.refusalsInFlight.Add(1) > int64(s.limits.Load().Rejections) {
 		if ok {
-			s.refusing.Add(-1)
+			s.refusalsInFlight.Add(-1)
 		}
-		l.nc.Close()
+		c.nc.Close()
 		return
 	}
-	l.rejected = true
-	out.CloseWrite()
-	l.nc.SetReadDeadline(expired)
+	c.countsAsRefusal = true
+	half.CloseWrite()
+	c.nc.SetReadDeadline(pastDeadline)
 }
 
-// rejectOverLimit tells a client that there is no room, if not as many are being told
-// already. It hears the client out as any refusal does: its request is on its
-// way, and to close on it would reset the connection and lose the answer.
-func (s *Server) rejectOverLimit(l *clientConn) {
-	if s.refusing.Add(1) > int64(s.limits.Load().Rejections) {
-		s.refusing.Add(-1)
-		l.note(noRoomUntold)
-		s.noteClosed(l)
-		l.nc.Close()
+// rejectOverLimit answers a connection over the limit with a 503, or closes it if
+// Limits.Rejections connections are being closed so already. As with any refusal the
+// client's request is read before the close: closing with unread data would reset the
+// connection, and the response would be lost.
+func (s *Server) rejectOverLimit(c *clientConn) {
+	if s.refusalsInFlight.Add(1) > int64(s.limits.Load().Rejections) {
+		s.refusalsInFlight.Add(-1)
+		c.setCloseReason(closedOverLimitSilently)
+		s.recordClosed(c)
+		c.nc.Close()
 		return
 	}
-	l.note(noRoomTold)
+	c.setCloseReason(closedOverLimit)
 	s.wg.Go(func() {
-		defer s.refusing.Add(-1)
-		defer l.nc.Close()
-		defer s.noteClosed(l)
-		l.initBuffers(512)
-		l.refuse("503 Service Unavailable", "too many connections")
+		defer s.refusalsInFlight.Add(-1)
+		defer c.nc.Close()
+		defer s.recordClosed(c)
+		c.initBuffers(512)
+		c.refuse("503 Service Unavailable", "too many connections")
 	})
 }
 
-// close shuts a connection down and forgets it.
-func (s *Server) close(l *clientConn) {
-	l.shutdown()
+// close shuts down a connection and removes it from the server.
+func (s *Server) close(c *clientConn) {
+	c.shutdown()
 	if s.closedAll.Load() {
-		l.note(onStopAll)
+		c.setCloseReason(closedAtExit)
 	}
-	s.noteClosed(l)
-	l.nc.Close()
+	s.recordClosed(c)
+	c.nc.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.setIdle(l, false)
-	delete(s.open, l)
-	if l.rejected {
-		s.refusing.Add(-1)
+	s.setIdle(c, false)
+	delete(s.open, c)
+	if c.countsAsRefusal {
+		s.refusalsInFlight.Add(-1)
 	}
-	s.bodies.Give(l.readAhead.held)
+	s.bodies.Give(c.readAhead.heldBytes)
 }
 
-// markIdle notes that a connection waits for a request, or no more. It is false
-// where the connection was closed for want of room.
-func (s *Server) markIdle(l *clientConn, rests bool) bool {
+// markIdle records whether a connection is idle, waiting for a request. It returns false
+// if the connection was evicted.
+func (s *Server) markIdle(c *clientConn, idle bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.setIdle(l, rests && !l.evicted)
-	return !l.evicted
+	s.setIdle(c, idle && !c.evicted)
+	return !c.evicted
 }
 
-func (s *Server) setIdle(l *clientConn, rests bool) {
+func (s *Server) setIdle(c *clientConn, idle bool) {
 	switch {
-	case rests && l.idleElement == nil:
-		l.idleElement = s.idle.PushBack(l)
-	case !rests && l.idleElement != nil:
-		s.idle.Remove(l.idleElement)
-		l.idleElement = nil
+	case idle && c.idleElement == nil:
+		c.idleElement = s.idle.PushBack(c)
+	case !idle && c.idleElement != nil:
+		s.idle.Remove(c.idleElement)
+		c.idleElement = nil
 	}
 }
 
-// reserveID takes a request's id; an open one is taken once.
-func (s *Server) reserveID(name string) bool {
+// reserveID registers the id of a request; it returns false if an open request has it.
+func (s *Server) reserveID(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, taken := s.requestIDs[name]; taken {
+	if _, taken := s.requestIDs[id]; taken {
 		return false
 	}
-	s.requestIDs[name] = struct{}{}
+	s.requestIDs[id] = struct{}{}
 	return true
 }
 
-func (s *Server) releaseID(name string) {
+func (s *Server) releaseID(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.requestIDs, name)
+	delete(s.requestIDs, id)
 }
 
-// Drain has the server ready no more. It goes on taking requests, of which each
-// must be answered within so long from now.
-func (s *Server) Drain(within time.Duration) { s.answerBy.Store(int64(time.Since(s.start) + within)) }
+// Drain makes the readiness check fail. The server goes on accepting requests, each of
+// which has to be answered within the given time from now.
+func (s *Server) Drain(within time.Duration) {
+	s.answerDeadline.Store(int64(time.Since(s.startedAt) + within))
+}
 
-// stopping tells whether the router was told to stop.
-func (s *Server) stopping() bool { return s.answerBy.Load() != 0 }
+// stopping reports whether Drain was called.
+func (s *Server) stopping() bool { return s.answerDeadline.Load() != 0 }
 
-// timeLeft is how long a client that waits so long may be kept waiting.
-func (s *Server) timeLeft(waits time.Duration) time.Duration {
-	if ends := s.answerBy.Load(); ends != 0 {
-		return min(waits, max(time.Duration(ends)-time.Since(s.start), time.Millisecond))
+// capTimeout returns a request's timeout, shortened to the time remaining after Drain.
+func (s *Server) capTimeout(timeout time.Duration) time.Duration {
+	if deadline := s.answerDeadline.Load(); deadline != 0 {
+		return min(timeout, max(time.Duration(deadline)-time.Since(s.startedAt), time.Millisecond))
 	}
-	return waits
+	return timeout
 }
 
-// CloseIdle has every connection close once its request is answered, and now where
-// none is open. One whose request is on its way is heard first.
+// CloseIdle closes idle connections, and the others once their request is answered. A
+// request that is arriving on an idle connection is still served.
 func (s *Server) CloseIdle() {
 	s.closing.Store(true)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for e := s.idle.Front(); e != nil; e = e.Next() {
-		e.Value.(*clientConn).nc.SetReadDeadline(expired)
+		e.Value.(*clientConn).nc.SetReadDeadline(pastDeadline)
 	}
 }
 
-// streamStarted notes that a stream has begun.
+// streamStarted registers an open stream.
 func (s *Server) streamStarted(x *exchange) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.serial++
-	x.streamID, x.since = s.serial, time.Since(s.start)
+	s.lastStreamID++
+	x.streamID, x.streamStartedAt = s.lastStreamID, time.Since(s.startedAt)
 	s.streams[x.streamID] = x
 }
 
@@ -305,16 +311,16 @@
 	delete(s.streams, x.streamID)
 }
 
-// EndStreams ends the streams that the plan gives up, so long after the stop: their
-// connections close without the last chunk.
-func (s *Server) EndStreams(plan *streamdrain.Plan, passed time.Duration) int {
+// EndStreams ends the streams that the plan selects, elapsed after the stop: their
+// connections close without the last chunk. It returns how many it ended.
+func (s *Server) EndStreams(plan *streamdrain.Plan, elapsed time.Duration) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	open := make([]streamdrain.Stream, 0, len(s.streams))
 	for id, x := range s.streams {
-		open = append(open, streamdrain.Stream{ID: id, StartedAt: x.since})
+		open = append(open, streamdrain.Stream{ID: id, StartedAt: x.streamStartedAt})
 	}
-	cut := plan.ToEnd(passed, open)
+	cut := plan.ToEnd(elapsed, open)
 	for _, c := range cut {
 		s.streams[c.ID].cutStream()
 		delete(s.streams, c.ID)
@@ -322,14 +328,14 @@
 	return len(cut)
 }
 
-// Open is how many connections are open, those that are being told that there is no room left out.
+// Open returns the number of open connections, without those that are refused over the limit.
 func (s *Server) Open() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.open)
 }
 
-// Wait waits until every connection has closed, or the context ends.
+// Wait waits until every connection has closed, or the context is done.
 func (s *Server) Wait(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
@@ -342,13 +348,13 @@
 	}
 }
 
-// CloseAll closes every connection.
+// CloseAll closes every connection at once, and waits for their goroutines.
 func (s *Server) CloseAll() {
 	s.mu.Lock()
-	s.rejecting = true
+	s.rejectNew = true
 	s.closedAll.Store(true)
-	for l := range s.open {
-		l.nc.Close()
+	for c := range s.open {
+		c.nc.Close()
 	}
 	s.mu.Unlock()
 	s.wg.Wait()
--- a/internal/platform/clients/streamwriter.go
+++ b/internal/platform/clients/streamwriter.go
@@ -12,38 +12,37 @@
 	"gannethook/internal/http1"
 )
 
-// Bounds of a streamWriter.
+// Limits of a streamWriter.
 const (
-	maxPending = 512 << 10 // bytes that wait for a client, beyond which its worker has to wait: a whole body (256 KiB) in the chunks of small events
-	flushSize  = 16 << 10  // bytes written under one deadline
+	maxPendingBytes = 512 << 10 // unsent bytes, beyond which writes block: fits a whole body (256 KiB) of small events, with their chunk framing
+	flushBytes      = 16 << 10  // written under one deadline
 )
 
-// streamWriter writes a stream to a client. What the client does not take at once waits
-// in bounded memory and is written by a goroutine of its own: a worker's stream
-// is read to its end although its client is slow, so that it counts as finished.
+// streamWriter writes a stream to a client. Data that the connection does not accept at
+// once is buffered in bounded memory and written by a separate goroutine: a worker's
+// stream can then be read to its end, and count as finished, although its client is slow.
 type streamWriter struct {
 	nc     net.Conn
 	limits func() *Limits
 	budget *http1.Budget
 	spawn  func(func()) // runs a function on a goroutine that the server waits for
 
-	mu       sync.Mutex
-	changed  *sync.Cond
-	pending  []byte
-	frame    []byte    // for one chunk, kept between calls
-	flushing bool      // a goroutine writes what is unsent
-	drainBy  time.Time // what is unsent by then is given up; zero: as long as the client takes some
-	err      error
+	mu            sync.Mutex
+	changed       *sync.Cond // pending, flushing or err
+	pending       []byte     // unsent; counted in the budget
+	frame         []byte     // buffer for one chunk, reused
+	flushing      bool       // flush is running
+	drainDeadline time.Time  // unsent data is dropped then; zero: not while the client keeps reading
+	err           error
 }
 
-func newStreamWriter(nc net.Conn, limits func() *Limits, budget *http1.Budget, start func(func())) *streamWriter {
-	s := &streamWriter{nc: nc, limits: limits, budget: budget, spawn: start}
+func newStreamWriter(nc net.Conn, limits func() *Limits, budget *http1.Budget, spawn func(func())) *streamWriter {
+	s := &streamWriter{nc: nc, limits: limits, budget: budget, spawn: spawn}
 	s.changed = sync.NewCond(&s.mu)
 	return s
 }
 
-// write sends bytes behind all that was sent before. It waits only while too
-// much is unsent.
+// write sends p after all earlier data. It blocks only while too much is unsent.
 func (s *streamWriter) write(p []byte) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -79,12 +78,12 @@
 	return s.write(s.frame)
 }
 
-// reserve counts bytes that are about to wait, if they may.
+// reserve counts n bytes to be buffered; it returns false if they exceed a limit.
 func (s *streamWriter) reserve(n int) bool {
-	return len(s.pending)+n <= maxPending && s.budget.Take(int64(n), s.limits().Bodies)
+	return len(s.pending)+n <= maxPendingBytes && s.budget.Take(int64(n), s.limits().Bodies)
 }
 
-// writeNow writes what the system takes without a wait.
+// writeNow writes what the kernel accepts without waiting.
 func (s *streamWriter) writeNow(p []byte) (int, error) {
 	conn, ok := s.nc.(syscall.Conn)
 	if !ok {
@@ -95,28 +94,28 @@
 		return 0, err
 	}
 	s.nc.SetWriteDeadline(time.Now().Add(s.limits().Write))
-	n, wrote := 0, error(nil)
+	n, writeErr := 0, error(nil)
 	err = raw.Write(func(fd uintptr) bool {
-		n, wrote = faults.Write(int(fd), p)
+		n, writeErr = faults.Write(int(fd), p)
 		return true
 	})
 	switch {
 	case err != nil:
 		return 0, err
-	case wrote == nil:
+	case writeErr == nil:
 		return n, nil
-	case connpool.IsLocal(wrote) && !faults.Broken(faults.BreakBuffers): // what is left is written by flush
+	case connpool.IsLocal(writeErr) && !faults.Broken(faults.BreakBuffers): // the remainder is written by flush
 		return 0, nil
 	}
-	return 0, wrote
+	return 0, writeErr
 }
 
-// flush writes what is unsent until nothing is left or the client takes nothing.
+// flush writes pending data until none is left or a write fails.
 func (s *streamWriter) flush() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for s.err == nil && len(s.pending) > 0 {
-		part := slices.Clone(s.pending[:min(len(s.pending), flushSize)])
+		part := slices.Clone(s.pending[:min(len(s.pending), flushBytes)])
 		s.nc.SetWriteDeadline(s.deadline())
 		s.mu.Unlock()
 		_, err := connpool.Writer{Conn: s.nc}.Write(part)
@@ -132,18 +131,18 @@
 }
 
 func (s *streamWriter) deadline() time.Time {
-	by := time.Now().Add(s.limits().Write)
-	if !s.drainBy.IsZero() && s.drainBy.Before(by) {
-		return s.drainBy
+	deadline := time.Now().Add(s.limits().Write)
+	if !s.drainDeadline.IsZero() && s.drainDeadline.Before(deadline) {
+		return s.drainDeadline
 	}
-	return by
+	return deadline
 }
 
-// drain waits until all is sent, or can't be, or until the time, if it is set.
-func (s *streamWriter) drain(until time.Time) error {
+// drain waits until all is sent or a write fails. Writes fail at the deadline; zero: not before Limits.Write without progress.
+func (s *streamWriter) drain(deadline time.Time) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.drainBy = until; s.flushing {
+	if s.drainDeadline = deadline; s.flushing {
 		s.nc.SetWriteDeadline(s.deadline())
 	}
 	for s.flushing {
--- a/internal/platform/workers/answerlog.go
+++ b/internal/platform/workers/answerlog.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// Bounds of what is remembered of a worker's answers.
+// Bounds of an answerLog.
 const (
-	answerGap   = 250 * time.Millisecond // between two answers that are remembered, at the least
-	mostAnswers = 48                     // so that some 12 s are remembered
+	minAnswerGap = 250 * time.Millisecond // minimum time between the sends of two recorded answers
+	maxAnswers   = 48                     // covers some 12 s
 )
 
-// answer is when a call was sent that a worker has answered, and when that was.
+// answer has the times at which a call was sent and answered.
 type answer struct{ sent, answered time.Time }
 
-// answerLog remembers some of a worker's answers: each proves that the worker ran, and had begun by then what had arrived
-// before.
+// answerLog records some of a worker's answers, oldest first. An answer is evidence that the worker was running between
+// its two times, and so by then had begun whatever was written to it before the answered call was sent.
 type answerLog []answer
 
-// note remembers an answer.
-func (l *answerLog) note(a answer) {
-	if n := len(*l); n > 0 && a.sent.Before((*l)[n-1].sent.Add(answerGap)) {
+// add records an answer unless it was sent less than minAnswerGap after the last recorded one.
+func (l *answerLog) add(a answer) {
+	if n := len(*l); n > 0 && a.sent.Before((*l)[n-1].sent.Add(minAnswerGap)) {
 		return
 	}
-	if len(*l) == mostAnswers {
+	if len(*l) == maxAnswers {
 		*l = slices.Delete(*l, 0, 1)
 	}
 	*l = append(*l, a)
 }
 
-// begunBy is by when what was written at a time has been begun, if it has arrived at all; zero: that is not known.
+// begunBy returns the time by which the worker has begun a request written at the given time, if it arrived at all; zero: unknown.
 func (l answerLog) begunBy(written time.Time) time.Time {
 	i, _ := slices.BinarySearchFunc(l, written, func(a answer, at time.Time) int {
 		if a.sent.After(at) {
--- a/internal/platform/workers/room_test.go
+++ b/internal/platform/workers/connlimiter_test.go
@@ -41,7 +41,7 @@
 
 // Whoever waits goes in order, places and releases first; a turn that its owner no longer wants is passed on.
 func TestRoomInOrder(t *testing.T) {
-	r := &room{open: 1, lookAgain: time.Hour}
+	r := &connLimiter{open: 1, recheckInterval: time.Hour}
 	order := make(chan string, 3)
 	var waiting sync.WaitGroup
 	wait := func(ctx context.Context, name string, control bool) {
@@ -50,7 +50,7 @@
 			line = 0
 		}
 		r.mu.Lock()
-		had := len(r.waiting[line])
+		had := len(r.queues[line])
 		r.mu.Unlock()
 		waiting.Go(func() {
 			if r.wait(ctx, control) {
@@ -59,7 +59,7 @@
 		})
 		for queued := false; !queued; time.Sleep(time.Millisecond) {
 			r.mu.Lock()
-			queued = len(r.waiting[line]) > had
+			queued = len(r.queues[line]) > had
 			r.mu.Unlock()
 		}
 	}
@@ -67,12 +67,12 @@
 	wait(ctx, "gone", false)
 	wait(context.Background(), "attempt", false)
 	wait(context.Background(), "release", true)
-	r.wake()
+	r.wakeNext()
 	if got := <-order; got != "release" {
 		t.Errorf("%s goes first", got)
 	}
 	cancel()
-	r.wake()
+	r.wakeNext()
 	if got := <-order; got != "attempt" {
 		t.Errorf("%s goes next", got)
 	}
--- a/internal/platform/workers/exchange.go
+++ b/internal/platform/workers/exchange.go
@@ -19,37 +19,37 @@
 	"gannethook/internal/http1"
 )
 
-// wantsNewConn tells whether a request should go by a new connection.
+// wantsNewConn reports whether an attempt should use a new connection instead of an idle one.
 func (c *Client) wantsNewConn(call *attempt.Call) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.reuse.UseNewConnection(time.Since(c.from), call.Unsafe, call.RetriesLeft)
+	return c.reusePolicy.UseNewConnection(time.Since(c.start), call.Unsafe, call.RetriesLeft)
 }
 
-// noteReuse notes how a request on a connection went; one that was called off tells nothing.
-func (c *Client) noteReuse(ctx context.Context, cn *connpool.Conn, err error) {
+// recordReuse records whether an attempt broke before its response began; cancelled attempts are not counted.
+func (c *Client) recordReuse(ctx context.Context, cn *connpool.Conn, err error) {
 	if ctx.Err() != nil {
 		return
 	}
-	bad := err != nil && failed(ctx, err).Outcome == gannethook.Broken
+	bad := err != nil && failureResult(ctx, err).Outcome == gannethook.Broken
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.reuse.Record(time.Since(c.from), cn.IdleFor > 0, bad)
+	c.reusePolicy.Record(time.Since(c.start), cn.IdleFor > 0, bad)
 }
 
-// exchange is one request on one connection.
+// exchange is one request and its response on one connection.
 type exchange struct {
-	c      *Client
-	addr   string
-	conn   *connpool.Conn
-	sent   time.Time // when its first byte was written, at the earliest
-	res    *http1.Response
-	body   *http1.Body
-	stop   func() bool
-	closed chan struct{} // closed once the connection was closed because the work was called off
+	client     *Client
+	addr       string
+	conn       *connpool.Conn
+	sentAt     time.Time // just before its first byte was written
+	res        *http1.Response
+	body       *http1.Body
+	detach     func() bool   // stops cancellation from closing the connection; false: it has begun to
+	connClosed chan struct{} // closed once the connection has been closed on cancellation
 }
 
-// open sends a request and reads the answer's head.
+// open sends a request and reads the response head.
 func (c *Client) open(ctx context.Context, id, method, path string, call *attempt.Call) (*exchange, error) {
 	addr, err := c.addr(id)
 	if err != nil {
@@ -61,72 +61,72 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := c.mayBegin(ctx, id, method, call); err != nil {
+	if err := c.checkWrite(ctx, id, method, call); err != nil {
 		if errors.Is(err, errDraining) {
 			cn.Close()
 		} else {
-			c.pool.put(addr, cn) // nothing was written on it
+			c.pool.put(addr, cn) // unused: nothing was written on it
 		}
 		return nil, err
 	}
 	if call.Trace {
 		call.Connection = cn.String()
 	}
-	counts := c.traffic.of(ctl)
+	counts := c.traffic.counts(ctl)
 	counts.made.Add(1)
 	if cn.IdleFor == 0 {
 		counts.opened.Add(1)
 	}
-	x := &exchange{c: c, addr: addr, conn: cn, sent: time.Now()}
-	x.closed = make(chan struct{})
-	x.stop = context.AfterFunc(ctx, func() { // closing calls the work off
+	x := &exchange{client: c, addr: addr, conn: cn, sentAt: time.Now()}
+	x.connClosed = make(chan struct{})
+	x.detach = context.AfterFunc(ctx, func() { // closing the connection cancels the request at the worker
 		cn.Close()
-		close(x.closed)
+		close(x.connClosed)
 	})
 	bufs := net.Buffers{requestHead(method, path, addr, call), call.Body}
 	if len(call.Body) == 0 {
 		bufs = bufs[:1]
 	}
 	if _, err := bufs.WriteTo(cn.Conn); err != nil {
-		x.noteTurnedAway(id, counts, err)
+		x.recordIfRejected(id, counts, err)
 		x.close(false)
 		return nil, attempt.NotSent{Err: err}
 	}
 	call.Written.Set(true)
 	err = x.head()
-	c.noteReuse(ctx, cn, err)
+	c.recordReuse(ctx, cn, err)
 	if err != nil {
-		x.noteTurnedAway(id, counts, err)
+		x.recordIfRejected(id, counts, err)
 		x.close(false)
 		if cn.IdleFor > 0 {
-			err = fmt.Errorf("on a connection that was unused for %v: %w", cn.IdleFor.Round(time.Millisecond), err)
+			err = fmt.Errorf("on a connection that was idle for %v: %w", cn.IdleFor.Round(time.Millisecond), err)
 		}
 		return nil, err
 	}
-	c.answered(id, cn, x.sent)
+	c.recordAnswer(id, cn, x.sentAt)
 	return x, nil
 }
 
-// noteTurnedAway notes whether the worker ended a new connection before it answered anything on it.
-func (x *exchange) noteTurnedAway(id string, counts *callCounts, err error) {
+// recordIfRejected records a rejected connection: a new one that the worker closed before it answered on it.
+func (x *exchange) recordIfRejected(id string, counts *callCounts, err error) {
 	if x.conn.IdleFor == 0 && attempt.EndedByPeer(err) {
-		counts.turnedAway.Add(1)
-		x.c.turnedAway(id)
+		counts.closedEarly.Add(1)
+		x.client.connectionRejected(id)
 	}
 }
 
-// Why an attempt whose connection has come up was not written.
+// Reasons why a request was not written although its connection was established.
 var (
-	errDraining   = errors.New("the worker has begun to drain, or is listed no more")
-	errTooLate    = errors.New("the connection came up when the request might no longer be sent")
-	errClientGone = errors.New("its client has left")
-	errCalledOff  = errors.New("called off")
+	errDraining           = errors.New("the worker is draining or no longer listed")
+	errDeadlinePassed     = errors.New("the connection was established after the request's deadline")
+	errClientDisconnected = errors.New("the client has disconnected")
+	errCancelled          = errors.New("cancelled")
 )
 
-// mayBegin asks the guard whether a request may still be written, now that its
-// connection has come up: that may have taken long, and whoever decided on it
-// could not know what has come meanwhile.
-func (c *Client) mayBegin(ctx context.Context, id, method string, call *attempt.Call) error {
+// checkWrite asks the guard whether a request may still be written. Connecting may
+// have taken long: since the attempt was decided, the worker may have begun to drain,
+// the deadline may have passed or the client may have disconnected.
+func (c *Client) checkWrite(ctx context.Context, id, method string, call *attempt.Call) error {
 	c.mu.Lock()
 	w := c.byID[id]
 	listed, drains := w != nil, w != nil && w.draining
@@ -138,22 +138,22 @@
 	}
 	switch why {
 	case guard.Cancelled:
-		return attempt.NotSent{Err: errCalledOff}
+		return attempt.NotSent{Err: errCancelled}
 	case guard.Unlisted, guard.Draining:
 		return attempt.NotSent{Err: errDraining}
 	case guard.ClientGone:
-		return errClientGone
+		return errClientDisconnected
 	}
-	return attempt.NotSent{Err: errTooLate}
+	return attempt.NotSent{Err: errDeadlinePassed}
 }
 
-// head reads the answer's head. It may take its time to begin, but not to end.
+// head reads the response head. It may begin at any time; once begun, it has to end within headTimeout.
 func (x *exchange) head() (err error) {
 	if _, err = x.conn.BR.Peek(1); err != nil {
 		return err
 	}
 	x.conn.SetReadDeadline(time.Now().Add(headTimeout))
-	for range maxInterim {
+	for range maxInterimResponses {
 		if x.res, err = http1.ReadResponse(x.conn.BR); err != nil {
 			return err
 		}
@@ -167,44 +167,44 @@
 		}
 		x.conn.SetReadDeadline(time.Now().Add(headTimeout))
 	}
-	return fmt.Errorf("%w: more than %d interim answers", http1.ErrTooLarge, maxInterim)
+	return fmt.Errorf("%w: more than %d interim responses", http1.ErrTooLarge, maxInterimResponses)
 }
 
-// close gives the connection back if the exchange is whole, else cuts it. It
-// returns once the connection is closed: where another goroutine has begun to
-// close it, the pending read ends before the descriptor does, and the attempt
-// would be told as over while it is still out.
-func (x *exchange) close(whole bool) {
-	stopped := x.stop()
+// close returns the connection to the pool if it is reusable and the response was
+// read whole, else closes it. It returns only once the connection is closed: where
+// cancellation has begun to close it, the pending read ends before the descriptor is
+// closed, and the attempt would be reported as ended while still in flight.
+func (x *exchange) close(reusable bool) {
+	stopped := x.detach()
 	if !stopped {
-		<-x.closed
+		<-x.connClosed
 	}
-	if stopped && whole && x.body.Whole() && x.res.Minor == 1 && !x.res.Header.Has("Connection", "close") {
-		x.c.pool.put(x.addr, x.conn)
+	if stopped && reusable && x.body.Whole() && x.res.Minor == 1 && !x.res.Header.Has("Connection", "close") {
+		x.client.pool.put(x.addr, x.conn)
 		return
 	}
 	x.conn.Close()
 }
 
-// readAll reads an answer that is no stream.
+// readAll reads the body of a response that is not a stream, and closes the exchange.
 func (x *exchange) readAll() ([]byte, error) {
-	text, err := io.ReadAll(io.LimitReader(x.body, maxAnswer+1))
-	if err == nil && len(text) > maxAnswer {
+	text, err := io.ReadAll(io.LimitReader(x.body, maxResponse+1))
+	if err == nil && len(text) > maxResponse {
 		err = http1.ErrTooLarge
 	}
 	x.close(err == nil)
 	return text, err
 }
 
-// discard is text for an answer of which nothing is needed.
+// discard reads a response body to its end, so that the connection can be reused.
 func (x *exchange) discard() error {
 	_, err := x.readAll()
 	return err
 }
 
-// failed maps an error of the connection to an outcome. What stalls once it has begun is spoilt, too.
-func failed(ctx context.Context, err error) attempt.Result {
-	if errors.Is(err, errClientGone) {
+// failureResult maps a connection error to an outcome. A response that stalls once it has begun counts as malformed.
+func failureResult(ctx context.Context, err error) attempt.Result {
+	if errors.Is(err, errClientDisconnected) {
 		return attempt.Result{Outcome: gannethook.Cancelled, Detail: err.Error()}
 	}
 	r := attempt.ResultOf(ctx, err, http1.ErrMalformed, http1.ErrTooLarge, os.ErrDeadlineExceeded)
@@ -214,30 +214,30 @@
 	return r
 }
 
-// statusResult maps an answer that is neither a state nor a stream to an outcome.
+// statusResult maps a status other than the expected one to an outcome.
 func (x *exchange) statusResult() attempt.Result {
-	status, notRun := x.res.Status, x.res.Header.Get("X-Not-Processed") == "1"
+	status, notProcessed := x.res.Status, x.res.Header.Get("X-Not-Processed") == "1"
 	err := x.discard()
 	r := attempt.Result{Outcome: gannethook.Failed, Detail: "status " + strconv.Itoa(status), Interrupted: err != nil}
 	switch {
-	case status == 410 && notRun:
+	case status == 410 && notProcessed:
 		r.Outcome, r.NoState = gannethook.Full, true
-	case notRun:
+	case notProcessed:
 		r.Outcome = gannethook.Full
 	case status == 400 || status == 404 || status == 413 || status == 431:
-		r.Outcome = gannethook.Moot // the request itself can't be taken: no worker is to blame, none would take it
+		r.Outcome = gannethook.Moot // the request itself is invalid: every worker would reject it, so it counts against none
 	}
 	return r
 }
 
-// requestHead is a request's head; a method without a body has no length.
+// requestHead builds a request's head; only POST has a Content-Length.
 func requestHead(method, path, addr string, call *attempt.Call) []byte {
 	b := make([]byte, 0, headCapacity+len(path)+int(call.Header.Size()))
 	b = append(b, method...)
 	b = append(b, ' ')
 	b = append(b, path...)
 	b = append(b, " HTTP/1.1\r\n"...)
-	if call.Header.Get("Host") == "" { // a place or a release: no client's
+	if call.Header.Get("Host") == "" { // a place request or a release: no client's fields to forward
 		b = appendField(b, "Host", addr)
 	}
 	for _, f := range call.Header {
@@ -245,13 +245,13 @@
 	}
 	b = append(b, "X-Request-ID: "...)
 	b = append(b, call.Key...)
-	if !call.Deadline.IsZero() { // as of now: a connection may have taken its time, or a release that went first
-		left := time.Until(call.Deadline)
+	if !call.Deadline.IsZero() { // the time remaining now: connecting, or a release sent first, may have taken long
+		remaining := time.Until(call.Deadline)
 		if faults.Broken(faults.BreakTold) {
-			left += 2 * time.Second
+			remaining += 2 * time.Second
 		}
 		b = append(b, "\r\nX-Timeout-Ms: "...)
-		b = strconv.AppendInt(b, max(left.Milliseconds(), 1), 10)
+		b = strconv.AppendInt(b, max(remaining.Milliseconds(), 1), 10)
 	}
 	if method == "POST" {
 		b = append(b, "\r\nContent-Length: "...)
@@ -267,37 +267,37 @@
 	return append(b, "\r\n"...)
 }
 
-// stream passes events on, each as it comes; only the last chunk makes the answer whole.
+// stream passes each event on as it arrives; the response is complete only with its last chunk.
 func (x *exchange) stream(ctx context.Context, started func() bool, token func([]byte) bool) attempt.Result {
 	if !x.body.Chunked() || !strings.HasPrefix(x.res.Header.Get("Content-Type"), "text/event-stream") {
-		return attempt.Result{Outcome: gannethook.Failed, Detail: "the answer is not a stream in chunks", Interrupted: true}
+		return attempt.Result{Outcome: gannethook.Failed, Detail: "the response is not a chunked event stream", Interrupted: true}
 	}
 	x.body.Bound(maxChunk)
 	events := http1.NewRawEvents(idleReader{x})
 	for n := 0; ; n++ {
 		text, err := events.Next()
 		if err != nil && !errors.Is(err, io.EOF) {
-			r := failed(ctx, err)
+			r := failureResult(ctx, err)
 			r.Tokens = n
 			return r
 		}
 		switch {
 		case len(text) == 0 && n == 0:
-			return attempt.Result{Outcome: gannethook.Failed, Detail: "the stream has no event", Interrupted: true}
+			return attempt.Result{Outcome: gannethook.Failed, Detail: "the stream ended without an event", Interrupted: true}
 		case len(text) > 0 && n == 0 && !started():
-			return attempt.Result{Outcome: gannethook.Cancelled, Detail: "ended before its first event"}
+			return attempt.Result{Outcome: gannethook.Cancelled, Detail: "cancelled at its first event"}
 		case len(text) > 0 && !token(text):
-			return attempt.Result{Outcome: gannethook.Cancelled, Tokens: n, Detail: "the client is gone"}
+			return attempt.Result{Outcome: gannethook.Cancelled, Tokens: n, Detail: "the client no longer takes events"}
 		case err != nil:
 			return attempt.Result{Outcome: gannethook.Served, Tokens: n}
 		}
 	}
 }
 
-// idleReader reads a stream; one that brings nothing for too long is broken.
+// idleReader reads a stream's body; a stream that is silent for Limits.StreamIdle fails.
 type idleReader struct{ x *exchange }
 
 func (s idleReader) Read(p []byte) (int, error) {
-	s.x.conn.SetReadDeadline(time.Now().Add(s.x.c.lim.Load().StreamIdle))
+	s.x.conn.SetReadDeadline(time.Now().Add(s.x.client.limits.Load().StreamIdle))
 	return s.x.body.Read(p)
 }
--- a/internal/platform/workers/holds.go
+++ b/internal/platform/workers/holds.go
@@ -7,13 +7,13 @@
 	"gannethook/internal/attempt"
 )
 
-// Hold asks a writer for a place, once the read's last byte is on its way:
-// a worker that knows of no read can't hold one.
+// Hold requests a place at a writer, once the last byte of the read has been written:
+// a worker refuses a place for a request whose read it does not know.
 func (c *Client) Hold(ctx context.Context, call *attempt.Call, _ string) attempt.PlaceResult {
 	if !call.Written.Wait(ctx) {
-		return attempt.Denied // nothing was asked
+		return attempt.Denied // nothing was sent
 	}
-	ctx, cancel := context.WithTimeout(ctx, c.lim.Load().ReservationTimeout)
+	ctx, cancel := context.WithTimeout(ctx, c.limits.Load().ReservationTimeout)
 	defer cancel()
 	x, err := c.open(ctx, call.Addr, "POST", HoldsPath+call.Key, &attempt.Call{Key: call.Key})
 	var unsent attempt.NotSent
--- a/internal/platform/workers/pool.go
+++ b/internal/platform/workers/pool.go
@@ -12,50 +12,50 @@
 	"gannethook/internal/faults"
 )
 
-// Limits bound the connections to all workers.
+// Limits bound the connections to all workers and the time that workers may take.
 type Limits struct {
-	Conns              int           // open at once, used or not
-	IdlePerWorker      int           // unused ones kept for each worker
-	Dial               time.Duration // a connection not made by then has failed to connect
-	Idle               time.Duration // an unused connection is retired; under the workers' own time
-	ReuseDelay         time.Duration // a connection is not used again so soon: a second answer may still come on it
-	StreamIdle         time.Duration // a stream that brings nothing for so long is broken
-	ReservationTimeout time.Duration // a place not answered by then is not known
-	ReleaseTimeout     time.Duration // one worker's time to answer a release
+	Conns              int           // open at once, in use or idle
+	IdlePerWorker      int           // idle connections kept for each worker
+	Dial               time.Duration // to get a connection: for a free one under Conns, and to connect
+	Idle               time.Duration // an idle connection is closed after it; shorter than the workers' own idle timeout
+	ReuseDelay         time.Duration // idle time before a connection is reused: a duplicate response may still arrive on it
+	StreamIdle         time.Duration // a stream without data for so long has broken
+	ReservationTimeout time.Duration // for the answer to a place request; after it the place may or may not be held
+	ReleaseTimeout     time.Duration // for one worker to answer a release
 }
 
-// Why a connection was not made.
+// Reasons why no connection was opened.
 var (
-	errNoRoom    = errors.New("all connections to workers are in use")
-	errTurnsAway = errors.New("the worker turns new connections away")
+	errNoConnection = errors.New("all connections to workers are in use")
+	errRejecting    = errors.New("the worker rejects new connections")
 )
 
-// pool keeps unused connections and counts all.
+// pool keeps idle connections and limits the number of open ones.
 type pool struct {
-	lim  *atomic.Pointer[Limits]
-	idle *connpool.Idle
-	room room
+	limits *atomic.Pointer[Limits]
+	idle   *connpool.Idle
+	conns  connLimiter
 }
 
-// Pauses before a dial that failed for want of something of this machine is made again.
+// Pauses before a dial is retried that failed for lack of a local resource (descriptors, ports, buffers), doubled up to the maximum.
 const (
 	firstDialPause = 2 * time.Millisecond
 	maxDialPause   = 20 * time.Millisecond
 )
 
-// acquire gives a connection: an unused one that still stands, else a new one, where mayDial allows it; control
-// tells that it is for a place or a release, fresh that a new one is wanted.
+// acquire returns a usable idle connection, else a new one where mayDial allows it.
+// control is set for a place request or a release; newConn demands a new connection.
 //
-// Where no connection can be had for a reason that lies on this machine, it waits
-// for as long as a connection may take to come up: every other worker would be
-// refused just so, and all attempts would soon be used up.
-func (p *pool) acquire(ctx context.Context, addr string, control, fresh bool, mayDial func() bool) (*connpool.Conn, error) {
-	until := time.Now().Add(p.lim.Load().Dial)
+// Where a local resource is lacking, it waits for up to Limits.Dial instead of
+// failing: attempts at every other worker would fail for the same reason, and the
+// request would soon have used up its retries.
+func (p *pool) acquire(ctx context.Context, addr string, control, newConn bool, mayDial func() bool) (*connpool.Conn, error) {
+	deadline := time.Now().Add(p.limits.Load().Dial)
 	if faults.Broken(faults.BreakRoom) {
-		until = time.Now()
+		deadline = time.Now()
 	}
 	for pause := firstDialPause; ; pause = min(2*pause, maxDialPause) {
-		c, err := p.reserve(ctx, until, addr, control, fresh)
+		c, err := p.reserve(ctx, deadline, addr, control, newConn)
 		if err != nil {
 			return nil, attempt.NotSent{Err: err, Local: true}
 		}
@@ -63,50 +63,50 @@
 			return c, nil
 		}
 		if !mayDial() {
-			p.room.release()
-			return nil, attempt.NotSent{Err: errTurnsAway, Local: true}
+			p.conns.release()
+			return nil, attempt.NotSent{Err: errRejecting, Local: true}
 		}
-		d := net.Dialer{Deadline: until, KeepAlive: -1}
+		d := net.Dialer{Deadline: deadline, KeepAlive: -1}
 		nc, err := faults.Dial(ctx, &d, addr)
 		if err == nil {
-			return connpool.New(nc, 2048, p.room.release), nil
+			return connpool.New(nc, 2048, p.conns.release), nil
 		}
-		p.room.release()
+		p.conns.release()
 		if !connpool.IsLocal(err) {
 			return nil, attempt.NotSent{Err: err}
 		}
-		if ctx.Err() != nil || time.Until(until) < pause {
+		if ctx.Err() != nil || time.Until(deadline) < pause {
 			return nil, attempt.NotSent{Err: err, Local: true}
 		}
 		time.Sleep(pause)
 	}
 }
 
-// reserve gives an unused connection, or counts one more: nil tells that it may be
-// made. It waits for either until a time.
-func (p *pool) reserve(ctx context.Context, until time.Time, addr string, control, fresh bool) (*connpool.Conn, error) {
-	if c, ok := p.tryReserve(addr, control, fresh); ok {
+// reserve returns an idle connection, or nil after reserving a slot for a new one. It
+// waits for either until the deadline.
+func (p *pool) reserve(ctx context.Context, deadline time.Time, addr string, control, newConn bool) (*connpool.Conn, error) {
+	if c, ok := p.tryReserve(addr, control, newConn); ok {
 		return c, nil
 	}
-	ctx, cancel := context.WithDeadline(ctx, until)
+	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
-	for p.room.wait(ctx, control) {
-		if c, ok := p.tryReserve(addr, control, fresh); ok {
+	for p.conns.wait(ctx, control) {
+		if c, ok := p.tryReserve(addr, control, newConn); ok {
 			return c, nil
 		}
 	}
-	return nil, errNoRoom
+	return nil, errNoConnection
 }
 
-// tryReserve is reserve without a wait. It closes what is unused to make room.
-func (p *pool) tryReserve(addr string, control, fresh bool) (c *connpool.Conn, ok bool) {
+// tryReserve is reserve without waiting. It closes the oldest idle connections, of any worker, to free a slot.
+func (p *pool) tryReserve(addr string, control, newConn bool) (c *connpool.Conn, ok bool) {
 	for {
-		if !fresh {
+		if !newConn {
 			if c := p.idle.Take(addr); c != nil {
 				return c, true
 			}
 		}
-		if p.room.take(p.most(control)) {
+		if p.conns.tryAcquire(p.maxConns(control)) {
 			return nil, true
 		}
 		if !p.idle.CloseOldest() {
@@ -115,18 +115,18 @@
 	}
 }
 
-// most is how many connections there may be. Attempts leave a tenth to places and
-// releases: what holds a state must be able to let it go.
-func (p *pool) most(control bool) int64 {
-	most := int64(p.lim.Load().Conns)
+// maxConns returns the limit on open connections. Attempts leave a tenth to place
+// requests and releases: held states have to be released even if attempts use up the rest.
+func (p *pool) maxConns(control bool) int64 {
+	limit := int64(p.limits.Load().Conns)
 	if !control {
-		most -= most / 10
+		limit -= limit / 10
 	}
-	return most
+	return limit
 }
 
-// put keeps a connection after a whole exchange; whoever waits for one looks again.
+// put returns a connection to the pool after a complete exchange and wakes the next caller that waits for one.
 func (p *pool) put(addr string, c *connpool.Conn) {
 	p.idle.Put(addr, c)
-	p.room.wake()
+	p.conns.wakeNext()
 }
--- a/internal/platform/workers/redial.go
+++ b/internal/platform/workers/redial.go
@@ -2,44 +2,44 @@
 
 import "time"
 
-// Pauses before a worker that turned a new connection away is tried again with another, for a release.
+// Pauses before a release opens another connection to a worker that rejected one.
 const (
-	firstRedial = 50 * time.Millisecond  // doubled with each connection that it turns away,
-	maxRedial   = 400 * time.Millisecond // up to this
+	minRedialPause = 50 * time.Millisecond  // doubled with each rejected connection,
+	maxRedialPause = 400 * time.Millisecond // up to this
 )
 
-// redial tells when a worker may be tried with a new connection, after it has turned some away.
-type redial struct {
-	pause time.Duration // zero: it has turned none away since it last answered
-	next  time.Time
+// redialBackoff limits the rate of new connections to a worker that rejects them, as one that is at its connection limit does.
+type redialBackoff struct {
+	pause     time.Duration // zero: no limit
+	notBefore time.Time     // of the next new connection
 }
 
-// turnedAway notes that the worker ended a new connection before it answered anything on it.
-func (r *redial) turnedAway(now time.Time) {
-	r.pause = min(max(2*r.pause, firstRedial), maxRedial)
-	r.next = now.Add(r.pause)
+// rejected records that the worker closed a new connection before it answered on it.
+func (r *redialBackoff) rejected(now time.Time) {
+	r.pause = min(max(2*r.pause, minRedialPause), maxRedialPause)
+	r.notBefore = now.Add(r.pause)
 }
 
-// allows tells whether a new connection may be tried.
-func (r *redial) allows(now time.Time) bool { return r.pause == 0 || !now.Before(r.next) }
+// allows reports whether a new connection may be opened.
+func (r *redialBackoff) allows(now time.Time) bool { return r.pause == 0 || !now.Before(r.notBefore) }
 
-// claim takes the one try that is allowed until the pause has passed again, and tells whether there was one.
-func (r *redial) claim(now time.Time) bool {
+// claim reports whether a new connection may be opened, and if so forbids another one until the pause has passed again.
+func (r *redialBackoff) claim(now time.Time) bool {
 	allowed := r.allows(now)
 	if allowed {
-		r.next = now.Add(r.pause)
+		r.notBefore = now.Add(r.pause)
 	}
 	return allowed
 }
 
-// answered notes that the worker has answered on a new connection.
-func (r *redial) answered() {
-	if r.pause = r.pause * 3 / 4; r.pause < firstRedial {
+// answered shortens the pause after an answer on a new connection; below minRedialPause the limit ends.
+func (r *redialBackoff) answered() {
+	if r.pause = r.pause * 3 / 4; r.pause < minRedialPause {
 		r.pause = 0
 	}
 }
 
-// mayDial tells whether a release may be tried at a worker with a new connection, and counts as that try.
+// mayDial reports whether a release may open a new connection to a worker, and counts it as opened.
 func (c *Client) mayDial(id string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -47,11 +47,11 @@
 	return w == nil || w.redial.claim(time.Now())
 }
 
-// turnedAway notes that a worker ended a new connection before it answered anything on it.
-func (c *Client) turnedAway(id string) {
+// connectionRejected records that a worker closed a new connection before it answered on it.
+func (c *Client) connectionRejected(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if w := c.byID[id]; w != nil {
-		w.redial.turnedAway(time.Now())
+		w.redial.rejected(time.Now())
 	}
 }
--- a/internal/platform/workers/release.go
+++ b/internal/platform/workers/release.go
@@ -11,209 +11,209 @@
 	"gannethook/internal/faults"
 )
 
-// How a release goes on until a worker has taken it.
+// Schedule of a release, which is retried until a worker confirms it.
 const (
-	releaseWithin   = 2 * time.Second       // then the servers' own limits let go of what is held
-	releaseHedge    = 60 * time.Millisecond // a worker that has not answered by then is probably silent: others are asked beside it,
-	maxWave         = 32                    // twice as many each time, up to so many: one that answers is found soon among many silent ones
-	releasePause    = 5 * time.Millisecond  // after a try that failed at once,
-	maxReleasePause = 50 * time.Millisecond // doubled up to this
-	probeWithin     = time.Second           // for which one worker alone is waited for
+	releaseTotalTimeout = 2 * time.Second       // after it the servers' own time limits end what is held
+	releaseHedgeDelay   = 60 * time.Millisecond // a worker that has not answered by then is probably unresponsive: others are asked concurrently,
+	maxReleaseBatch     = 32                    // in batches that double up to this: a responsive worker is found soon among many unresponsive ones
+	minReleaseBackoff   = 5 * time.Millisecond  // pause after every call has failed,
+	maxReleaseBackoff   = 50 * time.Millisecond // doubled up to this
+	probeTimeout        = time.Second           // for a release at one given worker
 )
 
-// Release lets go of everything held for a request. Any worker takes it: one that may hold something and to which a
-// connection waits is asked first, then the one that most likely answers at once. The others that may hold something are
-// asked too: who has taken it may not reach them.
+// Release releases everything held for a request. Any worker accepts a release for all of them: it goes first to a
+// holder (a worker that may hold something) with an idle connection, else to the worker most likely to answer at once.
+// The other holders are asked too, since the worker that confirms it may be unable to reach them.
 func (c *Client) Release(ctx context.Context, list []attempt.Held) attempt.ReleaseResult {
 	if faults.Broken(faults.BreakRelease) || len(list) == 0 {
 		return attempt.ReleaseResult{Acknowledged: true, SentAt: time.Now()}
 	}
 	c.traffic.releases.Add(1)
-	ctx, cancel := context.WithTimeout(ctx, releaseWithin)
+	ctx, cancel := context.WithTimeout(ctx, releaseTotalTimeout)
 	defer cancel()
-	first := make([]string, 0, len(list))
+	holders := make([]string, 0, len(list))
 	for _, h := range list {
-		first = append(first, h.Addr)
+		holders = append(holders, h.Addr)
 	}
-	return c.releaseOne(ctx, list[0].Key, first)
+	return c.releaseRequest(ctx, list[0].Key, holders)
 }
 
-// ReleaseAt asks one worker alone to let go of everything held for a request: what counts is to hear it. Where
-// it hangs, the call waits for it. Where none is named it is the one that has answered last, and the call is short.
+// ReleaseAt sends a release to one worker only, to learn whether that worker answers; it waits up to probeTimeout for one
+// that hangs. Without an address it asks the worker that answered last, and waits up to Limits.ReleaseTimeout.
 func (c *Client) ReleaseAt(ctx context.Context, h attempt.Held) attempt.ReleaseResult {
-	within := probeWithin
+	timeout := probeTimeout
 	if h.Addr == "" {
-		h.Addr, within = c.lastHeard(), c.lim.Load().ReleaseTimeout
+		h.Addr, timeout = c.mostRecentlyAnswered(), c.limits.Load().ReleaseTimeout
 	}
-	ctx, cancel := context.WithTimeout(ctx, within)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	c.traffic.releases.Add(1)
-	sent, ok := c.release(ctx, h.Addr, h.Key)
+	sent, ok := c.releaseAt(ctx, h.Addr, h.Key)
 	return attempt.ReleaseResult{Acknowledged: ok, Server: h.Addr, SentAt: sent}
 }
 
-// lastHeard is the worker that has answered last; "": none has that is listed, or it turns new connections away.
-func (c *Client) lastHeard() string {
+// mostRecentlyAnswered returns the worker that answered last; "" if there is none, it is no longer listed or rejects connections.
+func (c *Client) mostRecentlyAnswered() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	w := c.byID[c.heardLast]
+	w := c.byID[c.lastAnswered]
 	if w == nil || !c.pool.idle.Names()[w.addr] && !w.redial.allows(time.Now()) {
 		return ""
 	}
-	return c.heardLast
+	return c.lastAnswered
 }
 
-// LastAnswer is when the last call was sent that a worker has answered, and when it was answered; zero: it has answered none.
+// LastAnswer returns when the most recently sent call that a worker answered was sent and answered; zero: it has answered none.
 func (c *Client) LastAnswer(id string) (sent, answered time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if w := c.byID[id]; w != nil {
-		return w.asked, w.askedHeard
+		return w.lastSent, w.lastSentAnswered
 	}
 	return time.Time{}, time.Time{}
 }
 
-// taken is how one worker took a release.
-type taken struct {
+// releaseReply is the result of one release call at one worker.
+type releaseReply struct {
 	id   string
 	sent time.Time
 	ok   bool
 }
 
-// releaseOne asks one worker, and more and more others while none answers, until one has let go of all that a
-// request holds, and those that may hold it have been asked as well, or the time is over. Whoever has failed lately
-// is asked last.
-func (c *Client) releaseOne(ctx context.Context, name string, holders []string) attempt.ReleaseResult {
-	ctx, cancel := context.WithCancel(ctx) // ends the tries that are still out
-	r := &releasing{c: c, name: name, holders: holders, results: make(chan taken), asked: map[string]int{}, answered: map[string]bool{}}
-	defer r.tries.Wait()
+// releaseRequest sends a release to one worker, and to growing batches of others while none answers, until one has
+// confirmed it and each holder that was asked has answered or had releaseHedgeDelay to do so, or ctx ends. Workers that
+// failed a release lately are asked last.
+func (c *Client) releaseRequest(ctx context.Context, key string, holders []string) attempt.ReleaseResult {
+	ctx, cancel := context.WithCancel(ctx) // cancels the calls still in flight
+	r := &releaseOp{client: c, key: key, holders: holders, results: make(chan releaseReply), sends: map[string]int{}, answered: map[string]bool{}}
+	defer r.calls.Wait()
 	defer cancel()
-	wave, waited := 1, false
-	r.askMore(ctx, wave)
-	hedge := time.NewTicker(releaseHedge)
+	batch, hedgeElapsed := 1, false
+	r.sendMore(ctx, batch)
+	hedge := time.NewTicker(releaseHedgeDelay)
 	defer hedge.Stop()
-	for pause := releasePause; ctx.Err() == nil && !r.over(waited); {
+	for backoff := minReleaseBackoff; ctx.Err() == nil && !r.finished(hedgeElapsed); {
 		select {
-		case by := <-r.results:
-			if r.take(by); by.ok && by == r.first {
-				hedge.Reset(releaseHedge)
+		case reply := <-r.results:
+			if r.record(reply); reply.ok && reply == r.confirmed {
+				hedge.Reset(releaseHedgeDelay)
 			}
 		case <-hedge.C:
-			waited = r.first.ok
-			wave = min(2*wave, maxWave, max(c.listed(), 1))
-			r.askMore(ctx, wave)
+			hedgeElapsed = r.confirmed.ok
+			batch = min(2*batch, maxReleaseBatch, max(c.workerCount(), 1))
+			r.sendMore(ctx, batch)
 		case <-ctx.Done():
 		}
 		switch {
-		case r.first.ok:
-			r.askMore(ctx, len(holders))
-		case r.pending == 0: // all have failed at once, or none can be asked just now
-			pause = sleep(ctx, pause)
-			r.askMore(ctx, 1)
+		case r.confirmed.ok:
+			r.sendMore(ctx, len(holders))
+		case r.inFlight == 0: // every call has failed, or no worker can be asked at present
+			backoff = backOff(ctx, backoff)
+			r.sendMore(ctx, 1)
 		}
 	}
-	if !r.first.ok {
+	if !r.confirmed.ok {
 		return attempt.ReleaseResult{}
 	}
-	return attempt.ReleaseResult{Acknowledged: true, Server: r.first.id, SentAt: r.first.sent, Unresponsive: c.silent(holders, r.asked, r.answered)}
+	return attempt.ReleaseResult{Acknowledged: true, Server: r.confirmed.id, SentAt: r.confirmed.sent, Unresponsive: c.unresponsiveHolders(holders, r.sends, r.answered)}
 }
 
-// releasing is one release that is under way.
-type releasing struct {
-	c        *Client
-	name     string
-	holders  []string
-	tries    sync.WaitGroup
-	results  chan taken
-	pending  int            // tries that are under way
-	asked    map[string]int // how often each worker was
-	answered map[string]bool
-	first    taken // that took it
+// releaseOp is one release in progress. Only its calls run on other goroutines.
+type releaseOp struct {
+	client    *Client
+	key       string
+	holders   []string
+	calls     sync.WaitGroup
+	results   chan releaseReply
+	inFlight  int            // calls
+	sends     map[string]int // calls made to each worker
+	answered  map[string]bool
+	confirmed releaseReply // the first confirmation
 }
 
-// askMore asks up to n workers more: once one has taken the release, those that may hold something and were not asked.
-func (r *releasing) askMore(ctx context.Context, n int) {
-	wave := map[string]bool{} // none is asked twice in it
+// sendMore asks up to n more workers; once the release is confirmed, only holders that were not asked yet.
+func (r *releaseOp) sendMore(ctx context.Context, n int) {
+	batch := map[string]bool{} // no worker is asked twice in one batch
 	for range n {
-		id, ok := r.next(wave)
+		id, ok := r.nextTarget(batch)
 		if !ok {
 			break
 		}
-		wave[id] = true
-		r.asked[id]++
-		r.pending++
-		r.tries.Go(func() { r.try(ctx, id) })
+		batch[id] = true
+		r.sends[id]++
+		r.inFlight++
+		r.calls.Go(func() { r.sendTo(ctx, id) })
 	}
 }
 
-func (r *releasing) next(wave map[string]bool) (id string, ok bool) {
-	if r.first.ok {
-		return r.c.nextHolder(r.holders, r.asked)
+func (r *releaseOp) nextTarget(batch map[string]bool) (id string, ok bool) {
+	if r.confirmed.ok {
+		return r.client.nextHolder(r.holders, r.sends)
 	}
-	return r.c.nextToRelease(r.holders, r.asked, wave)
+	return r.client.nextReleaseTarget(r.holders, r.sends, batch)
 }
 
-func (r *releasing) try(ctx context.Context, id string) {
-	each, cancel := context.WithTimeout(ctx, r.c.lim.Load().ReleaseTimeout)
+func (r *releaseOp) sendTo(ctx context.Context, id string) {
+	callCtx, cancel := context.WithTimeout(ctx, r.client.limits.Load().ReleaseTimeout)
 	defer cancel()
-	sent, ok := r.c.release(each, id, r.name)
+	sent, ok := r.client.releaseAt(callCtx, id, r.key)
 	select {
-	case r.results <- taken{id: id, sent: sent, ok: ok}:
+	case r.results <- releaseReply{id: id, sent: sent, ok: ok}:
 	case <-ctx.Done():
 	}
 }
 
-// over tells whether the release is taken, and each worker that may hold something has answered or was waited for.
-func (r *releasing) over(waited bool) bool {
-	awaited := slices.ContainsFunc(r.holders, func(id string) bool { return r.asked[id] > 0 && !r.answered[id] })
-	return r.first.ok && (waited || !awaited)
+// finished reports whether the release is confirmed and each holder that was asked has answered or had its time to.
+func (r *releaseOp) finished(hedgeElapsed bool) bool {
+	unanswered := slices.ContainsFunc(r.holders, func(id string) bool { return r.sends[id] > 0 && !r.answered[id] })
+	return r.confirmed.ok && (hedgeElapsed || !unanswered)
 }
 
-// take notes how a worker took the release.
-func (r *releasing) take(by taken) {
-	r.pending--
-	if !by.ok {
+// record records the result of a call.
+func (r *releaseOp) record(reply releaseReply) {
+	r.inFlight--
+	if !reply.ok {
 		return
 	}
-	if !r.first.ok {
-		r.first = by
+	if !r.confirmed.ok {
+		r.confirmed = reply
 	}
-	r.answered[by.id] = true
+	r.answered[reply.id] = true
 }
 
-// sleep pauses, and returns the next pause.
-func sleep(ctx context.Context, pause time.Duration) time.Duration {
+// backOff waits for the given time and returns the next one, doubled up to maxReleaseBackoff.
+func backOff(ctx context.Context, backoff time.Duration) time.Duration {
 	select {
-	case <-time.After(pause):
+	case <-time.After(backoff):
 	case <-ctx.Done():
 	}
-	return min(2*pause, maxReleasePause)
+	return min(2*backoff, maxReleaseBackoff)
 }
 
-// release asks one worker, and tells when.
-func (c *Client) release(ctx context.Context, id, name string) (sent time.Time, ok bool) {
+// releaseAt sends a release to one worker; it returns when it was sent, and whether the worker confirmed it.
+func (c *Client) releaseAt(ctx context.Context, id, key string) (sent time.Time, ok bool) {
 	c.traffic.releaseTries.Add(1)
-	call := &attempt.Call{Key: name}
-	x, err := c.open(ctx, id, "DELETE", HoldsPath+name, call)
+	call := &attempt.Call{Key: key}
+	x, err := c.open(ctx, id, "DELETE", HoldsPath+key, call)
 	if err != nil {
-		if !errors.Is(ctx.Err(), context.Canceled) { // else another worker was quicker
-			c.missed(id)
+		if !errors.Is(ctx.Err(), context.Canceled) { // else it was cancelled: another worker was faster
+			c.recordReleaseFailure(id)
 		}
 		return time.Time{}, false
 	}
 	ok = x.res.Status/100 == 2
-	sent = x.sent
+	sent = x.sentAt
 	return sent, x.discard() == nil && ok
 }
 
-// missed notes that a worker did not take a release.
-func (c *Client) missed(id string) {
+// recordReleaseFailure records that a worker did not answer a release.
+func (c *Client) recordReleaseFailure(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if w := c.byID[id]; w != nil {
-		w.missed = time.Now()
+		w.releaseFailed = time.Now()
 	}
 }
 
-// missedLately is for how long a worker that did not take a release is asked after the others.
-const missedLately = time.Second
+// releaseFailureWindow is how long a worker that did not answer a release is asked after the others.
+const releaseFailureWindow = time.Second
--- a/internal/platform/workers/release_test.go
+++ b/internal/platform/workers/release_test.go
@@ -22,13 +22,13 @@
 		let <- req.URL.Path
 		io.WriteString(nc, "HTTP/1.1 204 No Content\r\n\r\n")
 	}))
-	lim := *cl.lim.Load()
+	lim := *cl.limits.Load()
 	lim.ReleaseTimeout = 120 * time.Millisecond
 	cl.Reconfigure(lim)
 	for i := range silent {
 		id := fmt.Sprint("s", i)
 		cl.Update(false, []Worker{{ID: id, Addr: answering(t, func(net.Conn, *http.Request) {})}})
-		cl.byID[id].heard = time.Now() // they answered last: they are asked first
+		cl.byID[id].lastAnswer = time.Now() // they answered last: they are asked first
 	}
 	from := time.Now()
 	cl.Release(context.Background(), []attempt.Held{{Addr: "s0", Key: "r"}})
@@ -93,7 +93,7 @@
 		t.Errorf("%+v", r)
 	}
 	cl.mu.Lock()
-	cl.byID["holder"].heard, cl.byID["holder"].missed = time.Now(), time.Time{} // it fell silent just now
+	cl.byID["holder"].lastAnswer, cl.byID["holder"].releaseFailed = time.Now(), time.Time{} // it fell silent just now
 	cl.mu.Unlock()
 	if r := cl.Release(context.Background(), []attempt.Held{{Addr: "w", Key: "r"}, held[0]}); !r.Acknowledged || len(r.Unresponsive) != 1 {
 		t.Errorf("%+v", r)
@@ -124,7 +124,7 @@
 		}
 	}()
 	cl := client(t, 100, ln.Addr().String())
-	first, cancel := context.WithTimeout(context.Background(), 2*firstRedial)
+	first, cancel := context.WithTimeout(context.Background(), 2*minRedialPause)
 	defer cancel()
 	cl.Release(first, []attempt.Held{{Addr: "w", Key: "first"}})
 	const releases = 32
@@ -139,7 +139,7 @@
 	}
 	all.Wait()
 	// One try a pause, of which the first four are shorter.
-	if most := int64(releaseWithin/maxRedial) + 5; turnedAway.Load() > most {
+	if most := int64(releaseTotalTimeout/maxRedialPause) + 5; turnedAway.Load() > most {
 		t.Errorf("%d connections were turned away, %d at the most expected", turnedAway.Load(), most)
 	}
 }
--- a/internal/platform/workers/releasechoice.go
+++ b/internal/platform/workers/releasechoice.go
@@ -5,86 +5,86 @@
 	"time"
 )
 
-// listed is how many workers there are.
-func (c *Client) listed() int {
+// workerCount returns the number of listed workers.
+func (c *Client) workerCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.byID)
 }
 
-// nextHolder is a worker that may hold something and was not asked yet: whoever has taken the release may not reach
-// it, however lately it was heard.
-func (c *Client) nextHolder(holders []string, asked map[string]int) (id string, ok bool) {
-	unused, now := c.pool.idle.Names(), time.Now()
+// nextHolder returns a holder that was not asked yet: the worker that confirmed the release may be unable to reach it,
+// however recently it answered this router. Holders whose last release call failed are left out.
+func (c *Client) nextHolder(holders []string, sends map[string]int) (id string, ok bool) {
+	idle, now := c.pool.idle.Names(), time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, id := range holders {
 		w := c.byID[id]
-		if w == nil || asked[id] > 0 || w.missed.After(w.heard) {
+		if w == nil || sends[id] > 0 || w.releaseFailed.After(w.lastAnswer) {
 			continue
 		}
-		if unused[w.addr] || w.redial.allows(now) {
+		if idle[w.addr] || w.redial.allows(now) {
 			return id, true
 		}
 	}
 	return "", false
 }
 
-// silent is which of the workers that may hold something have not answered a release, although they are listed.
-func (c *Client) silent(holders []string, asked map[string]int, answered map[string]bool) (list []string) {
+// unresponsiveHolders returns the listed holders that did not answer, or were not asked since they fail or reject connections.
+func (c *Client) unresponsiveHolders(holders []string, sends map[string]int, answered map[string]bool) (list []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, id := range holders {
 		w := c.byID[id]
-		if !answered[id] && w != nil && (w.missed.After(w.heard) || asked[id] > 0 || w.redial.pause > 0) {
+		if !answered[id] && w != nil && (w.releaseFailed.After(w.lastAnswer) || sends[id] > 0 || w.redial.pause > 0) {
 			list = append(list, id)
 		}
 	}
 	return list
 }
 
-// nextToRelease is the worker to ask next, but for some: of those asked least often so far the
-// one that most likely answers at once.
-func (c *Client) nextToRelease(first []string, asked map[string]int, except map[string]bool) (id string, ok bool) {
-	unused := c.pool.idle.Names()
+// nextReleaseTarget returns the worker to ask next, none of except: among those asked least often so far, the one most
+// likely to answer at once.
+func (c *Client) nextReleaseTarget(holders []string, sends map[string]int, except map[string]bool) (id string, ok bool) {
+	idle := c.pool.idle.Names()
 	now := time.Now()
-	var best releaseChoice
+	var best releaseCandidate
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for candidate, w := range c.byID {
-		if except[candidate] || !unused[w.addr] && !w.redial.allows(now) {
+		if except[candidate] || !idle[w.addr] && !w.redial.allows(now) {
 			continue
 		}
-		choice := releaseChoice{asked: asked[candidate], heard: w.heard, unused: unused[w.addr],
-			missed: now.Sub(w.missed) < missedLately && w.heard.Before(w.missed)}
-		choice.holds = choice.unused && slices.Contains(first, candidate)
-		if !ok || choice.before(best) {
-			id, best, ok = candidate, choice, true
+		current := releaseCandidate{sends: sends[candidate], lastAnswer: w.lastAnswer, hasIdleConn: idle[w.addr],
+			failedRecently: now.Sub(w.releaseFailed) < releaseFailureWindow && w.lastAnswer.Before(w.releaseFailed)}
+		current.isIdleHolder = current.hasIdleConn && slices.Contains(holders, candidate)
+		if !ok || current.before(best) {
+			id, best, ok = candidate, current, true
 		}
 	}
 	return id, ok
 }
 
-// releaseChoice is what a worker is chosen by to take a release.
-type releaseChoice struct {
-	asked  int       // how often it was asked for this one
-	missed bool      // it has failed to take one lately
-	unused bool      // a connection to it waits
-	holds  bool      // the same, and it may hold something
-	heard  time.Time // when it last answered
+// releaseCandidate has the criteria by which a worker is chosen to receive a release, in order of precedence.
+type releaseCandidate struct {
+	sends          int       // calls for this release so far; fewest first
+	failedRecently bool      // a release call failed within releaseFailureWindow, and it has not answered since
+	hasIdleConn    bool      // no handshake needed
+	isIdleHolder   bool      // has an idle connection and may hold something
+	lastAnswer     time.Time // most recent first
 }
 
-// before tells whether a worker is asked before another.
-func (a releaseChoice) before(b releaseChoice) bool {
+// before reports whether a is asked before b.
+func (a releaseCandidate) before(b releaseCandidate) bool {
 	switch {
-	case a.asked != b.asked:
-		return a.asked < b.asked
-	case a.missed != b.missed:
-		return b.missed
-	case a.holds != b.holds:
-		return a.holds
-	case a.unused != b.unused:
-		return a.unused
+	case a.sends != b.sends:
+		return a.sends < b.sends
+	case a.failedRecently != b.failedRecently:
+		return b.failedRecently
+	case a.isIdleHolder != b.isIdleHolder:
+		return a.isIdleHolder
+	case a.hasIdleConn != b.hasIdleConn:
+		return a.hasIdleConn
 	}
-	return a.heard.After(b.heard)
+	return a.lastAnswer.After(b.lastAnswer)
 }
--- a/internal/platform/workers/stats.go
+++ b/internal/platform/workers/stats.go
@@ -10,18 +10,18 @@
 	"gannethook/internal/connpool"
 )
 
-// Stats is what passed between this router and a worker since it was listed.
+// Stats counts the traffic between this router and a worker since the worker was listed.
 type Stats struct {
 	ID           string
-	InFlight     int           // attempts on its sockets now
-	Sent, Failed int           // attempts, and those that ended without an answer of use
-	Rejected     int           // of these, turned away
-	TimeToHead   time.Duration // the last time to the head of an answer of use
-	Reused       int           // answers on connections that were used before
-	Idle         int           // connections that wait
+	InFlight     int           // attempts at present
+	Sent, Failed int           // attempts, and those of them that ended without a usable response
+	Rejected     int           // failed attempts that the worker rejected as full
+	TimeToHead   time.Duration // of the last usable response: from the attempt's begin to the head for a write, to the end for a read
+	Reused       int           // responses on reused connections
+	Idle         int           // idle connections at present
 }
 
-// Stats lists the workers that are listed.
+// Stats returns the counts of the listed workers, ordered by id.
 func (c *Client) Stats() []Stats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -35,20 +35,20 @@
 	return list
 }
 
-// answered notes that a worker answered on a connection.
-func (c *Client) answered(id string, cn *connpool.Conn, sent time.Time) {
+// recordAnswer records a response head from a worker to a call sent at the given time.
+func (c *Client) recordAnswer(id string, cn *connpool.Conn, sent time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	w := c.byID[id]
 	if w == nil {
 		return
 	}
-	w.heard = time.Now()
-	c.heardLast = id
-	if sent.After(w.asked) {
-		w.asked, w.askedHeard = sent, w.heard
+	w.lastAnswer = time.Now()
+	c.lastAnswered = id
+	if sent.After(w.lastSent) {
+		w.lastSent, w.lastSentAnswered = sent, w.lastAnswer
 	}
-	w.answers.note(answer{sent, w.heard})
+	w.answerLog.add(answer{sent, w.lastAnswer})
 	if cn.IdleFor > 0 {
 		w.stats.Reused++
 	} else {
@@ -56,8 +56,8 @@
 	}
 }
 
-// took notes how long an answer of use took to its head.
-func (c *Client) took(id string, d time.Duration) {
+// recordTimeToHead records Stats.TimeToHead.
+func (c *Client) recordTimeToHead(id string, d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if w := c.byID[id]; w != nil {
@@ -65,12 +65,12 @@
 	}
 }
 
-// counted makes an attempt and counts it, at the worker as it was listed at the send.
-func (c *Client) counted(call *attempt.Call, do func() attempt.Result) attempt.Result {
+// countAttempt runs an attempt and counts it for the worker as listed when the attempt began.
+func (c *Client) countAttempt(call *attempt.Call, do func() attempt.Result) attempt.Result {
 	c.mu.Lock()
 	w := c.byID[call.Addr]
 	if w == nil {
-		w = &worker{} // do tells that it is not listed
+		w = &worker{} // do reports that it is not listed
 	}
 	w.stats.Sent++
 	w.stats.InFlight++
@@ -80,7 +80,7 @@
 	defer c.mu.Unlock()
 	w.stats.InFlight--
 	if written := call.Written.Time(); !written.IsZero() {
-		r.BegunBy = w.answers.begunBy(written)
+		r.BegunBy = w.answerLog.begunBy(written)
 	}
 	switch r.Outcome {
 	case gannethook.Served, gannethook.ReadDone, gannethook.Cancelled, gannethook.Moot:
--- a/internal/platform/workers/traffic.go
+++ b/internal/platform/workers/traffic.go
@@ -6,22 +6,22 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// Traffic counts calls to workers since the start, and the connections made for them.
+// Traffic counts calls to workers since the start, and the connections opened for them.
 type Traffic struct {
 	Attempts     Calls // reads and writes
-	Control      Calls // places and releases
-	Releases     int64 // releases that were asked for; each is tried at one worker or more
-	ReleaseTries int64
+	Control      Calls // place requests and releases
+	Releases     int64 // releases requested by the driver; each takes one call or more
+	ReleaseTries int64 // release calls to workers
 }
 
 // Calls counts the calls of one kind.
 type Calls struct {
 	Made        int64
-	Opened      int64 // of these, on a new connection
-	ClosedEarly int64 // of these, its worker ended the connection before an answer had begun
+	Opened      int64 // calls made on a new connection
+	ClosedEarly int64 // calls whose new connection the worker closed before a response began
 }
 
-// MarshalLogObject writes the counts to a log.
+// MarshalLogObject writes the counts as log fields.
 func (t Traffic) MarshalLogObject(enc zapcore.ObjectEncoder) error {
 	for _, c := range []struct {
 		name  string
@@ -36,28 +36,28 @@
 	return nil
 }
 
-// callCounts are the counts behind Calls.
-type callCounts struct{ made, opened, turnedAway atomic.Int64 }
+// callCounts has the counters of Calls.
+type callCounts struct{ made, opened, closedEarly atomic.Int64 }
 
-func (c *callCounts) read() Calls {
-	return Calls{Made: c.made.Load(), Opened: c.opened.Load(), ClosedEarly: c.turnedAway.Load()}
+func (c *callCounts) snapshot() Calls {
+	return Calls{Made: c.made.Load(), Opened: c.opened.Load(), ClosedEarly: c.closedEarly.Load()}
 }
 
-// traffic is the counts behind Traffic.
+// traffic has the counters of Traffic.
 type traffic struct {
 	attempts, control      callCounts
 	releases, releaseTries atomic.Int64
 }
 
-func (t *traffic) of(control bool) *callCounts {
+func (t *traffic) counts(control bool) *callCounts {
 	if control {
 		return &t.control
 	}
 	return &t.attempts
 }
 
-// Traffic is what passed to workers since the start.
+// Traffic returns the counts since the start.
 func (c *Client) Traffic() Traffic {
-	return Traffic{Attempts: c.traffic.attempts.read(), Control: c.traffic.control.read(),
+	return Traffic{Attempts: c.traffic.attempts.snapshot(), Control: c.traffic.control.snapshot(),
 		Releases: c.traffic.releases.Load(), ReleaseTries: c.traffic.releaseTries.Load()}
 }
--- a/internal/platform/workers/workers_test.go
+++ b/internal/platform/workers/workers_test.go
@@ -206,7 +206,7 @@
 	})
 	cl := client(t, 10, silent)
 	cl.Update(false, []Worker{{ID: "v", Addr: well}})
-	cl.answered("w", &connpool.Conn{}, time.Now())
+	cl.recordAnswer("w", &connpool.Conn{}, time.Now())
 	cl.Release(context.Background(), []attempt.Held{{Addr: "w", Key: "r"}})
 	select {
 	case path := <-let:
--- a/internal/streamdrain/streamdrain.go
+++ b/internal/streamdrain/streamdrain.go
@@ -1,13 +1,12 @@
-// Package streamdrain decides which streams a stopping router parts with, and when.
-// It has no clock and does no I/O.
+// Package streamdrain decides which streams a stopping router ends early, and when. It
+// has no clock and does no I/O.
 //
-// A router that is stopped is killed some seconds later, and what it streams
-// then breaks all at once. Where clients ask for the rest of a broken stream,
-// they ask at that moment, and another router may be stopping or coming up just
-// then: with nobody to take them in, the answers are lost. So a stopping router
-// ends its streams itself, spread over a time in which its neighbours are likely
-// to stand: not at once, since the router before it in a rolling restart may
-// still be coming up, and not last, since the next may be stopping.
+// A stopping router is killed some seconds later, and all its open streams break at
+// once. Clients that resume broken streams would all do so at that moment, when another
+// router may be stopping or starting: with no router to accept them, their answers are
+// lost. So a stopping router ends its streams itself, spread over a time in which the
+// other routers are likely to be up: not at once, since the previous router in a rolling
+// restart may still be starting, and not last, since the next one may be stopping.
 package streamdrain
 
 import (
@@ -16,46 +15,47 @@
 	"time"
 )
 
-// Plan is how one router parts with its streams. Times count from the stop.
+// Plan is one router's schedule for ending its streams: from From on a falling number stays open, from Until on none.
+// Times count from the stop.
 type Plan struct {
-	From, Until time.Duration
-	resumes     bool // clients ask for the rest of a stream
-	looked      bool
-	most        int // streams that were open at the first look
+	From, Until   time.Duration
+	clientsResume bool // clients resume a stream that was ended
+	started       bool // initialCount is set
+	initialCount  int  // open streams at the first call of ToEnd after From
 }
 
-// Parts of the time until the kill.
+// Plan.From and Plan.Until as fractions of the time until the kill.
 const (
-	from  = 0.58 // ours: a router stopped a while before this one is back by then
-	until = 0.87 // ours: one stopped next still takes clients in
+	startFraction = 0.58 // a router that was stopped a while before this one is back by then
+	endFraction   = 0.87 // a router that is stopped next still accepts clients
 )
 
-// NewPlan makes a plan for a router that is killed at the earliest after so
-// long. Where clients do not ask for the rest of a stream none is ended: what is
-// cut is lost, and only what the kill breaks is broken.
-func NewPlan(kill time.Duration, resumes bool) *Plan {
-	return &Plan{From: time.Duration(from * float64(kill)), Until: time.Duration(until * float64(kill)), resumes: resumes}
+// NewPlan returns a plan for a router that is killed no earlier than kill after the stop.
+// If clients do not resume streams, none is ended early: an ended stream is lost, and
+// only those still open at the kill should be.
+func NewPlan(kill time.Duration, clientsResume bool) *Plan {
+	return &Plan{From: time.Duration(startFraction * float64(kill)), Until: time.Duration(endFraction * float64(kill)), clientsResume: clientsResume}
 }
 
 // Stream is an open stream.
 type Stream struct {
 	ID        uint64
-	StartedAt time.Duration // since any moment, the same for all
+	StartedAt time.Duration // since a moment common to all streams
 }
 
-// ToEnd picks the streams to end now, so long after the stop. The youngest go
-// first: the older ones are more likely to end by themselves, and have more that
-// must be read again.
-func (p *Plan) ToEnd(passed time.Duration, open []Stream) []Stream {
-	if !p.resumes || passed < p.From {
+// ToEnd returns the open streams to end now, elapsed after the stop. The youngest are
+// ended first: older ones are more likely to end by themselves, and have more text that
+// a resumed request has to prefill again.
+func (p *Plan) ToEnd(elapsed time.Duration, open []Stream) []Stream {
+	if !p.clientsResume || elapsed < p.From {
 		return nil
 	}
-	if !p.looked {
-		p.most, p.looked = len(open), true
+	if !p.started {
+		p.initialCount, p.started = len(open), true
 	}
 	keep := 0
-	if passed < p.Until {
-		keep = int(float64(p.most) * float64(p.Until-passed) / float64(p.Until-p.From))
+	if elapsed < p.Until {
+		keep = int(float64(p.initialCount) * float64(p.Until-elapsed) / float64(p.Until-p.From))
 	}
 	if keep >= len(open) {
 		return nil
