--- a/internal/connpool/idle_test.go
+++ b/internal/connpool/idle_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// pair is both ends of a connection over loopback.
+// pair returns both ends of a connection over loopback.
 func pair(t *testing.T) (near, far *net.TCPConn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -31,7 +31,7 @@
 	return dialled.(*net.TCPConn), accepted.(*net.TCPConn)
 }
 
-// until waits for what must come true soon.
+// until waits up to 5 s for a condition.
 func until(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for from := time.Now(); !ok(); time.Sleep(time.Millisecond) {
@@ -41,10 +41,10 @@
 	}
 }
 
-// A kept connection that its peer has closed, reset or written on out of turn is not taken again: a request written on it would
-// end as one that may have run, or be answered by what nobody asked for.
-func TestTakeLeavesOutWhatDoesNotStand(t *testing.T) {
-	for name, spoil := range map[string]func(far *net.TCPConn){
+// An idle connection that its peer has closed, reset or written unsolicited data to is not reused: a request written to it
+// would fail as one that may have run, or get the unsolicited data as its response.
+func TestTakeSkipsUnusableConnections(t *testing.T) {
+	for name, breakConn := range map[string]func(far *net.TCPConn){
 		"closed": func(far *net.TCPConn) { far.Close() },
 		"reset": func(far *net.TCPConn) {
 			far.SetLinger(0)
@@ -56,7 +56,7 @@
 		near, far := pair(t)
 		closed := 0
 		idle.Put("a", New(near, 512, func() { closed++ }))
-		spoil(far)
+		breakConn(far)
 		until(t, name, func() bool { return !IsUsable(near) })
 		if c := idle.Take("a"); c != nil || closed != 1 {
 			t.Errorf("%s: took %v, closed %d times", name, c, closed)
@@ -64,12 +64,12 @@
 	}
 }
 
-// The newest connection that has rested is taken first; one that was unused for its life is not taken any more.
+// Take returns the newest connection that has been idle for the reuse delay, and none that has been idle for maxIdle.
 func TestTakeByAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		idle := NewIdle(time.Second, 50*time.Millisecond, 4)
-		kept := func() *Conn {
-			near, far := net.Pipe() // no socket: it always stands
+		put := func() *Conn {
+			near, far := net.Pipe() // not a socket: it always counts as usable
 			t.Cleanup(func() {
 				near.Close()
 				far.Close()
@@ -78,26 +78,26 @@
 			idle.Put("a", c)
 			return c
 		}
-		kept()
+		put()
 		time.Sleep(100 * time.Millisecond)
-		newer := kept()
+		newer := put()
 		if c := idle.Take("a"); c == newer || c == nil {
-			t.Error("one that has not rested was taken, or none")
+			t.Error("a connection was reused before the reuse delay, or none was")
 		} else {
 			idle.Put("a", c)
 		}
 		time.Sleep(60 * time.Millisecond)
 		if c := idle.Take("a"); c == nil || c == newer || c.IdleFor != 60*time.Millisecond {
-			t.Errorf("not the one that was put back last: %v", c)
+			t.Errorf("not the one put back last: %v", c)
 		}
 		time.Sleep(time.Second)
 		if c := idle.Take("a"); c != nil {
-			t.Errorf("taken after its life: %v", c)
+			t.Errorf("taken after maxIdle: %v", c)
 		}
 	})
 }
 
-// What is kept is bounded by name, and all of it is closed in the end.
+// The number of idle connections is limited per name, and Close closes all of them.
 func TestIdleIsBounded(t *testing.T) {
 	idle, closed := NewIdle(time.Minute, 0, 2), 0
 	put := func(name string) {
@@ -110,17 +110,17 @@
 	}
 	put("b")
 	if idle.Count("a") != 2 || closed != 1 || len(idle.Names()) != 2 {
-		t.Errorf("%d of a kept, %d closed, names %v", idle.Count("a"), closed, idle.Names())
+		t.Errorf("%d kept of a, %d closed, names %v", idle.Count("a"), closed, idle.Names())
 	}
 	if !idle.CloseOldest() || idle.Count("a") != 1 || closed != 2 {
-		t.Errorf("the oldest stays: %d of a, %d closed", idle.Count("a"), closed)
+		t.Errorf("the oldest was not closed: %d kept of a, %d closed", idle.Count("a"), closed)
 	}
 	idle.Sweep(func(name string) bool { return name == "b" })
 	if idle.Count("b") != 0 || closed != 3 {
-		t.Errorf("b stays, %d closed", closed)
+		t.Errorf("b was not closed, %d closed", closed)
 	}
 	idle.Close()
 	if put("a"); idle.Count("a") != 0 || closed != 5 || idle.CloseOldest() {
-		t.Errorf("%d kept after the end, %d closed", idle.Count("a"), closed)
+		t.Errorf("%d kept after Close, %d closed", idle.Count("a"), closed)
 	}
 }
--- a/internal/platform/clients/accept_test.go
+++ b/internal/platform/clients/accept_test.go
@@ -14,7 +14,7 @@
 	"go.uber.org/zap"
 )
 
-// failingListener fails its first calls of accept, each with the next error.
+// failingListener fails its first calls of Accept with the given errors, in order.
 type failingListener struct {
 	net.Listener
 	errs []error
@@ -28,8 +28,8 @@
 	return l.Listener.Accept()
 }
 
-// Errors of accept that pass, as its manual page lists them, end no router; a broken listener does.
-func TestAcceptErrorsPass(t *testing.T) {
+// Serve goes on after the transient errors that the manual page of accept lists, and ends on a broken listener.
+func TestTransientAcceptErrors(t *testing.T) {
 	s := New(Config{Log: zap.NewNop(), Ready: func() bool { return true }, Limits: Limits{Conns: 10, Rejections: 2, Head: time.Second,
 		Idle: time.Second, Write: time.Second, Shutdown: 100 * time.Millisecond, Bodies: 1 << 20}})
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
@@ -49,11 +49,11 @@
 	}
 	ln.Close()
 	if err := <-ended; err != nil {
-		t.Errorf("it ended with %v", err)
+		t.Errorf("Serve returned %v", err)
 	}
 	broken := &failingListener{Listener: inner, errs: []error{syscall.EBADF}}
 	if err := s.Serve(broken); !errors.Is(err, syscall.EBADF) {
-		t.Errorf("a broken listener: %v", err)
+		t.Errorf("Serve on a broken listener returned %v", err)
 	}
 	s.CloseAll()
 }
--- a/internal/platform/clients/shortage_test.go
+++ b/internal/platform/clients/buffershortage_test.go
@@ -13,27 +13,27 @@
 	"gannethook/internal/driver"
 )
 
-// shortConn lacks buffers for every other write.
-type shortConn struct {
+// noBufferConn fails every other write with ENOBUFS.
+type noBufferConn struct {
 	net.Conn
 	writes int
 }
 
-func (c *shortConn) Write(p []byte) (int, error) {
+func (c *noBufferConn) Write(p []byte) (int, error) {
 	if c.writes++; c.writes%2 == 1 {
 		return 0, &net.OpError{Op: "write", Net: "tcp", Err: os.NewSyscallError("write", syscall.ENOBUFS)}
 	}
 	return c.Conn.Write(p)
 }
 
-// An answer is written although the system lacks buffers for a moment.
-func TestAnswerOutlastsWantOfBuffers(t *testing.T) {
+// Responses and streams are written although the system lacks buffers at times.
+func TestResponseSurvivesBufferShortage(t *testing.T) {
 	s := New(Config{Classes: []string{"chat"}, Ready: func() bool { return true }, Log: zap.NewNop(),
 		Submit: func(driver.Job, driver.Sink) (*driver.Call, error) { return nil, driver.ErrBusy },
 		Limits: Limits{Conns: 10, Rejections: 2, Head: time.Second, Idle: time.Second, Write: time.Second, Shutdown: 100 * time.Millisecond,
 			Body: 1 << 10, Bodies: 1 << 20}})
 	near, far := pair(t)
-	s.accept(&shortConn{Conn: near})
+	s.accept(&noBufferConn{Conn: near})
 	io.WriteString(far, "GET /ready HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
 	far.SetReadDeadline(time.Now().Add(2 * time.Second))
 	text, err := io.ReadAll(far)
@@ -41,14 +41,14 @@
 		t.Errorf("%q, %v", text, err)
 	}
 	near2, far2 := pair(t)
-	w := newStreamWriter(&shortConn{Conn: near2}, s.limits.Load, &s.bodies, s.wg.Go)
+	w := newStreamWriter(&noBufferConn{Conn: near2}, s.limits.Load, &s.bodies, s.wg.Go)
 	for range 3 {
 		if err := w.chunk([]byte("data: a\n\n")); err != nil {
-			t.Fatalf("a chunk: %v", err)
+			t.Fatalf("chunk: %v", err)
 		}
 	}
 	if err := w.drain(time.Now().Add(time.Second)); err != nil {
-		t.Errorf("the rest: %v", err)
+		t.Errorf("drain: %v", err)
 	}
 	near2.CloseWrite()
 	far2.SetReadDeadline(time.Now().Add(2 * time.Second))
--- a/internal/platform/clients/closing.go
+++ b/internal/platform/clients/closing.go
@@ -20,8 +20,8 @@
 	closedIdle                          // no request arrived within Limits.Idle, or a first one within Limits.Head
 	closedOnStop                        // idle when the router stopped
 	closedAtExit                        // still open when the router exited
-	closedEvicted                       // idle for longest when another connection arrived,
-	closedEvictedNew                    // and without any request so far
+	closedEvicted                       // idle for longest when a connection over the limit arrived
+	closedEvictedNew                    // the same, with no request so far
 	closedOverLimit                     // over the limit on connections; the client got a 503
 	closedOverLimitSilently             // over the limit, and over Limits.Rejections; closed without reading or a response
 	closedBadRequest                    // the request was invalid, too large or a duplicate of an open one
--- a/internal/platform/clients/conn.go
+++ b/internal/platform/clients/conn.go
@@ -22,12 +22,12 @@
 	nc                 net.Conn
 	id                 uint64 // number in the log
 	acceptedAt         time.Time
-	requests           int         // read whole
+	requests           int         // read whole on it
 	closeReason        closeReason // once it is to close
 	br                 *bufio.Reader
 	bw                 *bufio.Writer
 	readAhead          *readAhead
-	clientDisconnected bool          // by the client
+	clientDisconnected bool          // before its request began: nothing more is written
 	shutDown           bool          // the write side is closed
 	idleElement        *list.Element // in Server.idle; nil: not idle. Guarded by the server's lock
 	evicted            bool          // closed to make room for another; guarded by the server's lock
--- a/internal/platform/clients/exchange.go
+++ b/internal/platform/clients/exchange.go
@@ -32,9 +32,9 @@
 type exchange struct {
 	conn      *clientConn
 	req       *http1.Request
-	startedAt time.Time
-	keepAlive bool
-	heldBytes int64 // bytes of head and body counted in Server.bodies
+	startedAt time.Time // when its first byte was available
+	keepAlive bool      // another request may follow on the connection
+	heldBytes int64     // bytes of head and body counted in Server.bodies
 
 	streamID        uint64        // number in Server.streams, once streaming
 	streamStartedAt time.Duration // after Server.startedAt
--- a/internal/platform/clients/server.go
+++ b/internal/platform/clients/server.go
@@ -67,7 +67,7 @@
 	requestIDs map[string]struct{} // of open requests
 	rejectNew  bool                // CloseAll was called
 
-	streams      map[uint64]*exchange // open streams by number
+	streams      map[uint64]*exchange // open streams by number; guarded by mu
 	lastStreamID uint64
 }
 
--- a/internal/platform/workers/crossing_test.go
+++ b/internal/platform/workers/checkwrite_test.go
@@ -14,10 +14,10 @@
 	"gannethook/internal/attempt"
 )
 
-// What changes between the choice of a worker and the moment in which the connection has come up keeps an attempt
-// from beginning: its worker drains or is gone, its client has left, its group has forgotten the attempt before it.
-// A place is new work too; to let go is not.
-func TestNothingBeginsOnceItMayNot(t *testing.T) {
+// A change between the choice of a worker and the connection's being established keeps an attempt from being written:
+// its worker drains or was removed, its client has disconnected, or its write deadline has passed. A place request is new
+// work too; a release is not.
+func TestNoWriteAfterChangeWhileConnecting(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(*Client, *attempt.Call)
@@ -32,19 +32,19 @@
 		{"client left", func(_ *Client, a *attempt.Call) { a.ClientGone = func() bool { return true } }, gannethook.Cancelled},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			var work, let atomic.Int32
-			cl := client(t, 10, answering(t, func(nc net.Conn, req *http.Request) {
+			var requests, releases atomic.Int32
+			cl := newTestClient(t, 10, serveRequests(t, func(nc net.Conn, req *http.Request) {
 				if req.Method == "DELETE" {
-					let.Add(1)
+					releases.Add(1)
 				} else {
-					work.Add(1)
+					requests.Add(1)
 				}
 				io.WriteString(nc, "HTTP/1.1 204 No Content\r\n\r\n")
 			}))
-			a := call(1)
+			a := newCall(1)
 			a.WriteDeadline, a.ClientGone = time.Now().Add(time.Hour), func() bool { return false }
-			if r := cl.Read(context.Background(), a); r.Outcome != gannethook.Failed || work.Load() != 1 {
-				t.Fatalf("as nothing has changed: %+v, %d requests", r, work.Load())
+			if r := cl.Read(context.Background(), a); r.Outcome != gannethook.Failed || requests.Load() != 1 {
+				t.Fatalf("before the change: %+v, %d requests", r, requests.Load())
 			}
 			c.change(cl, a)
 			for _, do := range []func() attempt.Result{
@@ -57,48 +57,48 @@
 			}
 			if c.name == "drains" {
 				if p := cl.Hold(context.Background(), a, ""); p != attempt.Denied {
-					t.Errorf("a place: %v", p)
+					t.Errorf("place request: %v", p)
 				}
-				if cl.Release(context.Background(), []attempt.Held{{Addr: "w", Key: "r1"}}); let.Load() != 1 {
-					t.Errorf("%d releases", let.Load())
+				if cl.Release(context.Background(), []attempt.Held{{Addr: "w", Key: "r1"}}); releases.Load() != 1 {
+					t.Errorf("%d releases", releases.Load())
 				}
 			}
-			if n := work.Load(); n != 1 {
+			if n := requests.Load(); n != 1 {
 				t.Errorf("%d requests reached the worker", n)
 			}
 		})
 	}
 }
 
-// Where every connection is in use, a release waits for one: what is held is let go although many requests end at once.
-func TestReleaseWaitsForRoom(t *testing.T) {
+// Guards against releases that fail for lack of a connection when many requests end at once: a release waits for one.
+func TestReleaseWaitsForConnection(t *testing.T) {
 	var reads sync.WaitGroup
-	let, free := make(chan struct{}, 1), make(chan struct{})
-	cl := client(t, 2, answering(t, func(nc net.Conn, req *http.Request) {
+	released, answerReads := make(chan struct{}, 1), make(chan struct{})
+	cl := newTestClient(t, 2, serveRequests(t, func(nc net.Conn, req *http.Request) {
 		if req.Method == "DELETE" {
-			let <- struct{}{}
+			released <- struct{}{}
 			io.WriteString(nc, "HTTP/1.1 204 No Content\r\n\r\n")
 			return
 		}
 		reads.Done()
-		<-free
-		io.WriteString(nc, done)
+		<-answerReads
+		io.WriteString(nc, acceptedResponse)
 	}))
-	var out sync.WaitGroup
+	var running sync.WaitGroup
 	reads.Add(2)
 	for i := range 2 {
-		out.Go(func() { cl.Read(context.Background(), call(i)) })
+		running.Go(func() { cl.Read(context.Background(), newCall(i)) })
 	}
 	reads.Wait()
 	go func() {
-		time.Sleep(50 * time.Millisecond) // long after the release has begun; however late, it may not have given up
-		close(free)
+		time.Sleep(50 * time.Millisecond) // well after the release has begun, which may not time out meanwhile
+		close(answerReads)
 	}()
 	cl.Release(context.Background(), []attempt.Held{{Addr: "w", Key: "r9"}})
 	select {
-	case <-let:
+	case <-released:
 	default:
-		t.Error("the release was given up for want of a connection")
+		t.Error("the release failed for lack of a connection")
 	}
-	out.Wait()
+	running.Wait()
 }
--- a/internal/platform/workers/connlimiter_test.go
+++ b/internal/platform/workers/connlimiter_test.go
@@ -12,12 +12,12 @@
 	"gannethook"
 )
 
-// An attempt that finds all connections in use waits for one, and goes as soon as another attempt has ended.
-func TestAttemptWaitsForRoom(t *testing.T) {
-	const conns, attempts = 10, 9 // a tenth is left to places and releases
+// An attempt that finds all connections in use waits for one, and begins as soon as another attempt has ended.
+func TestAttemptWaitsForConnection(t *testing.T) {
+	const conns, attempts = 10, 9 // a tenth is reserved for place requests and releases
 	answer := make(chan struct{})
 	var begun sync.WaitGroup
-	cl := client(t, conns, answering(t, func(nc net.Conn, req *http.Request) {
+	cl := newTestClient(t, conns, serveRequests(t, func(nc net.Conn, req *http.Request) {
 		begun.Done()
 		<-answer
 		io.WriteString(nc, "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n")
@@ -25,9 +25,9 @@
 	begun.Add(attempts + 1)
 	outcomes := make(chan gannethook.Outcome, attempts+1)
 	for i := range attempts + 1 {
-		go func() { outcomes <- cl.Read(context.Background(), call(i)).Outcome }()
+		go func() { outcomes <- cl.Read(context.Background(), newCall(i)).Outcome }()
 	}
-	for range 2 { // one answer makes room for the tenth attempt, whose answer comes with the others
+	for range 2 { // one response frees a connection for the tenth attempt, which is answered with the others
 		answer <- struct{}{}
 	}
 	begun.Wait()
@@ -39,18 +39,18 @@
 	}
 }
 
-// Whoever waits goes in order, places and releases first; a turn that its owner no longer wants is passed on.
-func TestRoomInOrder(t *testing.T) {
+// Waiting callers are woken in order, place requests and releases first; a wake-up of a cancelled caller is passed on.
+func TestConnLimiterOrder(t *testing.T) {
 	r := &connLimiter{open: 1, recheckInterval: time.Hour}
 	order := make(chan string, 3)
 	var waiting sync.WaitGroup
 	wait := func(ctx context.Context, name string, control bool) {
-		line := 1
+		queue := 1
 		if control {
-			line = 0
+			queue = 0
 		}
 		r.mu.Lock()
-		had := len(r.queues[line])
+		had := len(r.queues[queue])
 		r.mu.Unlock()
 		waiting.Go(func() {
 			if r.wait(ctx, control) {
@@ -59,7 +59,7 @@
 		})
 		for queued := false; !queued; time.Sleep(time.Millisecond) {
 			r.mu.Lock()
-			queued = len(r.queues[line]) > had
+			queued = len(r.queues[queue]) > had
 			r.mu.Unlock()
 		}
 	}
--- a/internal/platform/workers/exchange.go
+++ b/internal/platform/workers/exchange.go
@@ -120,7 +120,7 @@
 	errDraining           = errors.New("the worker is draining or no longer listed")
 	errDeadlinePassed     = errors.New("the connection was established after the request's deadline")
 	errClientDisconnected = errors.New("the client has disconnected")
-	errCancelled          = errors.New("cancelled")
+	errCancelled          = errors.New("the attempt was cancelled")
 )
 
 // checkWrite asks the guard whether a request may still be written. Connecting may
--- a/internal/platform/workers/workers.go
+++ b/internal/platform/workers/workers.go
@@ -36,7 +36,7 @@
 // worker is the state kept for a listed worker, from its listing until it moves, restarts or is removed.
 type worker struct {
 	addr             string
-	startTime        float64
+	startTime        float64   // Worker.Boot: a change means that the worker restarted
 	draining         bool      // takes no new work, only releases
 	lastAnswer       time.Time // when its last response head arrived
 	lastSent         time.Time // when the most recently sent call that it answered was sent,
@@ -55,8 +55,8 @@
 	byID         map[string]*worker
 	lastAnswered string           // the worker that answered last; guarded by mu
 	reusePolicy  connreuse.Policy // guarded by mu
-	start        time.Time
-	stop         chan struct{}
+	start        time.Time        // origin of reusePolicy's times
+	stop         chan struct{}    // closed by Close
 	wg           sync.WaitGroup
 
 	traffic traffic
@@ -88,9 +88,9 @@
 // Worker is a worker's entry in the list from discovery.
 type Worker struct {
 	ID, Addr string
-	Boot     float64
+	Boot     float64 // start time, Unix ms; 0: long ago
 	Draining bool
-	Removed  bool
+	Removed  bool // only ID counts
 }
 
 // Update applies an update of the worker list; with full set, workers that are not in
--- a/internal/platform/workers/workers_test.go
+++ b/internal/platform/workers/workers_test.go
@@ -22,8 +22,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// script serves connections by hand until the test ends.
-func script(t *testing.T, serve func(nc net.Conn, br *bufio.Reader)) string {
+// serveConns runs serve on each connection to the returned address until the test ends.
+func serveConns(t *testing.T, serve func(nc net.Conn, br *bufio.Reader)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -59,8 +59,8 @@
 	return ln.Addr().String()
 }
 
-// take reads one request; it tells whether there was one.
-func take(br *bufio.Reader) (*http.Request, bool) {
+// readRequest reads one request; ok is false at the end of the connection.
+func readRequest(br *bufio.Reader) (*http.Request, bool) {
 	req, err := http.ReadRequest(br)
 	if err != nil {
 		return nil, false
@@ -69,12 +69,12 @@
 	return req, err == nil
 }
 
-// answering serves requests, each by answer, until the test ends.
-func answering(t *testing.T, answer func(nc net.Conn, req *http.Request)) string {
+// serveRequests calls answer for each request to the returned address until the test ends.
+func serveRequests(t *testing.T, answer func(nc net.Conn, req *http.Request)) string {
 	t.Helper()
-	return script(t, func(nc net.Conn, br *bufio.Reader) {
+	return serveConns(t, func(nc net.Conn, br *bufio.Reader) {
 		for {
-			req, ok := take(br)
+			req, ok := readRequest(br)
 			if !ok {
 				return
 			}
@@ -83,7 +83,7 @@
 	})
 }
 
-func client(t *testing.T, conns int, addr string) *Client {
+func newTestClient(t *testing.T, conns int, addr string) *Client {
 	c := New(Limits{Conns: conns, IdlePerWorker: 10, Dial: time.Second, Idle: 10 * time.Second, StreamIdle: time.Second, ReservationTimeout: time.Second,
 		ReleaseTimeout: 300 * time.Millisecond}, nil)
 	c.Update(true, []Worker{{ID: "w", Addr: addr}})
@@ -91,29 +91,29 @@
 	return c
 }
 
-func call(i int) *attempt.Call {
+func newCall(i int) *attempt.Call {
 	return &attempt.Call{Addr: "w", Key: fmt.Sprint("r", i), Path: "/v1/chat/completions", Body: []byte("{}"), RetriesLeft: 3}
 }
 
-const done = "HTTP/1.1 202 Accepted\r\nContent-Length: 2\r\n\r\n{}"
+const acceptedResponse = "HTTP/1.1 202 Accepted\r\nContent-Length: 2\r\n\r\n{}"
 
-// A kept connection is used again, not one that its worker closed, nor one that talks out of turn.
-func TestKept(t *testing.T) {
+// An idle connection is reused, but not one that its worker has closed or that has unsolicited data.
+func TestConnectionReuse(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		after string // behind the first answer
+		after string // written after the first response
 		close bool
 		conns int32
 	}{{"kept", "", false, 1}, {"closed", "", true, 2}, {"talks", "x", false, 2}} {
 		var conns atomic.Int32
 		wrote := make(chan struct{}, 10)
-		cl := client(t, 10, script(t, func(nc net.Conn, br *bufio.Reader) {
+		cl := newTestClient(t, 10, serveConns(t, func(nc net.Conn, br *bufio.Reader) {
 			conns.Add(1)
 			for first := true; ; first = false {
-				if _, ok := take(br); !ok {
+				if _, ok := readRequest(br); !ok {
 					return
 				}
-				io.WriteString(nc, done)
+				io.WriteString(nc, acceptedResponse)
 				if first {
 					io.WriteString(nc, c.after)
 					if c.close {
@@ -124,7 +124,7 @@
 			}
 		}))
 		for i := range 2 {
-			if r := cl.Read(context.Background(), call(i)); r.Outcome != gannethook.ReadDone {
+			if r := cl.Read(context.Background(), newCall(i)); r.Outcome != gannethook.ReadDone {
 				t.Errorf("%s: %+v", c.name, r)
 			}
 			if i == 0 {
@@ -137,79 +137,79 @@
 	}
 }
 
-// Where kept connections are reset at their next request, new ones are soon made.
-func TestResetsOfKept(t *testing.T) {
-	cl := client(t, 20, script(t, func(nc net.Conn, br *bufio.Reader) {
-		if _, ok := take(br); ok {
-			io.WriteString(nc, done)
+// If reused connections are reset at their next request, the client soon opens new ones instead.
+func TestResetsOfReusedConnections(t *testing.T) {
+	cl := newTestClient(t, 20, serveConns(t, func(nc net.Conn, br *bufio.Reader) {
+		if _, ok := readRequest(br); ok {
+			io.WriteString(nc, acceptedResponse)
 		}
-		take(br)
+		readRequest(br)
 		nc.(*net.TCPConn).SetLinger(0)
 	}))
-	bad := [2]int{}
+	broken := [2]int{}
 	for i := range 200 {
-		if r := cl.Read(context.Background(), call(i)); r.Outcome == gannethook.Broken {
-			bad[i/100]++
+		if r := cl.Read(context.Background(), newCall(i)); r.Outcome == gannethook.Broken {
+			broken[i/100]++
 		} else if r.Outcome != gannethook.ReadDone {
 			t.Fatalf("%+v", r)
 		}
 	}
-	if bad[0] == 0 || bad[1] > 10 {
-		t.Errorf("%v broke of a hundred each", bad)
+	if broken[0] == 0 || broken[1] > 10 {
+		t.Errorf("broken in each hundred: %v", broken)
 	}
-	once := call(1)
+	unsafe := newCall(1)
 	for i := range 20 {
-		once.Unsafe = true
-		if r := cl.Read(context.Background(), once); r.Outcome != gannethook.ReadDone {
-			t.Errorf("what may not be made again, the %dth: %+v", i, r)
+		unsafe.Unsafe = true
+		if r := cl.Read(context.Background(), unsafe); r.Outcome != gannethook.ReadDone {
+			t.Errorf("unsafe attempt %d: %+v", i, r)
 		}
 	}
 }
 
-// When attempts take up all connections for long, the next is not tried, and what is held is still let go.
-func TestRoomForReleases(t *testing.T) {
-	var let atomic.Int32
+// While attempts use all their connections, another attempt fails as not tried, and releases still get a connection.
+func TestConnectionsReservedForReleases(t *testing.T) {
+	var releases atomic.Int32
 	var reads sync.WaitGroup
-	cl := client(t, 20, answering(t, func(nc net.Conn, req *http.Request) {
+	cl := newTestClient(t, 20, serveRequests(t, func(nc net.Conn, req *http.Request) {
 		if req.Method == "DELETE" {
-			let.Add(1)
+			releases.Add(1)
 			io.WriteString(nc, "HTTP/1.1 204 No Content\r\n\r\n")
 			return
 		}
 		reads.Done()
 	}))
 	ctx, cancel := context.WithCancel(context.Background())
-	var out sync.WaitGroup
+	var running sync.WaitGroup
 	reads.Add(18)
 	for i := range 18 {
-		out.Go(func() { cl.Read(ctx, call(i)) })
+		running.Go(func() { cl.Read(ctx, newCall(i)) })
 	}
 	reads.Wait()
-	if r := cl.Read(ctx, call(99)); r.Outcome != gannethook.NotTried { // the worker is not to blame
-		t.Errorf("one more: %+v", r)
+	if r := cl.Read(ctx, newCall(99)); r.Outcome != gannethook.NotTried { // must not count against the worker
+		t.Errorf("attempt over the limit: %+v", r)
 	}
 	cl.Release(ctx, []attempt.Held{{Addr: "w", Key: "r1"}, {Addr: "w", Key: "r1"}})
-	if n := let.Load(); n != 1 {
-		t.Errorf("%d releases of one request", n)
+	if n := releases.Load(); n != 1 {
+		t.Errorf("%d releases for one request, 1 expected", n)
 	}
 	cancel()
-	out.Wait()
+	running.Wait()
 }
 
-// A release that a silent worker does not answer goes to another.
-func TestReleaseGoesOn(t *testing.T) {
-	silent := answering(t, func(net.Conn, *http.Request) {})
-	let := make(chan string, 10)
-	well := answering(t, func(nc net.Conn, req *http.Request) {
-		let <- req.URL.Path
+// A release that an unresponsive worker does not answer goes to another worker.
+func TestReleaseGoesToNextWorker(t *testing.T) {
+	unresponsive := serveRequests(t, func(net.Conn, *http.Request) {})
+	released := make(chan string, 10)
+	responsive := serveRequests(t, func(nc net.Conn, req *http.Request) {
+		released <- req.URL.Path
 		io.WriteString(nc, "HTTP/1.1 204 No Content\r\n\r\n")
 	})
-	cl := client(t, 10, silent)
-	cl.Update(false, []Worker{{ID: "v", Addr: well}})
+	cl := newTestClient(t, 10, unresponsive)
+	cl.Update(false, []Worker{{ID: "v", Addr: responsive}})
 	cl.recordAnswer("w", &connpool.Conn{}, time.Now())
 	cl.Release(context.Background(), []attempt.Held{{Addr: "w", Key: "r"}})
 	select {
-	case path := <-let:
+	case path := <-released:
 		if path != HoldsPath+"r" {
 			t.Errorf("released %s", path)
 		}
@@ -218,12 +218,12 @@
 	}
 }
 
-// A chunk may hold half an event: it begins no stream. An event passes before its chunk has ended.
-func TestEventsNotChunks(t *testing.T) {
+// A chunk with only a part of an event does not start the stream. An event is passed on before its chunk has ended.
+func TestStreamPassesEventsNotChunks(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
-	passed := make(chan struct{})
-	cl := client(t, 10, script(t, func(nc net.Conn, br *bufio.Reader) {
-		req, ok := take(br)
+	eventPassed := make(chan struct{})
+	cl := newTestClient(t, 10, serveConns(t, func(nc net.Conn, br *bufio.Reader) {
+		req, ok := readRequest(br)
 		if !ok {
 			return
 		}
@@ -231,15 +231,15 @@
 			io.WriteString(nc, head+"5\r\ndata:\r\n")
 			return
 		}
-		io.WriteString(nc, head+"c\r\ndata: a\n\n") // three bytes of the chunk are to come
-		<-passed
+		io.WriteString(nc, head+"c\r\ndata: a\n\n") // three bytes of the chunk follow later
+		<-eventPassed
 		io.WriteString(nc, ": c\r\n0\r\n\r\n")
 	}))
 	var got string
 	write := func(i int) (r attempt.Result, started bool) {
-		r = cl.Write(context.Background(), call(i), func() bool { started = true; return true }, func(text []byte) bool {
+		r = cl.Write(context.Background(), newCall(i), func() bool { started = true; return true }, func(text []byte) bool {
 			if got += string(text); got == "data: a\n\n" {
-				close(passed)
+				close(eventPassed)
 			}
 			return true
 		})
@@ -253,15 +253,15 @@
 	}
 }
 
-// slowClose is a connection whose pending reads end a while before it is closed, as a descriptor's may.
-type slowClose struct {
+// slowCloseConn is a connection whose pending reads end a while before its Close returns, as those of a descriptor may.
+type slowCloseConn struct {
 	net.Conn
 	begun, closed atomic.Bool
 }
 
-func (s *slowClose) Close() error {
+func (s *slowCloseConn) Close() error {
 	if !s.begun.CompareAndSwap(false, true) {
-		return net.ErrClosed // without a wait for the first
+		return net.ErrClosed // without waiting for the first Close
 	}
 	err := s.Conn.Close()
 	time.Sleep(100 * time.Millisecond)
@@ -269,85 +269,86 @@
 	return err
 }
 
-// An attempt that is called off is over once its connection is closed, not when its read ends.
-func TestCalledOffIsClosed(t *testing.T) {
-	cl := client(t, 10, "127.0.0.1:1")
+// A cancelled attempt ends once its connection is closed, not when its pending read ends.
+func TestCancelledAttemptClosesConnection(t *testing.T) {
+	cl := newTestClient(t, 10, "127.0.0.1:1")
 	in, out := net.Pipe()
 	defer in.Close()
-	slow := &slowClose{Conn: out}
+	slow := &slowCloseConn{Conn: out}
 	cl.pool.idle.Put("127.0.0.1:1", connpool.New(slow, 2048, nil))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() {
-		take(bufio.NewReader(in))
+		readRequest(bufio.NewReader(in))
 		cancel()
 	}()
-	if r := cl.Read(ctx, call(0)); r.Outcome != gannethook.Cancelled || !slow.closed.Load() {
+	if r := cl.Read(ctx, newCall(0)); r.Outcome != gannethook.Cancelled || !slow.closed.Load() {
 		t.Errorf("%+v, closed %v", r, slow.closed.Load())
 	}
 }
 
-// A connection rests before it is used again: a second answer that comes some milliseconds late would be taken for the
-// next request's. What was called off before it went begins nothing. The time told is what is left at the writing.
-func TestRestsCalledOffToldTime(t *testing.T) {
+// A connection is not reused before the reuse delay: a duplicate response that arrives some milliseconds late would be
+// taken for that of the next request. An attempt that was cancelled, or whose deadline has passed, before it was written
+// sends nothing. X-Timeout-Ms is the time remaining when the request is written.
+func TestReuseDelayCancellationAndTimeoutHeader(t *testing.T) {
 	var conns, requests atomic.Int32
-	told := make(chan string, 10)
-	addr := script(t, func(nc net.Conn, br *bufio.Reader) {
+	timeouts := make(chan string, 10)
+	addr := serveConns(t, func(nc net.Conn, br *bufio.Reader) {
 		conns.Add(1)
 		for {
-			req, ok := take(br)
+			req, ok := readRequest(br)
 			if !ok {
 				return
 			}
 			requests.Add(1)
-			told <- req.Header.Get("X-Timeout-Ms")
-			io.WriteString(nc, done+done) // and one more
+			timeouts <- req.Header.Get("X-Timeout-Ms")
+			io.WriteString(nc, acceptedResponse+acceptedResponse) // and a duplicate
 		}
 	})
 	cl := New(Limits{Conns: 10, IdlePerWorker: 10, Dial: time.Second, Idle: 2 * time.Hour, ReuseDelay: time.Hour, StreamIdle: time.Second,
 		ReservationTimeout: time.Second, ReleaseTimeout: time.Second}, nil)
 	defer cl.Close()
 	cl.Update(true, []Worker{{ID: "w", Addr: addr}})
-	for i, until := range []time.Duration{300 * time.Millisecond, 200 * time.Millisecond} {
-		c := call(i)
-		c.Deadline = time.Now().Add(until)
+	for i, timeout := range []time.Duration{300 * time.Millisecond, 200 * time.Millisecond} {
+		c := newCall(i)
+		c.Deadline = time.Now().Add(timeout)
 		if r := cl.Read(context.Background(), c); r.Outcome != gannethook.ReadDone {
 			t.Errorf("%+v", r)
 		}
-		if ms, err := strconv.Atoi(<-told); err != nil || ms < 1 || ms > int(until.Milliseconds()) {
-			t.Errorf("told %d ms, %v; %v are left", ms, err, until)
+		if ms, err := strconv.Atoi(<-timeouts); err != nil || ms < 1 || ms > int(timeout.Milliseconds()) {
+			t.Errorf("X-Timeout-Ms is %d, %v; %v remain", ms, err, timeout)
 		}
 	}
 	if n := conns.Load(); n != 2 {
 		t.Errorf("%d connections", n)
 	}
-	late := call(2)
+	late := newCall(2)
 	late.Deadline = time.Now().Add(-time.Second)
 	if r := cl.Read(context.Background(), late); r.Outcome != gannethook.ConnectFailed || requests.Load() != 2 {
-		t.Errorf("with no time left: %+v after %d requests", r, requests.Load())
+		t.Errorf("after its deadline: %+v after %d requests", r, requests.Load())
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	if r := cl.Read(ctx, call(2)); r.Outcome != gannethook.ConnectFailed || requests.Load() != 2 {
-		t.Errorf("%+v after %d requests", r, requests.Load())
+	if r := cl.Read(ctx, newCall(2)); r.Outcome != gannethook.ConnectFailed || requests.Load() != 2 {
+		t.Errorf("cancelled: %+v after %d requests", r, requests.Load())
 	}
 }
 
-// What a reader tells of kept tokens is taken where it is a number from 0 on, and counts as none otherwise.
-func TestKeptTokens(t *testing.T) {
+// A reader's cached_tokens is used if it is a number from 0 to maxCachedTokens, and counts as 0 otherwise.
+func TestCachedTokens(t *testing.T) {
 	for text, want := range map[string]float64{
 		`{"cached_tokens":4096}`: 4096, "{\n \"cached_tokens\" : 0 }": 0, `{"cached_tokens":1e3}`: 1000, `{}`: 0, ``: 0,
 		`{"cached_tokens":-5}`: 0, `{"cached_tokens":1e300}`: 0, `{"cached_tokens":"7"}`: 0, `{"cached_tokens":null}`: 0,
 		`{"cached_tokens":{"a":1}}`: 0, `cached_tokens 7`: 0, `{"cached_tokens":7`: 0, `{"cached_tokens":NaN}`: 0,
 	} {
 		body := text
-		cl := client(t, 10, script(t, func(nc net.Conn, br *bufio.Reader) {
-			if _, ok := take(br); ok {
+		cl := newTestClient(t, 10, serveConns(t, func(nc net.Conn, br *bufio.Reader) {
+			if _, ok := readRequest(br); ok {
 				fmt.Fprintf(nc, "HTTP/1.1 202 Accepted\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 			}
 		}))
-		if r := cl.Read(context.Background(), call(0)); r.Outcome != gannethook.ReadDone || r.CachedTokens != want {
-			t.Errorf("%q: %+v, %v kept expected", text, r, want)
+		if r := cl.Read(context.Background(), newCall(0)); r.Outcome != gannethook.ReadDone || r.CachedTokens != want {
+			t.Errorf("%q: %+v, %v cached tokens expected", text, r, want)
 		}
 	}
 }
--- a/internal/streamdrain/streamdrain_test.go
+++ b/internal/streamdrain/streamdrain_test.go
@@ -9,10 +9,10 @@
 
 const sec = time.Second
 
-func TestWithoutRest(t *testing.T) {
+func TestNoEarlyEndWithoutResumption(t *testing.T) {
 	open := []Stream{{ID: 1}}
 	if p := NewPlan(4*sec, false); p.ToEnd(3*sec, open) != nil {
-		t.Error("a stream was cut whose client does not ask for the rest")
+		t.Error("a stream was ended although clients do not resume streams")
 	}
 }
 
@@ -23,20 +23,20 @@
 		open = append(open, Stream{uint64(i), time.Duration(i)})
 	}
 	if got := p.ToEnd(p.From-1, open); len(got) != 0 {
-		t.Errorf("%d cut too soon", len(got))
+		t.Errorf("%d ended before From", len(got))
 	}
 	got := p.ToEnd((p.From+p.Until)/2, open)
 	if len(got) != 50 || got[0].ID != 50 {
-		t.Errorf("half way %d cut from %v, the 50 youngest expected", len(got), got)
+		t.Errorf("halfway: %d ended, first %v; the 50 youngest expected", len(got), got)
 	}
 	if got := p.ToEnd(p.Until, open[:50]); len(got) != 50 {
-		t.Errorf("%d cut at the end, all expected", len(got))
+		t.Errorf("%d ended at Until, all 50 expected", len(got))
 	}
 }
 
-// Whatever ends by itself between looks, no stream is left at the end, none goes
-// before its time, and few go at one look.
-func TestAnyStreams(t *testing.T) {
+// Whichever streams end by themselves between calls: none is open after Until, none is
+// ended before From, and only a few are ended in one call.
+func TestRandomOpenStreams(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		kill := time.Duration(rapid.IntRange(500, 20000).Draw(t, "kill")) * time.Millisecond
 		p := NewPlan(kill, true)
@@ -53,10 +53,10 @@
 			}
 			cut := p.ToEnd(at, list)
 			if len(cut) > 0 && at < p.From {
-				t.Fatal("cut before its time")
+				t.Fatal("ended before From")
 			}
 			if most := n*2/(looks/4) + 1; at < p.Until && len(cut) > most {
-				t.Fatalf("%d of %d at one look", len(cut), n)
+				t.Fatalf("%d of %d ended in one call", len(cut), n)
 			}
 			for _, s := range cut {
 				delete(open, s.ID)
@@ -73,7 +73,7 @@
 			rest = append(rest, s)
 		}
 		if got := p.ToEnd(p.Until, rest); len(got) != len(rest) {
-			t.Fatalf("%d of %d are left", len(rest)-len(got), len(rest))
+			t.Fatalf("%d of %d were not ended", len(rest)-len(got), len(rest))
 		}
 	})
 }
