--- a/membership.go
+++ b/membership.go
@@ -7,107 +7,109 @@
 	"slices"
 )
 
-// Membership: the list of servers, and settings that take the place of others.
+// Membership: the list of servers, and the replacement of the settings.
 
-// reconfigure takes settings for what comes from now on; requests under way keep those that they came under.
-// What was learned by the old numbers of classes and tenants goes. Where kinds change no server is known
-// until the list is told again, since roles may change.
+// reconfigure replaces the settings for what comes from now on; requests under way keep those that they came
+// under. What was learned by the old numbers of classes and tenants is dropped. If the kinds change, no
+// server is known until the whole list is received again, since roles may have changed.
 func (r *Router) reconfigure(set Settings) {
-	if set.AskDiscovery && !r.set.AskDiscovery {
-		r.do(Subscribe{})
+	if set.AskDiscovery && !r.settings.AskDiscovery {
+		r.emit(Subscribe{})
 	}
-	same := slices.Equal(r.set.Kinds, set.Kinds)
-	r.set, r.tenants = &set, make([]fading, len(set.Tenants))
-	r.turned = make([]fading, len(set.Classes)*(len(set.Tenants)+1)+1)
-	for _, s := range r.list {
-		clear(s.full)
-		if !same {
-			s.State = Gone
+	sameKinds := slices.Equal(r.settings.Kinds, set.Kinds)
+	r.settings, r.tenantCounts = &set, make([]decayingValue, len(set.Tenants))
+	r.rejectedSends = make([]decayingValue, len(set.Classes)*(len(set.Tenants)+1)+1)
+	for _, srv := range r.listed {
+		clear(srv.rejectionPenalties)
+		if !sameKinds {
+			srv.State = Gone
 		}
 	}
-	if !same {
+	if !sameKinds {
 		clear(r.servers)
-		r.list = nil
-		r.relist()
+		r.listed = nil
+		r.rebuildLists()
 	}
 }
 
-// membership takes news of the list.
-func (r *Router) membership(ev Membership) {
+// handleMembership handles a list of servers, changes of it, or a failed subscription.
+func (r *Router) handleMembership(ev Membership) {
 	if ev.Failed {
-		if r.set.AskDiscovery {
-			r.do(Wake{In: askEvery, Ref: refAsk})
+		if r.settings.AskDiscovery {
+			r.emit(Wake{In: resubscribeDelayMs, Ref: refSubscribe})
 		}
 		return
 	}
 	if ev.Whole {
-		for _, s := range r.list {
-			s.State = Gone // unless it is listed
+		for _, srv := range r.listed {
+			srv.State = Gone // unless the list has it
 		}
 	}
 	r.learnClock(ev.Servers)
-	for _, e := range ev.Servers {
-		r.update(e)
+	for _, entry := range ev.Servers {
+		r.updateServer(entry)
 	}
-	r.lists++
+	r.updates++
 	if ev.Whole || len(ev.Servers) > 0 {
-		r.relist()
+		r.rebuildLists()
 	}
 }
 
-// relist brings the lists of servers into line with their states.
-func (r *Router) relist() {
-	r.list = slices.DeleteFunc(r.list, func(s *server) bool {
-		if s.State == Gone && r.servers[s.ID] == s {
-			delete(r.servers, s.ID)
+// rebuildLists removes servers that are gone and rebuilds the lists by id and by role, and maxReady.
+func (r *Router) rebuildLists() {
+	r.listed = slices.DeleteFunc(r.listed, func(srv *server) bool {
+		if srv.State == Gone && r.servers[srv.ID] == srv {
+			delete(r.servers, srv.ID)
 		}
-		return s.State == Gone
+		return srv.State == Gone
 	})
 	byID := func(a, b *server) int { return cmp.Compare(a.ID, b.ID) }
-	if !slices.IsSortedFunc(r.list, byID) {
-		slices.SortFunc(r.list, byID)
+	if !slices.IsSortedFunc(r.listed, byID) {
+		slices.SortFunc(r.listed, byID)
 	}
-	for role := range r.without {
-		r.without[role] = r.without[role][:0]
+	for role := range r.withoutRole {
+		r.withoutRole[role] = r.withoutRole[role][:0]
 	}
 	var ready [Mixed + 1]float64
-	for _, s := range r.list {
-		if s.State == Ready {
-			ready[s.role]++
+	for _, srv := range r.listed {
+		if srv.State == Ready {
+			ready[srv.role]++
 		}
-		for role := range r.without {
-			if Role(role) != s.role {
-				r.without[role] = append(r.without[role], s)
+		for role := range r.withoutRole {
+			if Role(role) != srv.role {
+				r.withoutRole[role] = append(r.withoutRole[role], srv)
 			}
 		}
 	}
-	for role := range r.most {
-		r.most[role] = math.Max(r.most[role], ready[role])
+	for role := range r.maxReady {
+		r.maxReady[role] = math.Max(r.maxReady[role], ready[role])
 	}
 }
 
-// update takes one entry; a server that started again is a new one, of which nothing is known.
-func (r *Router) update(e Server) {
-	if e.Kind < 0 || e.Kind >= len(r.set.Kinds) {
+// updateServer handles one entry of a list. A server that started again is a new one, of which nothing is
+// known.
+func (r *Router) updateServer(entry Server) {
+	if entry.Kind < 0 || entry.Kind >= len(r.settings.Kinds) {
 		return
 	}
-	s := r.servers[e.ID]
-	if s != nil && s.Since == e.Since {
-		s.Server = e
+	srv := r.servers[entry.ID]
+	if srv != nil && srv.Since == entry.Since {
+		srv.Server = entry
 		return
 	}
-	if s != nil {
-		s.State = Gone
+	if srv != nil {
+		srv.State = Gone
 	}
-	kind, hash := r.set.Kinds[e.Kind], fnv.New64a()
-	hash.Write([]byte(e.ID))
-	s = &server{Server: e, hash: hash.Sum64(), role: kind.Role, size: kind.Memory, credAt: r.now}
-	s.began = r.startOf(e)
-	r.rememberStart(s)
-	s.full = map[int]fading{}
-	// Guards rule 4 for the sum over all routers: each starts somewhere between two sends of its own, so that
-	// together they keep the pace at once. A whole send each would be a flood.
-	s.credit = unit(r.seed, s.hash)
-	r.servers[e.ID] = s
-	r.list = append(r.list, s)
+	kind, hash := r.settings.Kinds[entry.Kind], fnv.New64a()
+	hash.Write([]byte(entry.ID))
+	srv = &server{Server: entry, hash: hash.Sum64(), role: kind.Role, memoryTokens: kind.Memory,
+		sendTokensAt: r.now}
+	srv.startedAt = r.startTime(entry)
+	r.rememberStart(srv)
+	srv.rejectionPenalties = map[int]decayingValue{}
+	// Each router starts with a random part of a send token, so that all routers together keep the allowed
+	// rate from the start; a whole token each would flood the server.
+	srv.sendTokens = hashUnit(r.seed, srv.hash)
+	r.servers[entry.ID] = srv
+	r.listed = append(r.listed, srv)
 }
--- a/onestage_test.go
+++ b/onestage_test.go
@@ -19,7 +19,7 @@
 	s.want("send 1 r1")
 	s.on(80, Ended{ID: 1, Attempt: 0, Server: "r1", Outcome: Served, Done: true})
 	s.want("release 1")
-	if s.r.requests[1] != nil || s.r.servers["r1"].out != 0 || s.r.servers["r1"].speed.work == 0 {
+	if s.r.requests[1] != nil || s.r.servers["r1"].inFlightPrice != 0 || s.r.servers["r1"].speed.work == 0 {
 		t.Errorf("left %v, or its time was not learned: %+v", s.r.requests[1], s.r.servers["r1"])
 	}
 }
@@ -36,8 +36,8 @@
 		t.Errorf("%d places are booked for one-stage work", n)
 	}
 	s.on(50, Ended{ID: 1, Attempt: 0, Server: "m1", Outcome: Served, Done: true})
-	if s.r.peak[Mixed] == 0 || s.r.peak[Reader] != 0 {
-		t.Errorf("the proof went to the wrong role: %v", s.r.peak)
+	if s.r.peakRate[Mixed] == 0 || s.r.peakRate[Reader] != 0 {
+		t.Errorf("the proof went to the wrong role: %v", s.r.peakRate)
 	}
 }
 
@@ -76,7 +76,7 @@
 		s.on(1, ask(1, class))
 		var due []Wake
 		for _, a := range s.acts {
-			if w, ok := a.(Wake); ok && w.Ref%refStep == refPatience {
+			if w, ok := a.(Wake); ok && w.Ref%refsPerRequest == refReadCheck {
 				due = append(due, w)
 			}
 		}
@@ -120,8 +120,8 @@
 		if !send(id, 0, Full) { // turned away: it may go again at once, and there is no other reader
 			t.Fatalf("request %d is not sent: %q", id, shorts(s.acts))
 		}
-		s.r.servers["r1"].full = map[int]fading{}
-		s.on(sweepEvery, Wakeup{Ref: refSweep})
+		s.r.servers["r1"].rejectionPenalties = map[int]decayingValue{}
+		s.on(sweepIntervalMs, Wakeup{Ref: refSweep})
 		if send(id, 1, Served) {
 			repeats++
 		}
--- a/reconfigure_test.go
+++ b/reconfigure_test.go
@@ -15,12 +15,12 @@
 	}
 	next := set
 	next.Classes = []Class{{Aim: 5000, Worth: 2, Effect: Unsafe}}
-	if acts := r.Handle(1, Reconfigure{next}); len(acts) > 0 || r.set.Classes[0].Aim != 5000 {
-		t.Errorf("%v, aim %v", acts, r.set.Classes[0].Aim)
+	if acts := r.Handle(1, Reconfigure{next}); len(acts) > 0 || r.settings.Classes[0].Aim != 5000 {
+		t.Errorf("%v, aim %v", acts, r.settings.Classes[0].Aim)
 	}
 	bad := next
 	bad.PinLimit = -1
-	if r.Handle(2, Reconfigure{bad}); r.set.PinLimit != 0 {
+	if r.Handle(2, Reconfigure{bad}); r.settings.PinLimit != 0 {
 		t.Error("settings that make no sense are taken")
 	}
 	for name, change := range map[string]func(*Settings){
@@ -74,8 +74,8 @@
 	s.want("release 4", "refuse 4", "release 4")
 	s.on(1, Ended{ID: 1, Attempt: 1, Server: "w1", Outcome: Failed}) // unsafe, as it came
 	s.want("fail 1", "release 1")
-	for i, part := range s.r.turned[:len(s.r.turned)-1] {
-		if part.v > 0 || s.r.servers["r1"].full[i].v > 0 {
+	for i, part := range s.r.rejectedSends[:len(s.r.rejectedSends)-1] {
+		if part.value > 0 || s.r.servers["r1"].rejectionPenalties[i].value > 0 {
 			t.Errorf("flow %d begins with what was learned of another", i)
 		}
 	}
--- a/router.go
+++ b/router.go
@@ -1,6 +1,6 @@
-// The decisions of a gannethook router. Its interface (Settings, events, actions, outcomes) is in
-// api.go; slow start and the list of servers have files of their own.
-// Order: constants, state, life of a request, the two choices, freeness, health.
+// Decisions of a gannethook router. The interface (Settings, events, actions, outcomes) is in api.go,
+// slow start in slowstart.go, the list of servers in membership.go.
+// Order: constants, state, life of a request, choice of reader and writer, headroom, health.
 
 package gannethook
 
@@ -12,875 +12,890 @@
 )
 
 const (
-	alpha       = 4.25e-5 // paper, table of symbols: price of a prompt token squared
-	beta        = 6.80e-3 // paper, same table: price of a prompt token
-	modelFactor = 1.0     // design page: the paper's P_m
-	far         = 100     // design page: cell and zone go before freeness among near writers
-	nearBand    = 0.1     // design page: freeness within which preferences decide
-
-	firstSpeed = 0.5  // ours: price read per ms before any reader was heard
-	speedKeep  = 0.9  // ours: what a read leaves of the older reads' weight in a reader's speed
-	meanKeep   = 0.98 // ours: the same for the mean speed of all readers
-	meanPart   = 0.06 // ours: part of all readers' fifty last reads or so that each one's speed starts from
-	sizeGain   = 0.1  // ours: weight of one report in a writer's learned memory size
-	minSize    = 1e4  // ours: tokens that a writer is taken to hold at the least
-	reportLag  = 1000 // ours: ms before a report's arrival whose streams it may not show yet
-	usualTimes = 4    // ours: multiple of the usual time that an attempt may take
-	patience   = 0.5  // ours: part of the aim that an attempt may take at the least
-	meanGain   = 0.1  // ours: least weight of one sample in the mean times to read and to the first token
-	holdTries  = 2    // ours: writers asked for a place per read
-
-	paceLoss   = 1.001 // ours: by how much each read raises the best pace, so that an old one is forgotten
-	partGain   = 0.25  // ours: weight of one dial, or one send to a writer, in the part of them that fails
-	turnedBad  = 0.2   // ours: part of a flow's sends to writers turned away above which no place is held
-	dialsBad   = 0.4   // ours: part of the dials that fail above which open connections are preferred
-	dialCost   = 0.5   // ours: freeness taken off a server without one then
-	chargeMax  = 4.0   // ours: most that failures take off a server's freeness
-	chargeFade = 6000  // ours: ms in which a charge fades to 1/e
-	heldBack   = 0.3   // ours: freeness taken off a writer that refused a place
-	fullFade   = 3     // ours: windows in which being turned away fades to 1/e
-	lateGain   = 0.5   // ours: charge for a success that is a whole aim late
-	chargeKeep = 0.7   // ours: what a success leaves of a charge
-
-	admitFloor = 0.6   // ours: freeness of the best reader below which a request is refused
-	admitRamp  = 0.5   // ours: freeness below the floor at which all are refused
-	overSlack  = 1.2   // ours: times its share that a tenant may seem to ask for by chance
-	worthPart  = 0.4   // ours: how much lower the floor is for a class worth far more than the least
-	lastCall   = 2     // ours: batches before the deadline at which the last answer goes out
-	waitPart   = 0.5   // ours: part of the aim for which a request waits for a usable server
-	pinPart    = 0.6   // ours: part of the pin limit for which a read state waits for a writer
-	retryPart  = 0.5   // ours: part of the longest honoured wait that a refusal advises
-	rateWindow = 4000  // ours: ms over which own rates are counted at the least
-	windowCap  = 20000 // ours: and at the most
-	enough     = 10    // ours: own requests that a count or a mean rests on
-	coldPart   = 1.2   // ours: part of a warm server's proven rate, times its warmth, for a cold one
-	sweepEvery = 20    // ours: ms between two looks at waiting requests
-	askEvery   = 1000  // ours: ms before a failed subscription is asked for again
-	keyCap     = 32768 // ours: sessions and shared beginnings remembered at most
-	leastHomes = 3     // ours: readers that share a beginning's sessions at the least
-	fleetPart  = 0.1   // ours: part of the readers that share them besides
-	homesPart  = 2     // ours: homes for each reader's worth of reads that a beginning makes up
-	longest    = 60000 // ours: ms over which beginnings are counted, and tenants at the most
+	squaredTokenPrice = 4.25e-5 // price of a prompt token squared
+	tokenPrice        = 6.80e-3 // price of a prompt token
+	modelFactor       = 1.0     // P_m of Phasor's formula: relative cost of the model
+	localityWeight    = 100     // per step of distance: cell and zone outweigh the draw among equal writers
+	headroomBand      = 0.1     // headroom within which preferences decide between servers
+
+	initialReadSpeed = 0.5  // price read per ms assumed until the first read has ended
+	readerSpeedDecay = 0.9  // weight that a read leaves the older ones in its reader's speed
+	meanSpeedDecay   = 0.98 // the same for the mean speed of all readers
+	meanSpeedWeight  = 0.06 // weight of that mean, some fifty reads, in each reader's speed
+	memorySizeGain   = 0.1  // weight of one report, over all routers, in a writer's learned memory size
+	minMemoryTokens  = 1e4  // tokens that a writer is assumed to hold at least
+	reportLagMs      = 1000 // streams booked up to so long before a report arrives may be missing from it
+	slowFactor       = 4    // multiple of the expected time that an attempt may take
+	minTimeoutShare  = 0.5  // least share of the target latency that an attempt may take
+	minMeanGain      = 0.1  // least weight of one sample in the mean times to read and to the first token
+	maxHoldsPerRead  = 2    // writers asked for a place per read
+
+	bestPaceDrift       = 1.001 // factor by which each read raises the best pace, to forget an old one
+	shareGain           = 0.25  // weight of one sample in the shares of failed dials and rejected sends
+	maxRejectedShare    = 0.2   // share of a flow's sends that writers reject above which no place is held
+	maxDialFailureShare = 0.4   // share of failed dials above which open connections are preferred
+	unconnectedPenalty  = 0.5   // headroom that a server without one loses then
+	maxPenalty          = 4.0   // most headroom that failures take off a server
+	penaltyDecayMs      = 6000  // least time in which a penalty decays to 1/e
+	holdRefusedPenalty  = 0.3   // headroom taken off a writer that refused a place
+	rejectionWindows    = 3     // rate windows in which rejections and failed dials decay to 1/e
+	latenessPenalty     = 0.5   // penalty of a success that is late by a whole target latency
+	penaltyAfterSuccess = 0.7   // share of its penalty that a success leaves a server
+
+	admissionFloor      = 0.6   // headroom of the best reader below which requests are refused
+	admissionRamp       = 0.5   // headroom below the floor at which all are refused
+	quotaSlack          = 1.2   // multiple of its share that a tenant may seem to ask for by chance
+	worthDiscount       = 0.4   // how much lower the floor is for a class worth far more than the least
+	finalAnswerMargin   = 2     // batches of events before the deadline at which the final answer goes out
+	serverWaitShare     = 0.5   // share of the target latency that a request waits for a usable server
+	stateWaitShare      = 0.6   // share of the pin limit that a read state waits for a writer
+	retryAfterShare     = 0.5   // share of the longest honoured wait that a refusal advises
+	minWindowMs         = 4000  // shortest window of this router's own rates
+	maxWindowMs         = 20000 // longest window of these
+	minSamples          = 10    // own requests that a rate or a mean has to rest on
+	slowStartRateFactor = 1.2   // share of a warm server's peak rate, times its ramp, in slow start
+	sweepIntervalMs     = 20    // time between two attempts to route the waiting requests
+	resubscribeDelayMs  = 1000  // time before a failed subscription is repeated
+	maxTrackedKeys      = 32768 // most sessions, shared prefixes and start times remembered, each
+	minAffinityReaders  = 3     // readers that share a prefix's sessions at least
+	affinityFleetShare  = 0.1   // share of the readers added to these
+	affinityPerLoad     = 2     // readers added for each reader's worth of reads that a prefix makes up
+	maxCountWindowMs    = 60000 // window of the prefix counts, and longest of the tenant counts
 )
 
-// References of timers. A request's are its id times refStep plus the timer's; no request has the id 0.
+// Timer references: a request's are id*refsPerRequest plus one of these; no request has the id 0.
 const (
-	refSweep = iota // of the router, as refAsk
-	refAsk
-	refDeadline // of a request, as the others
-	refPatience
-	refStep
+	refSweep = iota // this and refSubscribe are the router's
+	refSubscribe
+	refDeadline // this and refReadCheck are a request's
+	refReadCheck
+	refsPerRequest
 )
 
 // server is what the router knows of one server.
 type server struct {
 	Server
-	hash    uint64 // of its id
-	role    Role
-	out     float64 // price of own reads out
-	speed   tally
-	streams []*request // own places and streams
-	share   float64    // memory share as last reported
-	heard   Millis     // when; 0: never
-	size    float64    // learned memory size in tokens
-	linked  Millis     // last time that it answered on a connection
-	moved   Millis     // last time that an own read ended here
-	passed  Millis     // when the youngest of these was sent
-	firsts  fading     // first attempts sent here, and repeats
-	repeats fading
-	full    map[int]fading // freeness taken off for a flow that it turned away
-	charge  fading         // freeness taken off for failures and lateness
-	quick   fading         // of this, for failures that took no time
-	credit  float64        // sends that a cold server may still get, as of credAt
-	credAt  Millis
-	lost    Millis // what was sent before is not counted on as kept
-	began   Millis // when it started, on this router's clock; 0: long ago
-}
-
-// tally sums up timed reads, older ones fading: their prices, and the ms that they took.
-type tally struct{ work, took float64 }
-
-func (t *tally) add(keep, work, took float64) {
-	*t = tally{t.work*keep + work, t.took*keep + math.Max(took, 1)}
-}
-
-// attempt is one attempt that is out.
+	hash               uint64 // of its id
+	role               Role
+	inFlightPrice      float64               // price of this router's reads in flight here
+	speed              weightedRate          // of this router's reads here
+	streams            []*request            // this router's held places and streams here
+	memoryShare        float64               // share of memory in use as last reported
+	reportedAt         Millis                // time of that report; 0: none yet
+	memoryTokens       float64               // learned memory size
+	lastConnectedAt    Millis                // last success, which shows a connection to it
+	lastEndedAt        Millis                // last time that a read of this router ended here
+	newestSentAt       Millis                // send time of the youngest read that has ended here
+	firstSends         decayingValue         // count of first attempts sent here
+	repeats            decayingValue         // count of repeats sent here
+	rejectionPenalties map[int]decayingValue // by flow index, headroom lost to rejections of the flow
+	penalty            decayingValue         // headroom lost to failures and lateness
+	fastPenalty        decayingValue         // the part of it for failures that took no time
+	sendTokens         float64               // token bucket of the sends in slow start, as of sendTokensAt
+	sendTokensAt       Millis
+	cacheLostAt        Millis // prompts sent before are not counted on as cached
+	startedAt          Millis // on this router's clock; 0: long ago
+}
+
+// weightedRate sums up the prices of timed reads and the ms that they took, with decaying weights.
+type weightedRate struct{ work, elapsed float64 }
+
+func (rate *weightedRate) add(decay, work, elapsed float64) {
+	*rate = weightedRate{rate.work*decay + work, rate.elapsed*decay + math.Max(elapsed, 1)}
+}
+
+// attempt is one attempt in flight.
 type attempt struct {
-	n           int
-	on          *server
-	reads       bool    // it reads only: it has no effect, however it ends
-	price       float64 // of what was likely left to read, as booked
-	queue       float64 // own price out at the reader when it was sent, itself included
-	sent        Millis
-	seen, check Millis // when the reader was last looked at for progress, and when it is next
-	letBe       bool   // the look charges the reader, but takes nothing away
+	number                      int // counted from 0 within the request
+	server                      *server
+	readOnly                    bool    // it reads only: it has no effect, however it ends
+	price                       float64 // of the tokens probably not cached, as booked at the server
+	queued                      float64 // of all own reads in flight there when it was sent, itself included
+	sentAt                      Millis
+	progressSeenAt, nextCheckAt Millis // the last check that found progress, and the next one
+	exemptFromCancel            bool   // an overdue check penalizes the reader, but does not cancel the read
 }
 
 // request is one request until its last attempt has ended.
 type request struct {
 	Request
-	set           *Settings // under which it was taken, to its end
-	deadline, aim Millis    // the aim is a span
-	sent          int       // attempts made
-	out           []attempt
-	state, place  *server   // reader at which the state waits, writer at which a place was asked for
-	bookedAt      Millis    // when its tokens were last booked at a writer
-	asked         int       // writers asked during this read
-	tried         []*server // servers not to try again
-	idle          Millis    // last outcome
-	ranOn         *server   // where it may have run first
-	ranAt         Millis    // and when; where it is not known to, when it was last sent to where it may
-	stream, ended bool
-	repeat        bool // an attempt gave no answer: what follows repeats it
-}
-
-// visit is a session's last read.
-type visit struct {
-	on     *server
-	prompt float64
-	at     Millis
-}
-
-// text is a shared beginning at a reader.
-type text struct {
+	settings                 *Settings // under which it was accepted; they hold to its end
+	deadline, aim            Millis    // aim is the target latency, a span
+	attemptsMade             int
+	inFlight                 []attempt
+	stateReader, placeWriter *server   // reader that keeps the read state, writer asked for a place
+	bookedAt                 Millis    // when its tokens were last booked at a writer
+	holdsAsked               int       // writers asked for a place during this read
+	excluded                 []*server // servers that failed or refused it, out of choice until a sweep
+	lastOutcomeAt            Millis
+	mayHaveRunOn             *server // first server on which it may have run
+	mayHaveRunAt             Millis  // when it was sent there; else the last send that may take effect
+	streaming, ended         bool
+	isRepeat                 bool // an attempt gave no answer: those that follow are repeats
+}
+
+// lastTurn is a session's last read.
+type lastTurn struct {
+	reader       *server
+	promptTokens float64
+	at           Millis
+}
+
+// cachedPrefix is a shared prompt prefix at a reader.
+type cachedPrefix struct {
 	prefix Key
-	on     *server
+	reader *server
 }
 
-// fading is a value that fades while nothing comes in: a mean of times, or a count of own events.
-type fading struct {
-	v  float64
-	at Millis
+// decayingValue is a mean or a count of this router's observations that decays while none comes in.
+type decayingValue struct {
+	value float64
+	at    Millis
 }
 
-// Router decides for one router. It is not safe for concurrent use.
+// Router makes the decisions of one router. It is not safe for concurrent use.
 type Router struct {
-	set              *Settings
+	settings         *Settings
 	seed             uint64
 	now              Millis
-	begun            Millis  // first event; 0: none yet
-	arrived          float64 // requests taken
+	startedAt        Millis  // first event; 0: none yet
+	arrivals         float64 // requests received
 	servers          map[ServerID]*server
-	starts           map[ServerID]start   // also of those that are listed no more
-	lists            int                  // lists and changes told
-	ahead            Millis               // by which this clock may be ahead of those that tell start times
-	list             []*server            // in order of id
-	without          [Mixed + 1][]*server // the same, without those of one role
-	scratch          []candidate          // of the last choice
+	starts           map[ServerID]startRecord // also of servers that are no longer listed
+	updates          int                      // lists and changes received
+	clockAhead       Millis                   // least seen age of a newcomer, see startTime
+	listed           []*server                // in order of id
+	withoutRole      [Mixed + 1][]*server     // by role, the listed servers of the other roles
+	scratch          []candidate              // reused by candidates
 	requests         map[RequestID]*request
-	waiting          []*request
-	visits           map[Key]visit   // last read of a session
-	begins           map[Key]fading  // requests of a shared beginning, and of all
-	texts            map[text]Millis // when a shared beginning was last sent to a reader
-	all              fading
-	tenants          []fading
-	done             [Mixed + 1]fading  // reads ended or streams begun, by role
-	peak             [Mixed + 1]float64 // most of these a second for each warm server
-	most             [Mixed + 1]float64 // most servers that were ready at once
-	reads            tally              // all readers' reads
-	dials            fading             // part of the dials that failed of late
-	turned           []fading           // by flow, part of the sends to writers that were turned away of late
-	share            float64            // mean memory share of the writers that reported
-	pace             float64            // least ms for a token that was left to read; 0: none was read yet
-	alone            fading             // ms that reads of late take at this pace, with nothing before them
-	reading, opening fading             // ms of late to read, and from a writer's send to the first token
-	acts             []Action
-}
-
-// New returns a router that knows nothing but its settings.
+	waiting          []*request               // for a usable server
+	lastTurns        map[Key]lastTurn         // by session
+	prefixCounts     map[Key]decayingValue    // reads by shared prefix
+	cachedPrefixes   map[cachedPrefix]Millis  // when a shared prefix was last sent to a reader
+	readCount        decayingValue            // all reads
+	tenantCounts     []decayingValue          // requests by tenant
+	completions      [Mixed + 1]decayingValue // reads ended or streams begun, by role
+	peakRate         [Mixed + 1]float64       // most of these per second and warm server, by role
+	maxReady         [Mixed + 1]float64       // most servers that were ready at once, by role
+	fleetSpeed       weightedRate             // of all readers' reads
+	dialFailures     decayingValue            // share of recent dials that failed
+	rejectedSends    []decayingValue          // by flow index, share of recent sends that writers rejected
+	meanShare        float64                  // mean memory share of the writers that reported
+	bestPace         float64                  // least ms per token that was not cached; 0: no read yet
+	unqueuedReadTime decayingValue            // ms that recent reads would have taken at the best pace
+	readTime         decayingValue            // recent mean ms to read a prompt
+	firstTokenTime   decayingValue            // recent mean ms from a writer's send to the first token
+	actions          []Action                 // of the event being handled
+}
+
+// New returns a router that knows no server yet.
 func New(set Settings, seed uint64) (*Router, error) {
 	if err := set.Validate(); err != nil {
 		return nil, err
 	}
 	r := &Router{
-		set: &set, seed: seed, servers: map[ServerID]*server{}, requests: map[RequestID]*request{},
-		visits: map[Key]visit{}, begins: map[Key]fading{}, texts: map[text]Millis{},
-		starts: map[ServerID]start{}, ahead: Millis(math.Inf(1)),
+		settings: &set, seed: seed, servers: map[ServerID]*server{}, requests: map[RequestID]*request{},
+		lastTurns: map[Key]lastTurn{}, prefixCounts: map[Key]decayingValue{},
+		cachedPrefixes: map[cachedPrefix]Millis{}, starts: map[ServerID]startRecord{},
+		clockAhead: Millis(math.Inf(1)),
 	}
 	r.reconfigure(set)
 	return r, nil
 }
 
-// Handle takes one event at time now and returns what is to be done, in order.
-// Events that are late, repeated or about unknown requests cause no action.
+// Handle processes one event at time now and returns the actions to carry out, in order. Events that are
+// late, repeated or about unknown requests cause no action.
 func (r *Router) Handle(now Millis, event Event) []Action {
 	r.now = max(r.now, now)
-	if r.begun == 0 {
-		r.begun = r.now
-		if r.set.AskDiscovery {
-			r.do(Subscribe{})
+	if r.startedAt == 0 {
+		r.startedAt = r.now
+		if r.settings.AskDiscovery {
+			r.emit(Subscribe{})
 		}
 	}
 	switch ev := event.(type) {
 	case Membership:
-		r.membership(ev)
+		r.handleMembership(ev)
 	case Request:
-		r.arrive(ev)
+		r.handleRequest(ev)
 	case Streaming:
-		r.streaming(ev)
+		r.handleStreaming(ev)
 	case Held:
-		r.held(ev)
+		r.handleHeld(ev)
 	case Ended:
-		r.attemptEnded(ev)
+		r.handleEnded(ev)
 	case ClientGone:
-		if q := r.requests[ev.ID]; q != nil && !q.ended {
-			r.end(q)
+		if req := r.requests[ev.ID]; req != nil && !req.ended {
+			r.endRequest(req)
 		}
 	case Reconfigure:
 		if ev.Settings.Validate() == nil {
 			r.reconfigure(ev.Settings)
 		}
 	case Wakeup:
-		switch q := r.requests[RequestID(ev.Ref/refStep)]; ev.Ref % refStep {
+		switch req := r.requests[RequestID(ev.Ref/refsPerRequest)]; ev.Ref % refsPerRequest {
 		case refSweep:
-			r.sweep()
-		case refAsk:
-			r.do(Subscribe{})
-		case refDeadline: // guards rule 1: whatever became of the attempts, the last answer goes out in time
-			r.finish(q)
-		case refPatience:
-			r.checkRead(q)
+			r.routeWaiting()
+		case refSubscribe:
+			r.emit(Subscribe{})
+		case refDeadline: // whatever became of the attempts, the final answer goes out before the deadline
+			r.finish(req)
+		case refReadCheck:
+			r.checkRead(req)
 		}
 	}
-	acts := r.acts
-	r.acts = nil
-	return acts
+	actions := r.actions
+	r.actions = nil
+	return actions
 }
 
-func (r *Router) do(a Action) { r.acts = append(r.acts, a) }
+func (r *Router) emit(action Action) { r.actions = append(r.actions, action) }
 
-// arrive takes a request in.
-func (r *Router) arrive(ev Request) {
-	if r.requests[ev.ID] != nil || ev.Class < 0 || ev.Class >= len(r.set.Classes) {
+// handleRequest accepts or refuses a new request.
+func (r *Router) handleRequest(ev Request) {
+	if r.requests[ev.ID] != nil || ev.Class < 0 || ev.Class >= len(r.settings.Classes) {
 		return
 	}
-	r.arrived++
-	class := &r.set.Classes[ev.Class]
+	r.arrivals++
+	class := &r.settings.Classes[ev.Class]
 	aim := cmp.Or(class.Aim, ev.Budget) + class.AimPer1000*Millis(ev.Prompt/1000)
-	q := &request{Request: ev, set: r.set, deadline: r.now + ev.Budget, idle: r.now, aim: aim,
-		ranAt: Millis(math.Inf(1))}
-	r.requests[ev.ID] = q
-	r.do(Wake{In: max(ev.Budget-lastCall*r.set.Quantum-1, 0), Ref: uint64(ev.ID)*refStep + refDeadline})
-	if s, ok := r.admits(q); ok {
-		r.routeTo(q, s)
+	req := &request{Request: ev, settings: r.settings, deadline: r.now + ev.Budget, lastOutcomeAt: r.now,
+		aim: aim, mayHaveRunAt: Millis(math.Inf(1))}
+	r.requests[ev.ID] = req
+	r.emit(Wake{In: max(ev.Budget-finalAnswerMargin*r.settings.Quantum-1, 0),
+		Ref: uint64(ev.ID)*refsPerRequest + refDeadline})
+	if reader, ok := r.admit(req); ok {
+		r.routeToReader(req, reader)
 	} else {
-		r.finish(q)
-	}
-}
-
-// admits tells whether a request is taken on, and which reader was picked for it, if any. Its freeness is
-// the best reader's or, as other routers' load is unseen, that of the times to read and to the first token
-// seen of late, or that of the best writer's memory, whichever is least. What is worth more is refused
-// later, what a tenant asks beyond its share sooner. What reads of late would have taken alone is no load,
-// and left out of their time and of the aim: the aim may not be much longer than a read. Harms where all
-// readers are slow from the first read on. Charges for what failed at once are left out: where all servers
-// fail a part, they refused what had room. Refusals rise as freeness falls, so that routers that see the
-// same do not swing between all and nothing.
-func (r *Router) admits(q *request) (s *server, ok bool) {
-	floor := 1 - (1-admitFloor)/r.overShare(q.Tenant)
-	low := slices.MinFunc(r.set.Classes, func(a, b Class) int { return cmp.Compare(a.Worth, b.Worth) }).Worth
-	if worth := r.set.Classes[q.Class].Worth; worth > 0 {
-		floor -= worthPart * (1 - low/worth)
-	}
-	span := r.window()
-	usual := r.reading.left(r.now, span)
-	if !r.oneStage(q) {
-		usual += r.opening.left(r.now, span)
-	}
-	alone := math.Min(r.alone.left(r.now, span), usual)
-	free := 1 - (usual-alone)/math.Max(float64(min(q.aim, q.Budget))-alone, 1)
-	if s = r.pickReader(q); s != nil {
-		free = math.Min(free, r.freeness(s, q)+r.quickOf(s))
-		if w := r.pickWriter(q, s); w != nil && !r.oneStage(q) {
-			free = math.Min(free, (r.memory(w, q)+r.quickOf(w))/(2*nearBand))
+		r.finish(req)
+	}
+}
+
+// admit reports whether a request is accepted, and which reader was picked for it, if any. Its headroom is
+// the best reader's, or the best writer's of memory, or, as the load of other routers is unseen, what recent
+// times to read and to the first token leave of the target latency, whichever is least. The floor is lower
+// for more worth and higher for a tenant beyond its share. The time that recent reads would have taken
+// without queueing is no load and left out of both spans: a target may not be much longer than a read.
+// Drawback: readers slow from the first read on go unnoticed. Penalties for fast failures are left out:
+// servers that all fail a part at once still have capacity. Refusals rise as headroom falls, so that routers
+// that see the same load do not swing between all and nothing.
+func (r *Router) admit(req *request) (reader *server, ok bool) {
+	floor := 1 - (1-admissionFloor)/r.quotaExcess(req.Tenant)
+	lowestWorth := slices.MinFunc(r.settings.Classes, func(a, b Class) int {
+		return cmp.Compare(a.Worth, b.Worth)
+	}).Worth
+	if worth := r.settings.Classes[req.Class].Worth; worth > 0 {
+		floor -= worthDiscount * (1 - lowestWorth/worth)
+	}
+	window := r.rateWindow()
+	expected := r.readTime.decayed(r.now, window)
+	if !r.oneStage(req) {
+		expected += r.firstTokenTime.decayed(r.now, window)
+	}
+	unqueued := math.Min(r.unqueuedReadTime.decayed(r.now, window), expected)
+	headroom := 1 - (expected-unqueued)/math.Max(float64(min(req.aim, req.Budget))-unqueued, 1)
+	if reader = r.pickReader(req); reader != nil {
+		headroom = math.Min(headroom, r.readerHeadroom(reader, req)+r.fastPenaltyOf(reader))
+		if writer := r.pickWriter(req, reader); writer != nil && !r.oneStage(req) {
+			headroom = math.Min(headroom,
+				(r.writerHeadroom(writer, req)+r.fastPenaltyOf(writer))/(2*headroomBand))
 		}
 	}
-	return s, (floor-free)/admitRamp <= unit(uint64(q.ID), r.seed)
+	return reader, (floor-headroom)/admissionRamp <= hashUnit(uint64(req.ID), r.seed)
 }
 
-// overShare counts a tenant's request and tells how many times its share here the tenant asks for, 1 at the
-// least. The count runs over enough requests at its share, and a little more is chance.
-func (r *Router) overShare(tenant int) float64 {
-	if tenant < 0 || tenant >= len(r.tenants) || r.set.Tenants[tenant].QuotaPerS <= 0 {
+// quotaExcess counts a tenant's request and returns how many times its share here it asks for, at least 1.
+// The window holds minSamples requests at that share; an excess within quotaSlack counts as chance.
+func (r *Router) quotaExcess(tenant int) float64 {
+	if tenant < 0 || tenant >= len(r.tenantCounts) || r.settings.Tenants[tenant].QuotaPerS <= 0 {
 		return 1
 	}
-	quota := r.set.Tenants[tenant].QuotaPerS / float64(r.set.Routers)
-	window := min(max(rateWindow, Millis(enough*1000/quota)), longest)
-	r.tenants[tenant].count(r.now, window)
-	return math.Max(1, r.tenants[tenant].perSecond(r.now, window)/quota/overSlack)
+	quota := r.settings.Tenants[tenant].QuotaPerS / float64(r.settings.Routers)
+	window := min(max(minWindowMs, Millis(minSamples*1000/quota)), maxCountWindowMs)
+	r.tenantCounts[tenant].increment(r.now, window)
+	return math.Max(1, r.tenantCounts[tenant].perSecond(r.now, window)/quota/quotaSlack)
 }
 
-// route takes the next step for a request that has no attempt out.
-func (r *Router) route(q *request) {
-	if q.state != nil {
-		r.toWriter(q)
+// route takes the next step for a request that has no attempt in flight.
+func (r *Router) route(req *request) {
+	if req.stateReader != nil {
+		r.sendToWriter(req)
 		return
 	}
-	r.routeTo(q, r.pickReader(q))
+	r.routeToReader(req, r.pickReader(req))
 }
 
-// routeTo has a request read by the reader that was picked for it, if there is one.
-func (r *Router) routeTo(q *request, s *server) {
-	if s == nil && q.set.WritersRead && !r.oneStage(q) {
-		s = r.pickWriter(q, nil)
+// routeToReader sends a request to the server picked to read it; without one it waits.
+func (r *Router) routeToReader(req *request, srv *server) {
+	if srv == nil && req.settings.WritersRead && !r.oneStage(req) {
+		srv = r.pickWriter(req, nil)
 	}
 	switch {
-	case s == nil:
-		r.wait(q)
-	case s.role == Reader && !r.oneStage(q) && !r.attemptsLeft(q, 2) || !r.attemptsLeft(q, 1):
-		r.finish(q)
+	case srv == nil:
+		r.waitForServer(req)
+	case srv.role == Reader && !r.oneStage(req) && !r.hasAttemptsLeft(req, 2) || !r.hasAttemptsLeft(req, 1):
+		r.finish(req)
 	default:
-		r.read(q, s)
+		r.sendRead(req, srv)
 	}
 }
 
-// attemptsLeft tells whether n more attempts are allowed.
-func (r *Router) attemptsLeft(q *request, n int) bool {
-	return q.set.MaxAttempts == 0 || q.sent+n <= q.set.MaxAttempts
+// hasAttemptsLeft reports whether n more attempts are allowed.
+func (r *Router) hasAttemptsLeft(req *request, n int) bool {
+	return req.settings.MaxAttempts == 0 || req.attemptsMade+n <= req.settings.MaxAttempts
 }
 
-// oneStage tells whether a request's work ends where its prompt is read.
-func (r *Router) oneStage(q *request) bool { return q.class().OneStage }
+// oneStage reports whether a request's work ends where its prompt is read.
+func (r *Router) oneStage(req *request) bool { return req.class().OneStage }
 
-// class is the request's class, as it was when the request came.
-func (q *request) class() *Class { return &q.set.Classes[q.Class] }
+// class returns the request's class as it was when the request arrived.
+func (req *request) class() *Class { return &req.settings.Classes[req.Class] }
 
-// read sends a prompt to a reader and holds a place for its answer; a mixed server gets the whole at once.
-// One-stage work is read, timed and watched as any prompt, at a mixed server too, but holds nothing.
-func (r *Router) read(q *request, s *server) {
-	a := attempt{on: s, reads: s.role == Reader || r.oneStage(q), price: price(q.Prompt - r.kept(q, s))}
-	s.out += a.price
-	a.queue = s.out
-	r.spend(s)
-	r.remember(q, s)
-	if !a.reads {
-		q.book(s, r.now)
-		r.send(q, a, 0)
+// sendRead sends a prompt to a reader and asks a writer for a place; a mixed server gets the whole request at
+// once. One-stage work is read, timed and checked like any prompt, at a mixed server too, but holds nothing.
+func (r *Router) sendRead(req *request, srv *server) {
+	att := attempt{server: srv, readOnly: srv.role == Reader || r.oneStage(req),
+		price: price(req.Prompt - r.cachedTokens(req, srv))}
+	srv.inFlightPrice += att.price
+	att.queued = srv.inFlightPrice
+	r.takeSendToken(srv)
+	r.rememberRead(req, srv)
+	if !att.readOnly {
+		req.book(srv, r.now)
+		r.sendAttempt(req, att, 0)
 		return
 	}
-	timeout := r.watch(q, &a)
-	r.send(q, a, timeout)
-	q.asked = 0
-	if !r.oneStage(q) {
-		r.hold(q, s)
+	timeout := r.scheduleReadCheck(req, &att)
+	r.sendAttempt(req, att, timeout)
+	req.holdsAsked = 0
+	if !r.oneStage(req) {
+		r.requestHold(req, srv)
 	}
 }
 
-// watch sets when a read's reader is looked at for progress; where nothing may be cancelled it returns
-// a time-out instead. A read that leaves no attempt for another is let be.
-func (r *Router) watch(q *request, a *attempt) Millis {
-	if !r.attemptsLeft(q, 3) {
+// scheduleReadCheck sets when the reader of an attempt is next checked for progress; where nothing may be
+// cancelled it returns a timeout instead. A read that leaves no attempts for another one is not checked.
+func (r *Router) scheduleReadCheck(req *request, att *attempt) Millis {
+	if !r.hasAttemptsLeft(req, 3) {
 		return 0
 	}
-	wait := r.span(q, a.on.role, math.Max(a.queue/r.speed(a.on), r.reading.v))
-	// Rule 2: one-stage work taken away from its server may have run, and then may not go again.
-	if wait == 0 || r.oneStage(q) && q.class().Effect != Safe {
-		a.letBe, wait = true, q.aim
-	} else if !q.set.Cancel {
+	wait := r.timeoutFor(req, att.server.role, math.Max(att.queued/r.speedOf(att.server), r.readTime.value))
+	// One-stage work that is cancelled may have run, and then only safe work may run again.
+	if wait == 0 || r.oneStage(req) && req.class().Effect != Safe {
+		att.exemptFromCancel, wait = true, req.aim
+	} else if !req.settings.Cancel {
 		return wait
 	}
-	a.check = r.now + wait
-	r.do(Wake{In: wait, Ref: uint64(q.ID)*refStep + refPatience})
+	att.nextCheckAt = r.now + wait
+	r.emit(Wake{In: wait, Ref: uint64(req.ID)*refsPerRequest + refReadCheck})
 	return 0
 }
 
-// checkRead takes a read away from a reader that has ended nothing since the last look. Guards against
-// hung and silent readers; one that still ends reads, in turn, is slow or full like all others, and
-// to read elsewhere what it has half read would only add load; unless younger reads have passed this one,
-// which then is stuck, as on a connection that fell silent. Where silence tells nothing, an overdue read
-// charges its reader and is let be: others then go elsewhere, and early, against servers that grow slow.
-func (r *Router) checkRead(q *request) {
-	if q == nil || q.ended || len(q.out) != 1 || !q.out[0].reads || r.now < q.out[0].check {
+// checkRead cancels a read whose reader has ended nothing since the last check. Guards against hung and
+// silent readers. A reader that still ends reads is slow or full like all others, and reading elsewhere what
+// it has half read would only add load; but if it has ended reads that were sent after this one, this one is
+// stuck, as on a connection that fell silent. Where silence proves nothing, an overdue read penalizes its
+// reader and goes on: other requests then go elsewhere, early, as guards against servers that become slow.
+func (r *Router) checkRead(req *request) {
+	if req == nil || req.ended || len(req.inFlight) != 1 || !req.inFlight[0].readOnly ||
+		r.now < req.inFlight[0].nextCheckAt {
 		return
 	}
-	a := &q.out[0]
-	if a.letBe {
-		r.blame(a.on, false)
+	att := &req.inFlight[0]
+	if att.exemptFromCancel {
+		r.recordFailure(att.server, false)
 		return
 	}
-	if a.on.moved > max(a.sent, a.seen) && a.on.passed <= a.sent && q.deadline-r.now > 10*sweepEvery {
-		a.seen = r.now
-		r.watch(q, a)
+	if att.server.lastEndedAt > max(att.sentAt, att.progressSeenAt) &&
+		att.server.newestSentAt <= att.sentAt && req.deadline-r.now > 10*sweepIntervalMs {
+		att.progressSeenAt = r.now
+		r.scheduleReadCheck(req, att)
 		return
 	}
-	r.do(Cancel{ID: q.ID, Attempt: a.n})
-	r.blame(a.on, a.on.passed > a.sent)
+	r.emit(Cancel{ID: req.ID, Attempt: att.number})
+	r.recordFailure(att.server, att.server.newestSentAt > att.sentAt)
 }
 
-// hold asks the writer of highest freeness for a place, as a read starts, but not while writers turn the flow
-// away: a place granted does not tell whether the answer is let in, and with the place the state is gone from
-// the reader, so that the next writer finds none and it is read again. Guards against throttles of a class or
-// tenant; also full queues, where places are few anyway. Harms where few writers throttle: states move late.
-func (r *Router) hold(q *request, reader *server) {
-	turned := r.turned[r.flow(q)].left(r.now, fullFade*r.window())
-	if !q.set.Holds || q.asked >= holdTries || turned > turnedBad {
+// requestHold asks the writer of highest headroom for a place as a read starts, unless writers reject the
+// flow: a granted place does not mean that the answer is let in, but takes the state from the reader, so that
+// the next writer misses it and the prompt is read again. Guards against throttling of a class or tenant, and
+// full queues, where places are few anyway. Drawback: if few writers throttle, states move late.
+func (r *Router) requestHold(req *request, reader *server) {
+	rejected := r.rejectedSends[r.flowIndex(req)].decayed(r.now, rejectionWindows*r.rateWindow())
+	if !req.settings.Holds || req.holdsAsked >= maxHoldsPerRead || rejected > maxRejectedShare {
 		return
 	}
-	if w := r.pickWriter(q, reader); w != nil {
-		q.asked++
-		q.place = w
-		q.book(w, r.now)
-		r.spend(w)
-		r.do(Hold{ID: q.ID, Server: w.ID})
+	if writer := r.pickWriter(req, reader); writer != nil {
+		req.holdsAsked++
+		req.placeWriter = writer
+		req.book(writer, r.now)
+		r.takeSendToken(writer)
+		r.emit(Hold{ID: req.ID, Server: writer.ID})
 	}
 }
 
-// held takes the answer to a hold; without a place the next writer is asked.
-func (r *Router) held(ev Held) {
-	q := r.requests[ev.ID]
-	if q == nil || ev.OK || q.ended || q.place == nil || len(q.out) == 0 || q.out[0].n != ev.Attempt {
+// handleHeld handles the answer to a hold; if it was refused the next writer is asked.
+func (r *Router) handleHeld(ev Held) {
+	req := r.requests[ev.ID]
+	if req == nil || ev.OK || req.ended || req.placeWriter == nil || len(req.inFlight) == 0 ||
+		req.inFlight[0].number != ev.Attempt {
 		return
 	}
-	q.tried = append(q.tried, q.place)
-	if q.place.heard == 0 { // no slot or memory free, and no report ever says how little
-		q.place.full[r.flow(q)] = fading{heldBack, r.now}
+	req.excluded = append(req.excluded, req.placeWriter)
+	if req.placeWriter.reportedAt == 0 { // no slot or memory is free, and no report shows it
+		req.placeWriter.rejectionPenalties[r.flowIndex(req)] = decayingValue{holdRefusedPenalty, r.now}
 	}
-	q.unplace()
-	r.hold(q, q.out[0].on)
+	req.forgetPlace()
+	r.requestHold(req, req.inFlight[0].server)
 }
 
-// toWriter sends a read state to the held writer, else to the freest. One time-out guards against hung
-// writers; a second would have the state fetched over and over when links or writers are only full.
-func (r *Router) toWriter(q *request) {
-	w := q.place
-	if w == nil || w.State != Ready || !r.inGroup(w, q) {
-		q.unplace()
-		if w = r.pickWriter(q, q.state); w == nil {
-			r.wait(q)
+// sendToWriter sends a read state to the writer that holds a place, else to the one of highest headroom. One
+// timeout guards against hung writers; a second would refetch the state while links or writers are only full.
+func (r *Router) sendToWriter(req *request) {
+	writer := req.placeWriter
+	if writer == nil || writer.State != Ready || !r.groupAllows(writer, req) {
+		req.forgetPlace()
+		if writer = r.pickWriter(req, req.stateReader); writer == nil {
+			r.waitForServer(req)
 			return
 		}
 	}
-	if !r.attemptsLeft(q, 1) {
-		r.finish(q)
+	if !r.hasAttemptsLeft(req, 1) {
+		r.finish(req)
 		return
 	}
-	r.spend(w)
-	q.unplace()
-	q.book(w, r.now)
+	r.takeSendToken(writer)
+	req.forgetPlace()
+	req.book(writer, r.now)
 	timeout := Millis(0)
-	class := q.class()
-	if class.Effect == Safe && class.Streamed && q.ranOn == nil && r.attemptsLeft(q, 2) {
-		timeout = r.span(q, w.role, r.opening.v)
+	class := req.class()
+	if class.Effect == Safe && class.Streamed && req.mayHaveRunOn == nil && r.hasAttemptsLeft(req, 2) {
+		timeout = r.timeoutFor(req, writer.role, r.firstTokenTime.value)
 	}
-	r.send(q, attempt{on: w}, timeout)
+	r.sendAttempt(req, attempt{server: writer}, timeout)
 }
 
-// span is how long an attempt may take that usually takes so many ms, or 0 to let it be: where all are slow,
-// or a server ends own work so seldom that silence tells nothing within the aim. Guards against giving up
-// what only waits its turn: it is done all the same, and again elsewhere. Hung servers are left late.
-func (r *Router) span(q *request, role Role, usual float64) Millis {
-	if wait := max(patience*q.aim, usualTimes*Millis(usual), Millis(1000/r.peak[role])); wait < q.aim {
+// timeoutFor limits an attempt that is expected to take so many ms; 0 means no limit: where all are slow, or
+// a server ends own work so seldom that silence proves nothing. Guards against cancelling what is only
+// queued: it is done all the same, and again elsewhere. Drawback: hung servers are left late.
+func (r *Router) timeoutFor(req *request, role Role, expected float64) Millis {
+	if wait := max(minTimeoutShare*req.aim, slowFactor*Millis(expected),
+		Millis(1000/r.peakRate[role])); wait < req.aim {
 		return wait
 	}
 	return 0
 }
 
-func (r *Router) send(q *request, a attempt, timeout Millis) {
-	a.n, a.sent = q.sent, r.now
-	if q.repeat {
-		a.on.repeats.count(r.now, r.window())
+func (r *Router) sendAttempt(req *request, att attempt, timeout Millis) {
+	att.number, att.sentAt = req.attemptsMade, r.now
+	if req.isRepeat {
+		att.server.repeats.increment(r.now, r.rateWindow())
 	} else {
-		a.on.firsts.count(r.now, r.window())
+		att.server.firstSends.increment(r.now, r.rateWindow())
 	}
-	q.sent++
-	q.out = append(q.out, a)
+	req.attemptsMade++
+	req.inFlight = append(req.inFlight, att)
 	within := Millis(0)
-	if q.ranOn == nil && (!a.reads || r.oneStage(q)) {
-		q.ranAt = r.now
-	} else if q.ranOn != nil && q.class().Effect == Keyed {
-		// Rule 2: a connection may come up when the group has forgotten the attempt that may have run.
-		within = q.ranAt + q.class().Window - r.now
+	if req.mayHaveRunOn == nil && (!att.readOnly || r.oneStage(req)) {
+		req.mayHaveRunAt = r.now
+	} else if req.mayHaveRunOn != nil && req.class().Effect == Keyed {
+		// Keyed work must not be written after the group has forgotten the attempt that may have run.
+		within = req.mayHaveRunAt + req.class().Window - r.now
 	}
-	r.do(Send{ID: q.ID, Server: a.on.ID, Timeout: timeout, Within: within})
+	r.emit(Send{ID: req.ID, Server: att.server.ID, Timeout: timeout, Within: within})
 }
 
-// streaming notes that the answer has started.
-func (r *Router) streaming(ev Streaming) {
-	q := r.requests[ev.ID]
-	if q == nil || q.stream || q.find(ev.Attempt) < 0 {
+// handleStreaming records that the answer has started.
+func (r *Router) handleStreaming(ev Streaming) {
+	req := r.requests[ev.ID]
+	if req == nil || req.streaming || req.findAttempt(ev.Attempt) < 0 {
 		return
 	}
-	a := q.out[q.find(ev.Attempt)]
-	q.stream, q.state = true, nil
-	r.turned[r.flow(q)].mix(r.now, fullFade*r.window(), 0)
-	r.prove(a.on.role)
-	r.praise(a.on, (r.now-a.sent-Millis(usualTimes*r.opening.v))/max(q.aim, 1))
-	r.opening.learn(r.now, min(r.now-a.sent, q.aim))
+	att := req.inFlight[req.findAttempt(ev.Attempt)]
+	req.streaming, req.stateReader = true, nil
+	r.rejectedSends[r.flowIndex(req)].average(r.now, rejectionWindows*r.rateWindow(), 0)
+	r.recordCompletion(att.server.role)
+	r.recordSuccess(att.server, (r.now-att.sentAt-Millis(slowFactor*r.firstTokenTime.value))/max(req.aim, 1))
+	r.firstTokenTime.learnTime(r.now, min(r.now-att.sentAt, req.aim))
 }
 
-// find is the place of an attempt among those out, or -1.
-func (q *request) find(n int) int {
-	return slices.IndexFunc(q.out, func(a attempt) bool { return a.n == n })
+// findAttempt returns the index of an attempt in flight, or -1.
+func (req *request) findAttempt(number int) int {
+	return slices.IndexFunc(req.inFlight, func(att attempt) bool { return att.number == number })
 }
 
-// learn takes one time into a geometric mean: most requests' time, which a few sick servers do not move.
-func (m *fading) learn(now, took Millis) {
-	gain := math.Max(meanGain, 1-math.Exp(-float64((now-m.at)/rateWindow)))
-	was := math.Max(m.v, 1)
-	m.v, m.at = was*math.Pow(math.Max(float64(took), 1)/was, gain), now
+// learnTime adds a sample to a geometric mean, which a few failing servers hardly move.
+func (mean *decayingValue) learnTime(now, sample Millis) {
+	gain := math.Max(minMeanGain, 1-math.Exp(-float64((now-mean.at)/minWindowMs)))
+	previous := math.Max(mean.value, 1)
+	mean.value, mean.at = previous*math.Pow(math.Max(float64(sample), 1)/previous, gain), now
 }
 
-// left is less the longer nothing came in: a router that refuses all must try again.
-func (m fading) left(now, span Millis) float64 {
-	if m.v == 0 { // as for most servers of a large fleet
+// decayed falls while no observation comes in, so that a router that refuses all requests tries again.
+func (val decayingValue) decayed(now, decayTime Millis) float64 {
+	if val.value == 0 { // saves the exponential: so are most servers of a large fleet
 		return 0
 	}
-	return m.v * math.Exp(-float64((now-m.at)/span))
+	return val.value * math.Exp(-float64((now-val.at)/decayTime))
 }
 
-// attemptEnded takes the outcome of an attempt.
-func (r *Router) attemptEnded(ev Ended) {
-	if s := r.servers[ev.Server]; s != nil {
-		r.learnReport(s, ev)
+func (r *Router) handleEnded(ev Ended) {
+	if srv := r.servers[ev.Server]; srv != nil {
+		r.learnReport(srv, ev)
 	}
-	q := r.requests[ev.ID]
-	if q == nil || q.find(ev.Attempt) < 0 {
+	req := r.requests[ev.ID]
+	if req == nil || req.findAttempt(ev.Attempt) < 0 {
 		return
 	}
-	a := q.out[q.find(ev.Attempt)]
-	q.out = slices.DeleteFunc(q.out, func(o attempt) bool { return o.n == a.n })
-	if a.reads || !ev.Outcome.unconnected() {
-		q.idle = r.now
+	att := req.inFlight[req.findAttempt(ev.Attempt)]
+	req.inFlight = slices.DeleteFunc(req.inFlight, func(o attempt) bool { return o.number == att.number })
+	if att.readOnly || !ev.Outcome.unconnected() {
+		req.lastOutcomeAt = r.now
 	}
-	r.settle(q, a, ev)
+	r.settleAttempt(req, att, ev)
 	switch {
-	case ev.Done || q.stream || q.ended:
-		q.ended = true
-		r.drop(q)
+	case ev.Done || req.streaming || req.ended:
+		req.ended = true
+		r.forgetIfDone(req)
 	case ev.Outcome == ReadDone:
-		q.state = a.on
-		r.route(q)
+		req.stateReader = att.server
+		r.route(req)
 	case ev.Outcome == Moot, ev.Outcome == Served:
-		r.finish(q)
+		r.finish(req)
 	default:
-		r.again(q, a, ev)
+		r.retry(req, att, ev)
 	}
 }
 
-// settle takes an attempt out of the books and learns from its outcome.
-func (r *Router) settle(q *request, a attempt, ev Ended) {
-	a.on.out = max(0, a.on.out-a.price)
-	if !a.reads {
-		q.unbook(a.on)
+// settleAttempt removes an attempt from the router's books and learns from its outcome.
+func (r *Router) settleAttempt(req *request, att attempt, ev Ended) {
+	att.server.inFlightPrice = max(0, att.server.inFlightPrice-att.price)
+	if !att.readOnly {
+		req.unbook(att.server)
 	}
-	mean, took := &r.opening, r.now-a.sent
-	if a.reads {
-		mean = &r.reading
+	mean, elapsed := &r.firstTokenTime, r.now-att.sentAt
+	if att.readOnly {
+		mean = &r.readTime
 	}
-	// An attempt that was called off, by its client too, and had outlasted the mean tells at least that: else
-	// only what ends would count, and a jam would look quick.
-	ranOut := (ev.Outcome == TimedOut || ev.Outcome == Cancelled) && !q.stream && float64(took) > mean.v
-	if a.reads && ev.Outcome == ReadDone || ranOut {
-		// Up to the aim: late is late. Guards against few samples: one hung server had all refused for 20 s.
-		mean.learn(r.now, min(took, q.aim))
+	// An attempt that was cancelled, also by its client, after more than the mean time took at least that
+	// long. If only finished attempts counted, an overload would look fast.
+	outlastedMean := (ev.Outcome == TimedOut || ev.Outcome == Cancelled) && !req.streaming &&
+		float64(elapsed) > mean.value
+	if att.readOnly && ev.Outcome == ReadDone || outlastedMean {
+		// Capped at the target latency, or one hung server among few samples had all refused for 20 s.
+		mean.learnTime(r.now, min(elapsed, req.aim))
 	}
 	switch ev.Outcome {
 	case ReadDone, Served:
-		if a.reads {
-			a.on.moved, a.on.passed = r.now, max(a.on.passed, a.sent)
-			r.prove(a.on.role)
-			r.praise(a.on, (took-Millis(a.queue/r.speed(a.on)))/max(q.aim, 1))
-			left := q.Prompt
-			if ev.Kept > 0 { // what a reader tells may be no number, or over the prompt
-				left = math.Max(left-ev.Kept, 0)
+		if att.readOnly {
+			att.server.lastEndedAt, att.server.newestSentAt = r.now, max(att.server.newestSentAt, att.sentAt)
+			r.recordCompletion(att.server.role)
+			r.recordSuccess(att.server, (elapsed-Millis(att.queued/r.speedOf(att.server)))/max(req.aim, 1))
+			uncached := req.Prompt
+			if ev.Kept > 0 { // a reported count may be NaN, or more than the prompt
+				uncached = math.Max(uncached-ev.Kept, 0)
 			}
-			work := a.queue - a.price + price(left)
-			a.on.speed.add(speedKeep, work, float64(took))
-			r.reads.add(meanKeep, work, float64(took))
-			r.learnPace(left, took)
-			if left == q.Prompt && a.price < price(left) { // it lost its text, or never tells
-				a.on.lost = a.sent
+			work := att.queued - att.price + price(uncached)
+			att.server.speed.add(readerSpeedDecay, work, float64(elapsed))
+			r.fleetSpeed.add(meanSpeedDecay, work, float64(elapsed))
+			r.learnPace(uncached, elapsed)
+			if uncached == req.Prompt && att.price < price(uncached) { // cache lost, or never reported
+				att.server.cacheLostAt = att.sentAt
 			}
 		}
 	case Full:
-		// No headroom, whatever own books say: its queue is full of others' or dead work, or it turns away
-		// this class or tenant alone. So it counts for these alone; others find out for themselves.
+		// No headroom, whatever the books say: the queue is full of others' or abandoned work, or the server
+		// rejects this class or tenant alone. So it counts for this flow; the others find out for themselves.
 		if !ev.NoState {
-			a.on.full[r.flow(q)] = fading{1, r.now}
-			if !a.reads {
-				r.turned[r.flow(q)].mix(r.now, fullFade*r.window(), 1)
+			att.server.rejectionPenalties[r.flowIndex(req)] = decayingValue{1, r.now}
+			if !att.readOnly {
+				r.rejectedSends[r.flowIndex(req)].average(r.now, rejectionWindows*r.rateWindow(), 1)
 			}
 		}
 	case Failed, TimedOut, ConnectFailed, Broken:
-		// A failing server's books empty at once, a silent one's when its attempts run out: either would
-		// look free. The charge stands for the work that did not come back.
-		if ev.Outcome == ConnectFailed && !q.ended { // else it was called off as it connected
-			r.dialled(1)
+		// The books of a failing server empty at once, those of a silent one when its attempts time out:
+		// either would seem to have headroom. The penalty stands for the work that did not come back.
+		if ev.Outcome == ConnectFailed && !req.ended { // else it was cancelled while connecting
+			r.recordDial(1)
 		}
-		// An answer spoilt on its way was begun well, as the next may be. Guards against streams spoilt from
-		// all writers alike: charged for each, all but one looked bad, and that one drowned.
-		if !q.ended && !(q.stream && ev.Outcome == Failed) {
-			r.blame(a.on, ev.Outcome != TimedOut)
+		// A malformed stream began well, and the next one may again. Guards against streams malformed from
+		// all writers alike: penalized for each, all writers but one looked bad, and that one was overloaded.
+		if !req.ended && !(req.streaming && ev.Outcome == Failed) {
+			r.recordFailure(att.server, ev.Outcome != TimedOut)
 		}
 	}
 }
 
-// unconnected tells whether nothing of an attempt reached its server. Of NotTried the server is not to blame:
-// charged to servers that were never called, a router's own want of connections would make all look bad.
+// unconnected reports whether nothing of an attempt reached its server. NotTried is not the server's fault:
+// penalized for a router's own lack of connections, all servers would look bad.
 func (o Outcome) unconnected() bool { return o == ConnectFailed || o == NotTried }
 
-// again decides what follows an attempt that gave no answer.
-func (r *Router) again(q *request, a attempt, ev Ended) {
-	if (!a.reads || r.oneStage(q)) && ev.Outcome != Full && !ev.Outcome.unconnected() {
-		if q.ranOn == nil {
-			q.ranOn, q.ranAt = a.on, a.sent
+// retry decides what follows an attempt that gave no answer.
+func (r *Router) retry(req *request, att attempt, ev Ended) {
+	if (!att.readOnly || r.oneStage(req)) && ev.Outcome != Full && !ev.Outcome.unconnected() {
+		if req.mayHaveRunOn == nil {
+			req.mayHaveRunOn, req.mayHaveRunAt = att.server, att.sentAt
 		}
-		if q.class().Effect == Unsafe {
-			r.finish(q)
+		if req.class().Effect == Unsafe {
+			r.finish(req)
 			return
 		}
 	}
-	q.tried, q.repeat = append(q.tried, a.on), true
-	// A writer that failed or fell silent may have fetched the state. Guards against giving up with the last
-	// attempt spent on a state that is gone: where a miss leaves no other read, the prompt is read anew.
-	taken := !a.reads && ev.Outcome != Full && !ev.Outcome.unconnected() && !r.attemptsLeft(q, 3)
-	// Rule 5, where whole zones fall silent: writers that are not reached leave the state where it is, and
-	// its time goes on. Harms where a third writer would have been reached: it is read anew, or refused.
-	pinned := ev.Outcome.unconnected() && r.now-q.idle > q.set.PinLimit
-	if a.reads || ev.NoState || taken || pinned {
-		// Rule 5: a held place may have the state although its reader has not.
-		q.unplace()
-		q.state = nil
-		r.do(Release{ID: q.ID})
-	}
-	r.route(q)
-}
-
-// finish gives the last answer: a refusal where it may promise that trying again is harmless. An attempt
-// without an outcome proves nothing yet, a read that is out included.
-func (r *Router) finish(q *request) {
-	if q == nil || q.ended || q.stream {
+	req.excluded, req.isRepeat = append(req.excluded, att.server), true
+	// A writer that failed or fell silent may have fetched the state. Guards against a last attempt at a
+	// state that is no longer there: if a miss would leave no other read, the prompt is read anew.
+	fetched := !att.readOnly && ev.Outcome != Full && !ev.Outcome.unconnected() && !r.hasAttemptsLeft(req, 3)
+	// Writers that were not reached leave the state at its reader, where the pin limit goes on. Drawback:
+	// where a third writer would have been reached, the prompt is read anew or the request refused.
+	pinExpired := ev.Outcome.unconnected() && r.now-req.lastOutcomeAt > req.settings.PinLimit
+	if att.readOnly || ev.NoState || fetched || pinExpired {
+		// A held place may have the state although its reader has not; it must not stay pinned.
+		req.forgetPlace()
+		req.stateReader = nil
+		r.emit(Release{ID: req.ID})
+	}
+	r.route(req)
+}
+
+// finish gives the final answer: a refusal if it can promise that trying again is harmless, else a failure.
+// An attempt without an outcome proves nothing yet, a read in flight included.
+func (r *Router) finish(req *request) {
+	if req == nil || req.ended || req.streaming {
 		return
 	}
-	class, wait := q.class(), retryPart*q.set.MaxRetryAfter
-	// A keyed one that may have run is dropped as a repeat only while its servers remember it.
-	known := class.Effect == Keyed && class.Group == GroupAll && r.now+wait-q.ranAt <= class.Window
-	if class.Effect == Safe || known || q.ranOn == nil && len(q.out) == 0 {
-		r.do(Refuse{ID: q.ID, RetryAfter: wait})
+	class, retryAfter := req.class(), retryAfterShare*req.settings.MaxRetryAfter
+	// A repeat of a keyed request that may have run is dropped only while its servers remember the key.
+	deduplicated := class.Effect == Keyed && class.Group == GroupAll &&
+		r.now+retryAfter-req.mayHaveRunAt <= class.Window
+	if class.Effect == Safe || deduplicated || req.mayHaveRunOn == nil && len(req.inFlight) == 0 {
+		r.emit(Refuse{ID: req.ID, RetryAfter: retryAfter})
 	} else {
-		r.do(Fail{ID: q.ID})
+		r.emit(Fail{ID: req.ID})
 	}
-	r.end(q)
+	r.endRequest(req)
 }
 
-// end closes a request and calls off what is out; a stream that has begun is the client's.
-func (r *Router) end(q *request) {
-	q.ended = true
-	for _, a := range q.out {
-		if q.set.Cancel && !q.stream {
-			r.do(Cancel{ID: q.ID, Attempt: a.n})
+// endRequest ends a request and cancels its attempts; a stream that has begun belongs to the client.
+func (r *Router) endRequest(req *request) {
+	req.ended = true
+	for _, att := range req.inFlight {
+		if req.settings.Cancel && !req.streaming {
+			r.emit(Cancel{ID: req.ID, Attempt: att.number})
 		}
 	}
-	r.drop(q)
+	r.forgetIfDone(req)
 }
 
-// drop forgets an ended request once no attempt is out, and frees what it holds.
-func (r *Router) drop(q *request) {
-	if len(q.out) > 0 {
+// forgetIfDone removes an ended request once no attempt is in flight, and releases what it holds.
+func (r *Router) forgetIfDone(req *request) {
+	if len(req.inFlight) > 0 {
 		return
 	}
-	q.unplace()
-	if q.sent > 0 && !q.stream {
-		r.do(Release{ID: q.ID})
+	req.forgetPlace()
+	if req.attemptsMade > 0 && !req.streaming {
+		r.emit(Release{ID: req.ID})
 	}
-	delete(r.requests, q.ID)
+	delete(r.requests, req.ID)
 }
 
-// wait keeps a request until a server can take it.
-func (r *Router) wait(q *request) {
-	limit := waitPart * q.aim
-	if q.state != nil {
-		limit = pinPart * q.set.PinLimit // rule 5: a state with no writer in sight is let go in time
+// waitForServer keeps a request until a server is usable for it, or refuses it after its limit.
+func (r *Router) waitForServer(req *request) {
+	limit := serverWaitShare * req.aim
+	if req.stateReader != nil {
+		limit = stateWaitShare * req.settings.PinLimit // so that the state is released in time
 	}
-	if r.now-q.idle > limit {
-		r.finish(q)
+	if r.now-req.lastOutcomeAt > limit {
+		r.finish(req)
 		return
 	}
 	if len(r.waiting) == 0 {
-		r.do(Wake{In: sweepEvery, Ref: refSweep})
+		r.emit(Wake{In: sweepIntervalMs, Ref: refSweep})
 	}
-	q.unplace()
-	r.waiting = append(r.waiting, q)
+	req.forgetPlace()
+	r.waiting = append(r.waiting, req)
 }
 
-func (r *Router) sweep() {
+func (r *Router) routeWaiting() {
 	waiting := r.waiting
 	r.waiting = nil
-	for _, q := range waiting {
-		if !q.ended {
-			q.tried = q.tried[:0]
-			r.route(q)
+	for _, req := range waiting {
+		if !req.ended {
+			req.excluded = req.excluded[:0]
+			r.route(req)
 		}
 	}
 }
 
-// best is the server of highest rank, with it; the first of equal ones.
-func best(list []*server, rank func(*server) float64) (top *server, high float64) {
-	high = math.Inf(-1)
-	for _, s := range list {
-		if f := rank(s); f > high {
-			top, high = s, f
+// highestRanked returns the server of highest rank and that rank; of equal ones the first.
+func highestRanked(list []*server, rank func(*server) float64) (top *server, highest float64) {
+	highest = math.Inf(-1)
+	for _, srv := range list {
+		if value := rank(srv); value > highest {
+			top, highest = srv, value
 		}
 	}
-	return top, high
+	return top, highest
 }
 
-// candidate is a server that may get a request, with the freeness that it is chosen by.
+// candidate is a server that a request may be sent to, with the headroom that it is chosen by.
 type candidate struct {
-	s    *server
-	free float64
+	server   *server
+	headroom float64
 }
 
-// candidates are the servers, but those of one role, that the rules and a request's past let it go to, and
-// the first of highest freeness. They are valid until it is called again.
-func (r *Router) candidates(q *request, not Role, free func(*server, *request) float64) (list []candidate,
-	top candidate) {
-	var left [Mixed + 1]float64 // by role, sought where a cold server asks for it
+// candidates returns the servers that the rules and a request's earlier attempts allow, those of one role
+// excluded, and the first of highest headroom. The list is valid until the next call.
+func (r *Router) candidates(req *request, excluded Role,
+	headroom func(*server, *request) float64) (list []candidate, top candidate) {
+	var usable [Mixed + 1]float64 // by role, computed once a server in slow start needs it
 	list, top = r.scratch[:0], candidate{nil, math.Inf(-1)}
-	for _, s := range r.without[not] {
-		if s.State != Ready || slices.Contains(q.tried, s) || !r.inGroup(s, q) || !r.mayRepeat(s, q) {
+	for _, srv := range r.withoutRole[excluded] {
+		if srv.State != Ready || slices.Contains(req.excluded, srv) || !r.groupAllows(srv, req) ||
+			!r.mayRepeat(srv, req) {
 			continue
 		}
-		if r.warmth(s) < 1 {
-			if left[s.role] == 0 {
-				left[s.role] = r.partLeft(q, s.role)
+		if r.ramp(srv) < 1 {
+			if usable[srv.role] == 0 {
+				usable[srv.role] = r.usableShare(req, srv.role)
 			}
-			if !r.hasCredit(s, q, left[s.role]) {
+			if !r.hasSendToken(srv, req, usable[srv.role]) {
 				continue
 			}
 		}
-		c := candidate{s, free(s, q)}
-		if c.free > top.free {
-			top = c
+		cand := candidate{srv, headroom(srv, req)}
+		if cand.headroom > top.headroom {
+			top = cand
 		}
-		list = append(list, c)
+		list = append(list, cand)
 	}
 	r.scratch = list
 	return list, top
 }
 
-// near are the servers whose freeness is not under a bound.
-func near(list []candidate, least float64) []*server {
+// withinBand returns the servers whose headroom is not below a bound.
+func withinBand(list []candidate, bound float64) []*server {
 	within := make([]*server, 0, len(list))
-	for _, c := range list {
-		if !(c.free < least) {
-			within = append(within, c.s)
+	for _, cand := range list {
+		if !(cand.headroom < bound) {
+			within = append(within, cand.server)
 		}
 	}
 	return within
 }
 
-// partLeft is the part of a role's servers, of the most that this router knew, that can take a request, each
-// by its warmth and what is taken off it.
-func (r *Router) partLeft(q *request, role Role) float64 {
-	well := r.sum(role, func(s *server) float64 { return r.warmth(s) * math.Max(1-r.takenOff(s, q), 0) })
-	return math.Min(well/math.Max(r.most[role], 1), 1)
+// usableShare is the usable part, by ramp and penalties, of the most servers of a role ready at once.
+func (r *Router) usableShare(req *request, role Role) float64 {
+	usable := r.sumReady(role, func(srv *server) float64 {
+		return r.ramp(srv) * math.Max(1-r.totalPenalty(srv, req), 0)
+	})
+	return math.Min(usable/math.Max(r.maxReady[role], 1), 1)
 }
 
-// sum adds up a figure of the role's servers that are ready.
-func (r *Router) sum(role Role, figure func(*server) float64) (total float64) {
-	for _, s := range r.list {
-		if s.role == role && s.State == Ready {
-			total += figure(s)
+// sumReady adds up a value of the role's ready servers.
+func (r *Router) sumReady(role Role, value func(*server) float64) (total float64) {
+	for _, srv := range r.listed {
+		if srv.role == role && srv.State == Ready {
+			total += value(srv)
 		}
 	}
 	return total
 }
 
-// pickReader chooses the reader of highest freeness; among those near it the session's last, else a home.
-func (r *Router) pickReader(q *request) *server {
-	list, top := r.candidates(q, Writer, r.freeness)
-	if top.s == nil {
+// pickReader returns the last turn's reader if its headroom is near the highest, else one by affinity.
+func (r *Router) pickReader(req *request) *server {
+	list, top := r.candidates(req, Writer, r.readerHeadroom)
+	if top.server == nil {
 		return nil
 	}
-	last := r.visits[q.Session]
-	home := top.free - nearBand - r.saved(top.s, q, q.PrefixLen)
-	for _, c := range list {
-		if c.s == last.on && c.free >= top.free-nearBand-r.saved(top.s, q, last.prompt) {
-			return last.on
+	last := r.lastTurns[req.Session]
+	bound := top.headroom - headroomBand - r.cachedHeadroom(top.server, req, req.PrefixLen)
+	for _, cand := range list {
+		if cand.server == last.reader &&
+			cand.headroom >= top.headroom-headroomBand-r.cachedHeadroom(top.server, req, last.promptTokens) {
+			return last.reader
 		}
 	}
-	return r.home(q, near(list, home))
+	return r.affinityReader(req, withinBand(list, bound))
 }
 
-// saved is the freeness that kept text is worth; it widens the band of the preferences. Guards against a loop
-// under load: prompts left the readers that keep their text, were read in full, and slowed all.
-func (r *Router) saved(s *server, q *request, kept float64) float64 {
-	return (price(q.Prompt) - price(q.Prompt-kept)) / r.budget(s, q)
+// cachedHeadroom is the headroom that a cached prefix saves, which widens the band of preferences. Guards
+// against a loop under load: prompts left the readers that had them cached, and slowed all when read in full.
+func (r *Router) cachedHeadroom(srv *server, req *request, cached float64) float64 {
+	return (price(req.Prompt) - price(req.Prompt-cached)) / r.priceBudget(srv, req)
 }
 
-// kept is how many of a prompt's tokens a reader likely has: a session's last prompt, or a shared beginning
-// that it was sent, unless it was found to have kept nothing of a later one.
-func (r *Router) kept(q *request, s *server) float64 {
-	if last := r.visits[q.Session]; last.on == s && last.at >= s.lost {
-		return last.prompt
-	} else if at, ok := r.texts[text{q.Prefix, s}]; ok && at >= s.lost {
-		return q.PrefixLen
+// cachedTokens is what a reader probably has cached of a prompt: the session's last prompt, or a shared
+// prefix that it was sent, unless it lost its cache since.
+func (r *Router) cachedTokens(req *request, srv *server) float64 {
+	if last := r.lastTurns[req.Session]; last.reader == srv && last.at >= srv.cacheLostAt {
+		return last.promptTokens
+	} else if sentAt, ok := r.cachedPrefixes[cachedPrefix{req.Prefix, srv}]; ok && sentAt >= srv.cacheLostAt {
+		return req.PrefixLen
 	}
 	return 0
 }
 
-// price is what reading so many prompt tokens costs.
+// price is the cost of reading a prompt, quadratic in its tokens (Phasor's formula).
 func price(tokens float64) float64 {
 	tokens = math.Max(tokens, 0)
-	return alpha*tokens*tokens + beta*modelFactor*tokens
-}
-
-// home chooses among near readers by two hashes, the same at every router: the shared beginning's first few
-// are its homes (more, the more own reads have it), and of these the session's first. Departs from the design
-// page, where a beginning has one home: at many routers each turn of a session comes to another, so its last
-// reader is unknown, and own backlog, nearly nil, does not send the reads of a common beginning on.
-func (r *Router) home(q *request, list []*server) *server {
-	homes := len(list)
-	if q.Prefix != 0 {
-		part := r.begins[q.Prefix].left(r.now, longest) / (enough + r.all.left(r.now, longest))
-		all := float64(homes)
-		homes = min(homes, leastHomes+int(fleetPart*all)+int(homesPart*part*all))
-	}
-	list = firstBy(list, homes, func(s *server) float64 { return unit(uint64(q.Prefix), s.hash) })
-	top, _ := best(list, func(s *server) float64 { return unit(uint64(q.Session), s.hash) })
+	return squaredTokenPrice*tokens*tokens + tokenPrice*modelFactor*tokens
+}
+
+// affinityReader chooses by two hashes, the same at every router: the prefix selects its affinity readers
+// (more for a larger share of own reads), the session one of these. One reader for each prefix is not enough:
+// at many routers each turn of a session comes to another one, which does not know its last reader, and own
+// backlog, nearly nil, does not spread the reads of a common prefix.
+func (r *Router) affinityReader(req *request, list []*server) *server {
+	count := len(list)
+	if req.Prefix != 0 {
+		share := r.prefixCounts[req.Prefix].decayed(r.now, maxCountWindowMs) /
+			(minSamples + r.readCount.decayed(r.now, maxCountWindowMs))
+		total := float64(count)
+		count = min(count, minAffinityReaders+int(affinityFleetShare*total)+int(affinityPerLoad*share*total))
+	}
+	list = lowestRanked(list, count, func(s *server) float64 { return hashUnit(uint64(req.Prefix), s.hash) })
+	top, _ := highestRanked(list, func(s *server) float64 { return hashUnit(uint64(req.Session), s.hash) })
 	return top
 }
 
-// firstBy is the n servers of the lowest rank, in its order. Where n is all of them the order is of no use,
-// and is left as it is.
-func firstBy(list []*server, n int, rank func(*server) float64) []*server {
+// lowestRanked returns the n servers of lowest rank in its order; a list of no more than n stays as it is.
+func lowestRanked(list []*server, n int, rank func(*server) float64) []*server {
 	type ranked struct {
-		s    *server
-		rank float64
+		server *server
+		rank   float64
 	}
 	if n >= len(list) {
 		return list
 	}
 	first := make([]ranked, 0, n+1)
-	for _, s := range list {
-		x := ranked{s, rank(s)}
-		if len(first) == n && x.rank >= first[n-1].rank {
+	for _, srv := range list {
+		entry := ranked{srv, rank(srv)}
+		if len(first) == n && entry.rank >= first[n-1].rank {
 			continue
 		}
-		at, _ := slices.BinarySearchFunc(first, x, func(a, b ranked) int {
+		index, _ := slices.BinarySearchFunc(first, entry, func(a, b ranked) int {
 			return cmp.Compare(a.rank, b.rank)
 		})
-		first = slices.Insert(first, at, x)[:min(len(first)+1, n)]
+		first = slices.Insert(first, index, entry)[:min(len(first)+1, n)]
 	}
 	top := make([]*server, len(first))
-	for i, x := range first {
-		top[i] = x.s
+	for i, entry := range first {
+		top[i] = entry.server
 	}
 	return top
 }
 
-// unit mixes two numbers into one from 0 to under 1, always the same.
-func unit(a, b uint64) float64 { return float64(rand.NewPCG(a, b).Uint64()>>11) / (1 << 53) }
+// hashUnit hashes two numbers to one in [0, 1).
+func hashUnit(a, b uint64) float64 { return float64(rand.NewPCG(a, b).Uint64()>>11) / (1 << 53) }
 
-// pickWriter chooses the writer of highest memory freeness; those near it go by the reader's cell, then zone.
-func (r *Router) pickWriter(q *request, reader *server) *server {
-	list, top := r.candidates(q, Reader, r.memory)
-	if top.s == nil || reader == nil {
-		return top.s
+// pickWriter returns a writer within the band of the highest headroom: the nearest one, else by draw.
+func (r *Router) pickWriter(req *request, reader *server) *server {
+	list, top := r.candidates(req, Reader, r.writerHeadroom)
+	if top.server == nil || reader == nil {
+		return top.server
 	}
-	chosen, _ := best(near(list, top.free-nearBand), func(s *server) float64 {
-		return unit(uint64(q.ID)^r.seed, s.hash) - far*distance(s, reader)
+	chosen, _ := highestRanked(withinBand(list, top.headroom-headroomBand), func(srv *server) float64 {
+		return hashUnit(uint64(req.ID)^r.seed, srv.hash) - localityWeight*distance(srv, reader)
 	})
 	return chosen
 }
@@ -895,230 +910,237 @@
 	return 0
 }
 
-// inGroup keeps a keyed request that may have run inside the group that drops its repeats.
-func (r *Router) inGroup(s *server, q *request) bool {
-	class := q.class()
-	if q.ranOn == nil || class.Effect != Keyed {
+// groupAllows keeps a keyed request that may have run in the group and window that drop its repeats.
+func (r *Router) groupAllows(srv *server, req *request) bool {
+	class := req.class()
+	if req.mayHaveRunOn == nil || class.Effect != Keyed {
 		return true
 	}
-	same := class.Group == GroupAll || class.Group == GroupZone && s.Zone == q.ranOn.Zone ||
-		class.Group == GroupCell && s.Cell == q.ranOn.Cell
-	return same && r.now-q.ranAt < class.Window
+	sameGroup := class.Group == GroupAll || class.Group == GroupZone && srv.Zone == req.mayHaveRunOn.Zone ||
+		class.Group == GroupCell && srv.Cell == req.mayHaveRunOn.Cell
+	return sameGroup && r.now-req.mayHaveRunAt < class.Window
 }
 
-// freeness is a reader's: one minus the price of own reads out over what it reads within the aim.
-func (r *Router) freeness(s *server, q *request) float64 {
-	return 1 - s.out/r.budget(s, q) - r.takenOff(s, q)
+// readerHeadroom is 1 - price of own reads in flight / price read within the target latency - penalties.
+func (r *Router) readerHeadroom(srv *server, req *request) float64 {
+	return 1 - srv.inFlightPrice/r.priceBudget(srv, req) - r.totalPenalty(srv, req)
 }
 
-// flow is what a server may turn away by itself: a class and a tenant. Those of older settings are the last.
-func (r *Router) flow(q *request) int {
-	if q.set != r.set {
-		return len(r.turned) - 1
+// flowIndex numbers class and tenant pairs, which servers reject separately; older settings share the last.
+func (r *Router) flowIndex(req *request) int {
+	if req.settings != r.settings {
+		return len(r.rejectedSends) - 1
 	}
-	return q.Class*(len(r.tenants)+1) + min(max(q.Tenant, 0), len(r.tenants))
+	return req.Class*(len(r.tenantCounts)+1) + min(max(req.Tenant, 0), len(r.tenantCounts))
 }
 
-// takenOff is the freeness that a server loses to its charge and to having turned this flow away.
-func (r *Router) takenOff(s *server, q *request) float64 {
-	off := r.chargeOf(s)
-	if len(s.full) > 0 {
-		off += s.full[r.flow(q)].left(r.now, fullFade*r.window())
+// totalPenalty is the headroom lost to failures, rejections of this flow and a missing connection.
+func (r *Router) totalPenalty(srv *server, req *request) float64 {
+	penalty := r.penaltyOf(srv)
+	if len(srv.rejectionPenalties) > 0 {
+		penalty += srv.rejectionPenalties[r.flowIndex(req)].decayed(r.now, rejectionWindows*r.rateWindow())
 	}
-	if r.now-s.linked > r.set.ConnIdle && r.dialsFail() {
-		off += dialCost
+	if r.now-srv.lastConnectedAt > r.settings.ConnIdle && r.dialsFailing() {
+		penalty += unconnectedPenalty
 	}
-	return off
+	return penalty
 }
 
-// dialsFail tells whether most new connections have failed of late.
-func (r *Router) dialsFail() bool {
-	return r.dials.v > dialsBad && r.dials.left(r.now, fullFade*r.window()) > dialsBad
+// dialsFailing reports whether the recent share of failed dials is over maxDialFailureShare.
+func (r *Router) dialsFailing() bool {
+	return r.dialFailures.value > maxDialFailureShare &&
+		r.dialFailures.decayed(r.now, rejectionWindows*r.rateWindow()) > maxDialFailureShare
 }
 
-// budget is the price that a reader works off within the request's aim.
-func (r *Router) budget(s *server, q *request) float64 {
-	return math.Max(r.speed(s)*float64(q.aim), 1e-9)
+// priceBudget is the price that a reader reads within the request's target latency.
+func (r *Router) priceBudget(srv *server, req *request) float64 {
+	return math.Max(r.speedOf(srv)*float64(req.aim), 1e-9)
 }
 
-// speed is a reader's learned price per ms. It starts from a few mean reads: an unheard reader counts as
-// average, and one odd read (a long prompt, another router's queue) does not drive its sessions away.
-func (r *Router) speed(s *server) float64 {
-	took := s.speed.took + meanPart*r.reads.took
-	if took == 0 {
-		return firstSpeed
+// speedOf is a reader's learned price per ms. A few mean reads are mixed in: a new reader counts as average,
+// and one odd read (a long prompt, another router's queue) does not drive its sessions away.
+func (r *Router) speedOf(srv *server) float64 {
+	elapsed := srv.speed.elapsed + meanSpeedWeight*r.fleetSpeed.elapsed
+	if elapsed == 0 {
+		return initialReadSpeed
 	}
-	return math.Max((s.speed.work+meanPart*r.reads.work)/took, 1e-6)
+	return math.Max((srv.speed.work+meanSpeedWeight*r.fleetSpeed.work)/elapsed, 1e-6)
 }
 
-// memory is a writer's freeness: one minus the reported share and own streams since, over its memory.
-// Unreported writers count average; without reports own streams alone decide.
-func (r *Router) memory(s *server, q *request) float64 {
-	since := 0.0
-	share := r.share
-	if s.share != r.share {
-		share += (s.share - r.share) * math.Exp(-float64((r.now-s.heard)/r.window()))
+// writerHeadroom is 1 - memory share - own streams since its report / memory - penalties. An old report
+// decays to the writers' mean, which unreported writers start from; without reports own streams decide.
+func (r *Router) writerHeadroom(srv *server, req *request) float64 {
+	unreported := 0.0
+	share := r.meanShare
+	if srv.memoryShare != r.meanShare {
+		share += (srv.memoryShare - r.meanShare) * math.Exp(-float64((r.now-srv.reportedAt)/r.rateWindow()))
 	}
-	for _, o := range s.streams {
-		if s.heard == 0 || o.bookedAt > s.heard-reportLag {
-			since += o.tokens()
+	for _, other := range srv.streams {
+		if srv.reportedAt == 0 || other.bookedAt > srv.reportedAt-reportLagMs {
+			unreported += other.memoryTokens()
 		}
 	}
-	return 1 - share - since/math.Max(s.size, minSize) - r.takenOff(s, q)
+	return 1 - share - unreported/math.Max(srv.memoryTokens, minMemoryTokens) - r.totalPenalty(srv, req)
 }
 
-// tokens is the memory that an answer may need: prompt and hint, else the told maximum.
-func (q *request) tokens() float64 {
-	if q.Hint > 0 {
-		return q.Prompt + q.Hint
+// memoryTokens is the memory that an answer may need: the prompt and the hinted length, else the maximum.
+func (req *request) memoryTokens() float64 {
+	if req.Hint > 0 {
+		return req.Prompt + req.Hint
 	}
-	return q.Prompt + q.MaxOut
+	return req.Prompt + req.MaxOut
 }
 
-// book counts the request's tokens at a writer.
-func (q *request) book(s *server, now Millis) {
-	q.unbook(s)
-	s.streams, q.bookedAt = append(s.streams, q), now
+// book counts the request's tokens at a writer, once.
+func (req *request) book(srv *server, now Millis) {
+	req.unbook(srv)
+	srv.streams, req.bookedAt = append(srv.streams, req), now
 }
 
-func (q *request) unbook(s *server) {
-	s.streams = slices.DeleteFunc(s.streams, func(o *request) bool { return o == q })
+func (req *request) unbook(srv *server) {
+	srv.streams = slices.DeleteFunc(srv.streams, func(o *request) bool { return o == req })
 }
 
-// unplace forgets a place asked for.
-func (q *request) unplace() {
-	if q.place != nil {
-		q.unbook(q.place)
-		q.place = nil
+func (req *request) forgetPlace() {
+	if req.placeWriter != nil {
+		req.unbook(req.placeWriter)
+		req.placeWriter = nil
 	}
 }
 
-// learnPace takes a read of so many tokens that were not kept.
-func (r *Router) learnPace(left float64, took Millis) {
-	if left < 1 {
+// learnPace learns the best pace from a read of so many tokens that were not cached.
+func (r *Router) learnPace(uncached float64, elapsed Millis) {
+	if uncached < 1 {
 		return
 	}
-	if pace := math.Max(float64(took), 1) / left; r.pace == 0 || pace < r.pace {
-		r.pace = pace
+	if pace := math.Max(float64(elapsed), 1) / uncached; r.bestPace == 0 || pace < r.bestPace {
+		r.bestPace = pace
 	}
-	r.pace *= paceLoss
-	r.alone.learn(r.now, Millis(left*r.pace))
+	r.bestPace *= bestPaceDrift
+	r.unqueuedReadTime.learnTime(r.now, Millis(uncached*r.bestPace))
 }
 
-// learnReport takes a load report.
-func (r *Router) learnReport(s *server, ev Ended) {
-	if !ev.Reported || s.role == Reader {
+// learnReport learns a server's memory share, and a writer's memory size, from a load report.
+func (r *Router) learnReport(srv *server, ev Ended) {
+	if !ev.Reported || srv.role == Reader {
 		return
 	}
-	own := 0.0
-	for _, q := range s.streams {
-		own += q.tokens()
+	booked := 0.0
+	for _, req := range srv.streams {
+		booked += req.memoryTokens()
 	}
-	if size := own * float64(r.set.Routers) / ev.Memory; ev.Memory > nearBand && own > 0 {
-		s.size += sizeGain / float64(r.set.Routers) * (size - s.size)
+	if estimate := booked * float64(r.settings.Routers) / ev.Memory; ev.Memory > headroomBand && booked > 0 {
+		srv.memoryTokens += memorySizeGain / float64(r.settings.Routers) * (estimate - srv.memoryTokens)
 	}
-	r.share += meanGain * (ev.Memory - r.share)
-	s.share, s.heard = ev.Memory, r.now
+	r.meanShare += minMeanGain * (ev.Memory - r.meanShare)
+	srv.memoryShare, srv.reportedAt = ev.Memory, r.now
 }
 
-// blame charges a failure to a server's freeness. What fails at once tells of its health, not of its room.
-func (r *Router) blame(s *server, quick bool) {
-	if quick {
-		s.quick = fading{math.Min(r.quickOf(s)+1, chargeMax), r.now}
+// recordFailure penalizes a server. Fast failures show its health, not a lack of capacity: counted apart too.
+func (r *Router) recordFailure(srv *server, fast bool) {
+	if fast {
+		srv.fastPenalty = decayingValue{math.Min(r.fastPenaltyOf(srv)+1, maxPenalty), r.now}
 	}
-	s.charge = fading{math.Min(r.chargeOf(s)+1, chargeMax), r.now}
+	srv.penalty = decayingValue{math.Min(r.penaltyOf(srv)+1, maxPenalty), r.now}
 }
 
-// praise lightens a server's charge after a success, but for the part of the aim that it came late by. That
-// guards against servers that grow slower with nothing in the books: load that this router does not see.
-func (r *Router) praise(s *server, late Millis) {
-	if r.now-s.linked > r.set.ConnIdle {
-		r.dialled(0)
+// recordSuccess reduces a server's penalty and adds one for lateness, a share of the target latency: servers
+// may become slower by load that is not in this router's books.
+func (r *Router) recordSuccess(srv *server, lateness Millis) {
+	if r.now-srv.lastConnectedAt > r.settings.ConnIdle {
+		r.recordDial(0)
 	}
-	s.linked = r.now
-	s.quick = fading{r.quickOf(s) * chargeKeep, r.now}
-	s.charge = fading{r.chargeOf(s)*chargeKeep + lateGain*math.Max(float64(late), 0), r.now}
+	srv.lastConnectedAt = r.now
+	srv.fastPenalty = decayingValue{r.fastPenaltyOf(srv) * penaltyAfterSuccess, r.now}
+	srv.penalty = decayingValue{
+		r.penaltyOf(srv)*penaltyAfterSuccess + latenessPenalty*math.Max(float64(lateness), 0), r.now}
 }
 
-// dialled counts a new connection, failed or not. Guards against connections slow to set up at servers that
-// are well: most dials fail then. Where servers are down most go well; what is open would be crowded.
-func (r *Router) dialled(failed float64) {
-	r.dials.mix(r.now, fullFade*r.window(), failed)
+// recordDial counts a new connection, 1 if it failed, else 0. Guards against slow connection setup at healthy
+// servers, when most dials fail. Where servers are down most dials succeed, and preferring open connections
+// would overload the servers that have them.
+func (r *Router) recordDial(failed float64) {
+	r.dialFailures.average(r.now, rejectionWindows*r.rateWindow(), failed)
 }
 
-// chargeOf is a server's charge, faded to now.
-func (r *Router) chargeOf(s *server) float64 {
-	if s.charge.v == 0 {
+// penaltyOf returns a server's penalty, decayed to now.
+func (r *Router) penaltyOf(srv *server) float64 {
+	if srv.penalty.value == 0 {
 		return 0
 	}
-	return s.charge.left(r.now, max(chargeFade, r.window()))
+	return srv.penalty.decayed(r.now, max(penaltyDecayMs, r.rateWindow()))
 }
 
-func (r *Router) quickOf(s *server) float64 { return s.quick.left(r.now, max(chargeFade, r.window())) }
+func (r *Router) fastPenaltyOf(srv *server) float64 {
+	return srv.fastPenalty.decayed(r.now, max(penaltyDecayMs, r.rateWindow()))
+}
 
-// mayRepeat tells whether a request that was sent before may go to a server. Guards against storms of repeats
-// that keep servers down which have only slowed: each repeat needs enough first attempts of late. Harms where
-// few requests come and one server in two fails: some are refused.
-func (r *Router) mayRepeat(s *server, q *request) bool {
-	if r.set.RepeatPart <= 0 || !q.repeat {
+// mayRepeat limits repeats at a server to a share of recent first sends. Guards against retry storms that
+// keep slow servers down. Drawback: with few requests and one server in two failing, some are refused.
+func (r *Router) mayRepeat(srv *server, req *request) bool {
+	if r.settings.RepeatPart <= 0 || !req.isRepeat {
 		return true
 	}
-	window := r.window()
-	return s.repeats.left(r.now, window) < 1+r.set.RepeatPart*s.firsts.left(r.now, window)
+	window := r.rateWindow()
+	return srv.repeats.decayed(r.now, window) < 1+r.settings.RepeatPart*srv.firstSends.decayed(r.now, window)
 }
 
-// window is the span that own observations rest on: long enough, at this router's pace, for enough of them.
+// rateWindow is the span of own observations: long enough, at this request rate, for minSamples of them.
 // Guards against reading a rate or a trend from one event, where many routers see little each.
-func (r *Router) window() Millis {
-	return min(max(rateWindow, enough*(r.now-r.begun)/Millis(math.Max(r.arrived, 1))), windowCap)
+func (r *Router) rateWindow() Millis {
+	return min(max(minWindowMs, minSamples*(r.now-r.startedAt)/Millis(math.Max(r.arrivals, 1))), maxWindowMs)
 }
 
-func (t *fading) count(now, window Millis) { t.v, t.at = t.left(now, window)+1, now }
+func (val *decayingValue) increment(now, decayTime Millis) {
+	val.value, val.at = val.decayed(now, decayTime)+1, now
+}
 
-// mix takes a one or a nought into a part of late.
-func (t *fading) mix(now, span Millis, one float64) {
-	t.v, t.at = (1-partGain)*t.left(now, span)+partGain*one, now
+// average adds a sample of 0 or 1 to a decaying share.
+func (val *decayingValue) average(now, decayTime Millis, sample float64) {
+	val.value, val.at = (1-shareGain)*val.decayed(now, decayTime)+shareGain*sample, now
 }
 
-// perSecond is the rate; it starts low.
-func (t *fading) perSecond(now, w Millis) float64 { return t.left(now, w) / float64(w) * 1000 }
+// perSecond returns the rate of a decaying count; it starts low.
+func (val *decayingValue) perSecond(now, decayTime Millis) float64 {
+	return val.decayed(now, decayTime) / float64(decayTime) * 1000
+}
 
-// remember notes a session's reader and counts its beginning; past keyCap all start anew: memory is bounded.
-func (r *Router) remember(q *request, s *server) {
-	if max(len(r.visits), len(r.begins), len(r.texts)) >= keyCap {
-		clear(r.visits)
-		clear(r.begins)
-		clear(r.texts)
+// rememberRead records a session's reader and its prefix; past maxTrackedKeys, all records start anew.
+func (r *Router) rememberRead(req *request, srv *server) {
+	if max(len(r.lastTurns), len(r.prefixCounts), len(r.cachedPrefixes)) >= maxTrackedKeys {
+		clear(r.lastTurns)
+		clear(r.prefixCounts)
+		clear(r.cachedPrefixes)
 	}
-	if q.Session != 0 {
-		r.visits[q.Session] = visit{s, q.Prompt, r.now}
+	if req.Session != 0 {
+		r.lastTurns[req.Session] = lastTurn{srv, req.Prompt, r.now}
 	}
-	if q.Prefix != 0 {
-		r.texts[text{q.Prefix, s}] = r.now
+	if req.Prefix != 0 {
+		r.cachedPrefixes[cachedPrefix{req.Prefix, srv}] = r.now
 	}
-	b := r.begins[q.Prefix]
-	b.count(r.now, longest)
-	r.begins[q.Prefix] = b
-	r.all.count(r.now, longest)
+	count := r.prefixCounts[req.Prefix]
+	count.increment(r.now, maxCountWindowMs)
+	r.prefixCounts[req.Prefix] = count
+	r.readCount.increment(r.now, maxCountWindowMs)
 }
 
-// View shows the servers in order of id, as the router sees them now. It changes nothing.
+// View returns the servers in order of id, as the router sees them at time now. It changes nothing.
 func (r *Router) View(now Millis) []View {
-	at := r.now
-	defer func() { r.now = at }()
-	r.now = max(at, now)
-	list := make([]View, 0, len(r.list))
-	for _, s := range r.list {
-		v := View{Server: s.Server, Role: s.role, Charge: r.chargeOf(s), Backlog: s.out,
-			Holds: len(s.streams), Memory: s.share, Heard: s.heard}
-		q := &request{set: r.set, aim: r.set.Classes[0].Aim} // of the first class: freeness is a request's
-		q.Budget = q.aim
-		if v.Freeness = r.freeness(s, q); s.role == Writer {
-			v.Freeness = r.memory(s, q)
-		} else if s.role == Mixed {
-			v.Freeness = math.Min(v.Freeness, r.memory(s, q))
+	savedNow := r.now
+	defer func() { r.now = savedNow }()
+	r.now = max(savedNow, now)
+	list := make([]View, 0, len(r.listed))
+	for _, srv := range r.listed {
+		view := View{Server: srv.Server, Role: srv.role, Charge: r.penaltyOf(srv), Backlog: srv.inFlightPrice,
+			Holds: len(srv.streams), Memory: srv.memoryShare, Heard: srv.reportedAt}
+		req := &request{settings: r.settings, aim: r.settings.Classes[0].Aim} // headroom is a request's
+		req.Budget = req.aim
+		if view.Freeness = r.readerHeadroom(srv, req); srv.role == Writer {
+			view.Freeness = r.writerHeadroom(srv, req)
+		} else if srv.role == Mixed {
+			view.Freeness = math.Min(view.Freeness, r.writerHeadroom(srv, req))
 		}
-		list = append(list, v)
+		list = append(list, view)
 	}
 	return list
 }
--- a/scale_test.go
+++ b/scale_test.go
@@ -104,16 +104,16 @@
 		s.round(id, 0, 100, 10)
 	}
 	odd := s.r.servers["r00"]
-	odd.speed = tally{}
-	usual := s.r.speed(odd)
-	odd.speed.add(speedKeep, price(100), 400)
-	if got := s.r.speed(odd); got < usual/2.5 || got > usual {
+	odd.speed = weightedRate{}
+	usual := s.r.speedOf(odd)
+	odd.speed.add(readerSpeedDecay, price(100), 400)
+	if got := s.r.speedOf(odd); got < usual/2.5 || got > usual {
 		t.Errorf("speed %v after one read of four times the usual, %v before", got, usual)
 	}
 	for range 10 {
-		odd.speed.add(speedKeep, price(100), 400)
+		odd.speed.add(readerSpeedDecay, price(100), 400)
 	}
-	if got := s.r.speed(odd); got > usual/2 {
+	if got := s.r.speedOf(odd); got > usual/2 {
 		t.Errorf("speed %v after many slow reads, %v before", got, usual)
 	}
 }
@@ -138,9 +138,9 @@
 	}{{100, "hold 9 w2"}, {60000, "hold 9 w1"}} {
 		s := newScript(t, fleet(), at("r1", 0, 0, 0), at("w1", 1, 0, 0), at("w2", 1, 0, 1))
 		for w, share := range map[ServerID]float64{"w1": 0.8, "w2": 0.4} {
-			s.r.servers[w].share, s.r.servers[w].heard = share, s.now
+			s.r.servers[w].memoryShare, s.r.servers[w].reportedAt = share, s.now
 		}
-		s.r.share = 0.6
+		s.r.meanShare = 0.6
 		s.on(c.age, ask(9, 0))
 		s.want("send 9 r1", c.want)
 	}
@@ -153,17 +153,17 @@
 		set.Routers, set.Tenants = 100, []Tenant{{QuotaPerS: 10}, {QuotaPerS: 10}}
 	})
 	s := newScript(t, set, oneEach...)
-	if over := s.r.overShare(0); over != 1 {
+	if over := s.r.quotaExcess(0); over != 1 {
 		t.Errorf("one request counts as %v times the share", over)
 	}
 	for range 200 {
 		s.on(1000, Wakeup{Ref: 3})
-		s.r.overShare(1)
+		s.r.quotaExcess(1)
 	}
-	if over := s.r.overShare(1); over < 5 {
+	if over := s.r.quotaExcess(1); over < 5 {
 		t.Errorf("ten times the share counts as %v times", over)
 	}
-	if over := s.r.overShare(7); over != 1 {
+	if over := s.r.quotaExcess(7); over != 1 {
 		t.Errorf("an unknown tenant counts as %v times its share", over)
 	}
 }
@@ -184,15 +184,15 @@
 
 // TestFewSickServersRefuseNobody: one time in ten at fifty times the usual leaves the mean near the usual.
 func TestFewSickServersRefuseNobody(t *testing.T) {
-	var m fading
+	var m decayingValue
 	for i := range 200 {
 		took := Millis(50)
 		if i%10 == 9 {
 			took = 2500
 		}
-		m.learn(Millis(1e6+i*1000), took)
-		if i > 0 && m.v > 250 {
-			t.Fatalf("mean %v after %d times", m.v, i+1)
+		m.learnTime(Millis(1e6+i*1000), took)
+		if i > 0 && m.value > 250 {
+			t.Fatalf("mean %v after %d times", m.value, i+1)
 		}
 	}
 }
@@ -211,8 +211,8 @@
 		s.on(2000, ClientGone{ID: id})
 		s.on(1, Ended{ID: id, Attempt: 0, Server: "r1", Outcome: Cancelled})
 	}
-	if s.r.reading.v < 700 || refused < 3 {
-		t.Errorf("mean time of reads %v ms and %d of 10 refused, though clients left after 2 s", s.r.reading.v, refused)
+	if s.r.readTime.value < 700 || refused < 3 {
+		t.Errorf("mean time of reads %v ms and %d of 10 refused, though clients left after 2 s", s.r.readTime.value, refused)
 	}
 }
 
@@ -223,7 +223,7 @@
 		s.on(1, ask(1, 0))
 		s.want("send 1 r1", "hold 1 w1")
 		if heard {
-			s.r.servers["w1"].heard = s.now
+			s.r.servers["w1"].reportedAt = s.now
 		}
 		s.on(1, Held{ID: 1, Attempt: 0})
 		s.on(1, ask(2, 0))
@@ -275,7 +275,7 @@
 		s.on(gap, last)
 		reader, looks, cancelled := s.sent(), slices.Clone(s.acts), false
 		for _, a := range looks {
-			if w, ok := a.(Wake); ok && w.Ref%refStep == refPatience {
+			if w, ok := a.(Wake); ok && w.Ref%refsPerRequest == refReadCheck {
 				s.on(w.In, Wakeup{Ref: w.Ref})
 				cancelled = len(shorts(s.acts)) > 0
 			}
@@ -300,7 +300,7 @@
 	s.on(1, ask(1, 0))
 	first := s.sent()
 	for _, a := range s.acts {
-		if w, ok := a.(Wake); ok && w.Ref%refStep == refPatience {
+		if w, ok := a.(Wake); ok && w.Ref%refsPerRequest == refReadCheck {
 			s.on(w.In, Wakeup{Ref: w.Ref})
 			s.want()
 		}
@@ -347,9 +347,9 @@
 		s.on(500, ClientGone{ID: 1000})
 	}
 	for id := RequestID(90); id < 92; id++ {
-		a := s.r.requests[id].out[0]
+		a := s.r.requests[id].inFlight[0]
 		s.on(1, ClientGone{ID: id})
-		s.on(1, Ended{ID: id, Attempt: a.n, Server: a.on.ID, Outcome: Cancelled})
+		s.on(1, Ended{ID: id, Attempt: a.number, Server: a.server.ID, Outcome: Cancelled})
 	}
 	refused := 0
 	for id := RequestID(100); id < 140; id++ {
@@ -409,14 +409,14 @@
 	for range 300 {
 		s.r.learnPace(1000, 600)
 	}
-	if s.r.pace > 0.2 {
-		t.Errorf("a jam of 300 reads has become the best pace: %v", s.r.pace)
+	if s.r.bestPace > 0.2 {
+		t.Errorf("a jam of 300 reads has become the best pace: %v", s.r.bestPace)
 	}
 	for range 3000 {
 		s.r.learnPace(1000, 600)
 	}
-	if s.r.pace < 0.5 {
-		t.Errorf("an old pace is never forgotten: %v", s.r.pace)
+	if s.r.bestPace < 0.5 {
+		t.Errorf("an old pace is never forgotten: %v", s.r.bestPace)
 	}
 }
 
@@ -428,7 +428,7 @@
 	q.Session, q.Prefix, q.Prompt, q.PrefixLen = session, beginning, 7000, 5000
 	s.on(1, q)
 	on := s.sent()
-	booked := s.r.servers[on].out
+	booked := s.r.servers[on].inFlightPrice
 	s.on(400, Ended{ID: id, Attempt: 0, Server: on, Outcome: ReadDone, Kept: kept})
 	s.on(1, ClientGone{ID: id})
 	s.on(1, Ended{ID: id, Attempt: 1, Server: "w1", Outcome: Cancelled})
@@ -450,14 +450,14 @@
 	was := s.r.servers["r1"].speed.work
 	_, booked = s.readAs(2, 2, 9, 4800)
 	want("a beginning it was sent", booked, 2000)
-	if got := s.r.servers["r1"].speed.work - was*speedKeep; math.Abs(got-price(2200)) > 1e-9 {
+	if got := s.r.servers["r1"].speed.work - was*readerSpeedDecay; math.Abs(got-price(2200)) > 1e-9 {
 		t.Errorf("work %v was learned, want that of the tokens that were not kept, %v", got, price(2200))
 	}
 	_, booked = s.readAs(3, 2, 9, 7000)
 	want("a session's own last prompt", booked, 0)
 	_, booked = s.readAs(4, 4, 8, 0)
 	want("another beginning", booked, 7000)
-	if out := s.r.servers["r1"].out; out != 0 {
+	if out := s.r.servers["r1"].inFlightPrice; out != 0 {
 		t.Errorf("%v stays booked", out)
 	}
 }
@@ -503,8 +503,8 @@
 			}
 		}
 		for _, r := range []string{"r1", "r2"} {
-			if v := s.r.speed(s.r.servers[ServerID(r)]); !(v > 0 && v < 1e6) || !(s.r.pace >= 0 && s.r.pace < 1e6) {
-				t.Errorf("kept %v: speed %v, pace %v", kept, v, s.r.pace)
+			if v := s.r.speedOf(s.r.servers[ServerID(r)]); !(v > 0 && v < 1e6) || !(s.r.bestPace >= 0 && s.r.bestPace < 1e6) {
+				t.Errorf("kept %v: speed %v, pace %v", kept, v, s.r.bestPace)
 			}
 		}
 	}
@@ -569,8 +569,8 @@
 		s := newScript(t, fleet(brief), path.servers...)
 		path.last(s)
 		acts := s.acts
-		for waited := Millis(0); waited <= path.within && len(shorts(acts)) == 0; waited += sweepEvery {
-			acts = s.on(sweepEvery, Wakeup{Ref: refSweep})
+		for waited := Millis(0); waited <= path.within && len(shorts(acts)) == 0; waited += sweepIntervalMs {
+			acts = s.on(sweepIntervalMs, Wakeup{Ref: refSweep})
 		}
 		if got := shorts(acts); len(got) == 0 || got[0] != path.answer {
 			t.Errorf("%s: %q within %v ms, want %q first", name, got, path.within, path.answer)
@@ -616,13 +616,13 @@
 // TestWhatIsKeptIsBounded: requests ended, sessions, beginnings and servers gone do not pile up.
 func TestWhatIsKeptIsBounded(t *testing.T) {
 	s := newScript(t, fleet(), oneEach...)
-	for id := RequestID(1); id <= 2*keyCap+10; id++ {
+	for id := RequestID(1); id <= 2*maxTrackedKeys+10; id++ {
 		q := ask(id, 0)
 		q.Prefix, q.Tenant, q.Prompt = Key(id)<<8, int(id), 10
 		s.on(10, q)
 		s.on(1, Ended{ID: id, Attempt: 0, Server: "r1", Outcome: Full})
 		s.on(1, ClientGone{ID: id})
-		s.r.servers["r1"].full = map[int]fading{}
+		s.r.servers["r1"].rejectionPenalties = map[int]decayingValue{}
 	}
 	for i := range 1000 {
 		fresh := at(fmt.Sprintf("x%d", i), 1, 0, 0)
@@ -632,17 +632,17 @@
 	}
 	s.on(50, Wakeup{Ref: refSweep})
 	r := s.r
-	if len(r.requests) > 0 || len(r.waiting) > 0 || len(r.servers) != 2 || len(r.list) != 2 ||
-		len(r.visits) > keyCap || len(r.begins) > keyCap || len(r.texts) > keyCap {
+	if len(r.requests) > 0 || len(r.waiting) > 0 || len(r.servers) != 2 || len(r.listed) != 2 ||
+		len(r.lastTurns) > maxTrackedKeys || len(r.prefixCounts) > maxTrackedKeys || len(r.cachedPrefixes) > maxTrackedKeys {
 		t.Errorf("kept: %d requests, %d waiting, %d servers, %d listed, %d sessions, %d beginnings, %d at readers",
-			len(r.requests), len(r.waiting), len(r.servers), len(r.list), len(r.visits), len(r.begins), len(r.texts))
+			len(r.requests), len(r.waiting), len(r.servers), len(r.listed), len(r.lastTurns), len(r.prefixCounts), len(r.cachedPrefixes))
 	}
 	for i := range 100 {
 		q := ask(1, i%4)
 		q.Tenant = i - 50
-		r.servers["r1"].full[r.flow(&request{Request: q})] = fading{1, r.now}
+		r.servers["r1"].rejectionPenalties[r.flowIndex(&request{Request: q})] = decayingValue{1, r.now}
 	}
-	if n := len(r.servers["r1"].full); n > len(r.set.Classes)*(len(r.set.Tenants)+1) {
+	if n := len(r.servers["r1"].rejectionPenalties); n > len(r.settings.Classes)*(len(r.settings.Tenants)+1) {
 		t.Errorf("%d flows kept", n)
 	}
 }
@@ -652,19 +652,19 @@
 func TestOpenConnectionsWhileDialsFail(t *testing.T) {
 	s := newScript(t, fleet(func(set *Settings) { set.ConnIdle = 30000 }), at("r1", 0, 0, 0), at("w1", 1, 0, 0),
 		at("w2", 1, 0, 1))
-	s.r.servers["w2"].linked = s.now
+	s.r.servers["w2"].lastConnectedAt = s.now
 	s.on(1, ask(1, 0))
 	s.want("send 1 r1", "hold 1 w1")
-	s.r.dialled(1)
+	s.r.recordDial(1)
 	s.on(1, ask(2, 0))
 	s.want("send 2 r1", "hold 2 w1")
 	for range 3 {
-		s.r.dialled(1)
+		s.r.recordDial(1)
 	}
 	s.on(1, ask(3, 0))
 	s.want("send 3 r1", "hold 3 w2")
 	for range 9 {
-		s.r.dialled(0)
+		s.r.recordDial(0)
 	}
 	s.on(1, ask(4, 0))
 	s.want("send 4 r1", "hold 4 w1")
@@ -675,12 +675,12 @@
 	s := newScript(t, fleet(func(set *Settings) { set.ConnIdle = 30000 }), twoEach...)
 	s.on(1, ask(1, 0))
 	s.on(250, Ended{ID: 1, Attempt: 0, Server: s.sent(), Outcome: ConnectFailed})
-	if s.r.dials.v != partGain {
-		t.Errorf("failed dials %v, want %v", s.r.dials.v, partGain)
+	if s.r.dialFailures.value != shareGain {
+		t.Errorf("failed dials %v, want %v", s.r.dialFailures.value, shareGain)
 	}
 	reader, writer := s.round(2, 0, 20, 10)
-	if s.r.dials.v >= partGain || s.r.servers[reader].linked == 0 || s.r.servers[writer].linked == 0 {
-		t.Errorf("failed dials %v after two that went well", s.r.dials.v)
+	if s.r.dialFailures.value >= shareGain || s.r.servers[reader].lastConnectedAt == 0 || s.r.servers[writer].lastConnectedAt == 0 {
+		t.Errorf("failed dials %v after two that went well", s.r.dialFailures.value)
 	}
 }
 
@@ -691,7 +691,7 @@
 	for range 100 {
 		s.r.learnReport(s.r.servers["w1"], Ended{Reported: true, Memory: 0.2})
 	}
-	if size := s.r.servers["w1"].size; size < 9e4 || size > 2e5 {
+	if size := s.r.servers["w1"].memoryTokens; size < 9e4 || size > 2e5 {
 		t.Errorf("size %v, told 1e5", size)
 	}
 }
@@ -712,7 +712,7 @@
 			if len(s.r.requests) == 0 {
 				break
 			}
-			s.on(sweepEvery, Wakeup{Ref: refSweep})
+			s.on(sweepIntervalMs, Wakeup{Ref: refSweep})
 		}
 		if read {
 			s.want("refuse 1", "release 1")
--- a/scenario_test.go
+++ b/scenario_test.go
@@ -124,7 +124,7 @@
 	s.on(50, Streaming{ID: 1, Attempt: 1, Server: "w1"})
 	s.on(900, Ended{ID: 1, Attempt: 1, Server: "w1", Outcome: Served, Done: true})
 	s.want()
-	if len(s.r.requests) != 0 || len(s.r.servers["w1"].streams) != 0 || s.r.servers["r1"].out != 0 {
+	if len(s.r.requests) != 0 || len(s.r.servers["w1"].streams) != 0 || s.r.servers["r1"].inFlightPrice != 0 {
 		t.Error("an ended request is still in the books")
 	}
 }
@@ -155,7 +155,7 @@
 	cold := at("w1", 1, 0, 0)
 	cold.Since = 1e6 - 1000
 	s := newScript(t, fleet(), at("r1", 0, 0, 0), cold, at("w2", 1, 1, 1))
-	s.r.servers["w1"].credit = 1
+	s.r.servers["w1"].sendTokens = 1
 	s.on(1, ask(1, 0))
 	s.want("send 1 r1", "hold 1 w1")
 	s.on(5, Held{ID: 1, Attempt: 0, OK: true})
@@ -236,7 +236,7 @@
 			s.on(10, Streaming{ID: 1, Attempt: 1, Server: "w1"})
 		}
 		s.on(10, Ended{ID: 1, Attempt: 1, Server: "w1", Outcome: c.how, Done: c.begun})
-		if got := s.r.chargeOf(s.r.servers["w1"]); (got > 0.5) != c.charged {
+		if got := s.r.penaltyOf(s.r.servers["w1"]); (got > 0.5) != c.charged {
 			t.Errorf("outcome %v, begun %v: charge %v", c.how, c.begun, got)
 		}
 	}
@@ -251,9 +251,9 @@
 	}{{true, 50}, {false, 0}} {
 		s := newScript(t, fleet(), twoEach...)
 		s.on(1, ask(1, 0))
-		for _, v := range s.r.list {
-			s.r.blame(v, c.quick)
-			s.r.blame(v, c.quick)
+		for _, v := range s.r.listed {
+			s.r.recordFailure(v, c.quick)
+			s.r.recordFailure(v, c.quick)
 		}
 		taken := 0
 		for id := RequestID(100); id < 150; id++ {
@@ -415,7 +415,7 @@
 			q.Prompt = 100
 			s.on(1, q)
 			for _, a := range s.acts {
-				if w, ok := a.(Wake); ok && w.Ref == uint64(c.watched)*refStep+refPatience {
+				if w, ok := a.(Wake); ok && w.Ref == uint64(c.watched)*refsPerRequest+refReadCheck {
 					watch = w
 				}
 			}
@@ -500,14 +500,14 @@
 		q := s.r.requests[2]
 		s.acts = nil
 		s.r.finish(q)
-		if got := shorts(s.r.acts)[0]; got != strings.Replace(c.want, "1", "2", 1) {
+		if got := shorts(s.r.actions)[0]; got != strings.Replace(c.want, "1", "2", 1) {
 			t.Errorf("window %v: %v", c.window, got)
 		}
-		s.r.acts = nil
+		s.r.actions = nil
 		s.on(5000, ask(3, 2))
 		s.on(1500, ClientGone{ID: 99})
-		if s.r.finish(s.r.requests[3]); shorts(s.r.acts)[0] != "refuse 3" {
-			t.Errorf("window %v, with a read out: %v", c.window, shorts(s.r.acts))
+		if s.r.finish(s.r.requests[3]); shorts(s.r.actions)[0] != "refuse 3" {
+			t.Errorf("window %v, with a read out: %v", c.window, shorts(s.r.actions))
 		}
 	}
 }
@@ -596,7 +596,7 @@
 	fresh.Since = fleetOf[0].now
 	for i, s := range fleetOf {
 		if i < 20 { // restarted just now
-			s.r, _ = New(*s.r.set, uint64(i))
+			s.r, _ = New(*s.r.settings, uint64(i))
 			s.on(0, Membership{Whole: true, Servers: append(slices.Clone(warm), fresh)})
 		}
 		s.on(0, Membership{Servers: []Server{fresh}})
@@ -605,7 +605,7 @@
 	for range 4 {
 		turn(span / 4)
 	}
-	set := fleetOf[0].r.set
+	set := fleetOf[0].r.settings
 	if most := set.OverloadFactor * (set.ColdFrom + 0.15) * each; float64(cold) > most {
 		t.Errorf("%d reads at the cold reader within its window, %.1f at most", cold, most)
 	}
@@ -672,7 +672,7 @@
 			for _, s := range fleetOf {
 				s.on(0, Membership{Servers: []Server{fresh}})
 			}
-			set, all, share := fleetOf[0].r.set, 0, 0.0
+			set, all, share := fleetOf[0].r.settings, 0, 0.0
 			for window := range 3 {
 				cold = 0
 				play(span)
@@ -695,8 +695,11 @@
 func TestColdServersLeftAlone(t *testing.T) {
 	const routers, span = 84, 2000
 	for how, lose := range map[string]func(*script, ServerID){
-		"charged": func(s *script, id ServerID) { s.r.blame(s.r.servers[id], true); s.r.blame(s.r.servers[id], true) },
-		"full":    func(s *script, id ServerID) { s.r.servers[id].full[0] = fading{1, s.now} },
+		"charged": func(s *script, id ServerID) {
+			s.r.recordFailure(s.r.servers[id], true)
+			s.r.recordFailure(s.r.servers[id], true)
+		},
+		"full": func(s *script, id ServerID) { s.r.servers[id].rejectionPenalties[0] = decayingValue{1, s.now} },
 		"gone": func(s *script, id ServerID) {
 			gone := at(string(id), 0, 0, 0)
 			gone.State = Gone
@@ -748,7 +751,7 @@
 			}
 		}
 		play(span)
-		set := fleetOf[0].r.set
+		set := fleetOf[0].r.settings
 		n := set.OverloadFactor * (set.ColdFrom + 0.075) * 8 * span / 1000 * 2 // its capacity is twice what it is used for
 		if most := int(n + 2*math.Sqrt(n) + 2); reads["cold0"] > most || reads["cold1"] > most || reads["cold0"] == 0 {
 			t.Errorf("%s: %d and %d reads at the cold readers, %d at most", how, reads["cold0"], reads["cold1"], most)
--- a/settings.go
+++ b/settings.go
@@ -5,29 +5,29 @@
 	"fmt"
 )
 
-// Validate tells what in the settings makes no sense.
+// Validate returns an error for the first value that is missing or out of range.
 func (set *Settings) Validate() error {
 	if len(set.Classes) == 0 {
 		return errors.New("settings: no classes")
 	}
-	for i, c := range set.Classes {
-		if !(c.Aim >= 0 && c.AimPer1000 >= 0 && c.Window >= 0) {
+	for i, class := range set.Classes {
+		if !(class.Aim >= 0 && class.AimPer1000 >= 0 && class.Window >= 0) {
 			return fmt.Errorf("settings: class %d has a negative time", i)
 		}
-		if c.Effect < Safe || c.Effect > Unsafe {
+		if class.Effect < Safe || class.Effect > Unsafe {
 			return fmt.Errorf("settings: class %d has an unknown effect", i)
 		}
-		if c.Effect == Keyed && (c.Group < GroupAll || c.Group > GroupCell) {
-			return fmt.Errorf("settings: class %d is keyed in an unknown group", i)
+		if class.Effect == Keyed && (class.Group < GroupAll || class.Group > GroupCell) {
+			return fmt.Errorf("settings: class %d is keyed and has an unknown group", i)
 		}
 	}
-	for i, k := range set.Kinds {
-		if k.Role < Reader || k.Role > Mixed {
+	for i, kind := range set.Kinds {
+		if kind.Role < Reader || kind.Role > Mixed {
 			return fmt.Errorf("settings: kind %d has an unknown role", i)
 		}
 	}
-	for _, t := range []Millis{set.WarmAfter, set.PinLimit, set.MaxRetryAfter, set.Quantum, set.ConnIdle} {
-		if !(t >= 0) {
+	for _, duration := range []Millis{set.WarmAfter, set.PinLimit, set.MaxRetryAfter, set.Quantum, set.ConnIdle} {
+		if !(duration >= 0) {
 			return errors.New("settings: a time is negative")
 		}
 	}
@@ -37,26 +37,26 @@
 	return nil
 }
 
-// Compatible tells why a running router can't take settings in place of its own: requests under way refer to
-// classes, kinds and tenants by number, and what a class promised may not change under them.
+// Compatible returns an error if a running router can't replace its settings by next: requests under way refer to
+// classes, kinds and tenants by number, and the guarantees of their class may not change.
 func (set *Settings) Compatible(next *Settings) error {
 	if len(set.Classes) != len(next.Classes) || len(set.Kinds) != len(next.Kinds) || len(set.Tenants) != len(next.Tenants) {
-		return errors.New("settings: a class, kind or tenant came or went")
+		return errors.New("settings: the number of classes, kinds or tenants changed")
 	}
-	for i, c := range next.Classes {
-		if o := set.Classes[i]; o.Effect != c.Effect || o.Group != c.Group || o.Window != c.Window || o.Streamed != c.Streamed ||
-			o.OneStage != c.OneStage {
-			return fmt.Errorf("settings: class %d promises something else", i)
+	for i, class := range next.Classes {
+		if current := set.Classes[i]; current.Effect != class.Effect || current.Group != class.Group ||
+			current.Window != class.Window || current.Streamed != class.Streamed || current.OneStage != class.OneStage {
+			return fmt.Errorf("settings: class %d changes its guarantees (effect, group, window, streamed, one-stage)", i)
 		}
 	}
-	for i, k := range next.Kinds {
-		if set.Kinds[i].Role != k.Role {
-			return fmt.Errorf("settings: kind %d has another role", i)
+	for i, kind := range next.Kinds {
+		if set.Kinds[i].Role != kind.Role {
+			return fmt.Errorf("settings: kind %d changes its role", i)
 		}
 	}
 	if set.AskDiscovery != next.AskDiscovery || set.Cancel != next.Cancel || set.Holds != next.Holds ||
 		set.WritersRead != next.WritersRead {
-		return errors.New("settings: what engines can do changed")
+		return errors.New("settings: the capabilities of engines changed (discovery, cancel, hold, reads by writers)")
 	}
 	return next.Validate()
 }
--- a/slowstart_test.go
+++ b/slowstart_test.go
@@ -124,7 +124,7 @@
 		case Hold:
 			f.calls[a.Server] = append(f.calls[a.Server], f.now)
 			q := f.routers[i].requests[a.ID]
-			f.after(2, i, Held{ID: a.ID, Attempt: q.sent - 1, OK: true})
+			f.after(2, i, Held{ID: a.ID, Attempt: q.attemptsMade - 1, OK: true})
 		case Wake:
 			f.after(a.In, i, Wakeup{Ref: a.Ref})
 		case Cancel:
@@ -135,7 +135,7 @@
 
 func (f *slowStartFleet) send(i int, a Send) {
 	f.calls[a.Server] = append(f.calls[a.Server], f.now)
-	end := Ended{ID: a.ID, Attempt: f.routers[i].requests[a.ID].sent - 1, Server: a.Server}
+	end := Ended{ID: a.ID, Attempt: f.routers[i].requests[a.ID].attemptsMade - 1, Server: a.Server}
 	switch {
 	case f.failing[a.Server]:
 		end.Outcome = Failed
--- a/starttime_test.go
+++ b/starttime_test.go
@@ -30,9 +30,9 @@
 	next := at("w2", 1, 0, 0)
 	next.Since = s.now + 900 - clockError
 	s.on(1000, Membership{Servers: []Server{next}})
-	atOnce = s.r.warmth(s.r.servers["w2"])
+	atOnce = s.r.ramp(s.r.servers["w2"])
 	s.on(set.WarmAfter, Membership{})
-	return atOnce, s.r.warmth(s.r.servers["w2"])
+	return atOnce, s.r.ramp(s.r.servers["w2"])
 }
 
 // A step of this machine's wall clock, before the start or after it, neither makes a server that has just started look warm
@@ -59,7 +59,7 @@
 	fresh.Since, old.Since, moved.Since = s.now-4000, 0, s.now-hour
 	s.on(50, Membership{Whole: true, Servers: []Server{at("r1", 0, 0, 0), moved, fresh, old}})
 	for id, want := range map[ServerID]float64{"w1": 0.25, "w2": 0.55, "w3": 1} {
-		if got := s.r.warmth(s.r.servers[id]); got < want-0.01 || got > want+0.01 {
+		if got := s.r.ramp(s.r.servers[id]); got < want-0.01 || got > want+0.01 {
 			t.Errorf("%s: %.2f, want %.2f", id, got, want)
 		}
 	}
@@ -73,7 +73,7 @@
 	s.on(50, Membership{Whole: true, Servers: []Server{at("r1", 0, 0, 0), at("w1", 1, 0, 0), w}})
 	s.on(20000, Membership{Whole: true, Servers: []Server{at("r1", 0, 0, 0), at("w1", 1, 0, 0)}})
 	s.on(1000, Membership{Servers: []Server{w}})
-	if got := s.r.warmth(s.r.servers["w2"]); got < 1 {
+	if got := s.r.ramp(s.r.servers["w2"]); got < 1 {
 		t.Errorf("in slow start again: %.2f", got)
 	}
 }
@@ -87,7 +87,7 @@
 	s.on(1100, Membership{Servers: []Server{quick}})
 	late.Since = s.now + 1000
 	s.on(5000, Membership{Servers: []Server{late}}) // 4 s late
-	if got, want := s.r.warmth(s.r.servers["w3"]), 0.25+0.75*0.39; math.Abs(got-want) > 0.01 {
+	if got, want := s.r.ramp(s.r.servers["w3"]), 0.25+0.75*0.39; math.Abs(got-want) > 0.01 {
 		t.Errorf("told 4 s late: %.2f, want %.2f", got, want)
 	}
 }
--- a/stream_test.go
+++ b/stream_test.go
@@ -228,13 +228,13 @@
 		hand(b.next(rng, n))
 		b.overdue()
 		for id, q := range r.requests {
-			if !q.ended && !q.stream && len(q.out) == 0 && !slices.Contains(r.waiting, q) {
+			if !q.ended && !q.streaming && len(q.inFlight) == 0 && !slices.Contains(r.waiting, q) {
 				t.Fatalf("request %d is held back: no attempt out, not waiting for a server, no answer", id)
 			}
 		}
 	}
 	for id, q := range r.requests {
-		if q.ended && len(q.out) == 0 {
+		if q.ended && len(q.inFlight) == 0 {
 			t.Errorf("request %d is kept though ended", id)
 		}
 	}
--- a/unreached_test.go
+++ b/unreached_test.go
@@ -10,7 +10,7 @@
 		for _, a := range s.acts {
 			if send, ok := a.(Send); ok {
 				s.on(1, Ended{ID: 1, Attempt: 0, Server: send.Server, Outcome: outcome})
-				if got := s.r.chargeOf(s.r.servers[send.Server]) > 0; got != charged {
+				if got := s.r.penaltyOf(s.r.servers[send.Server]) > 0; got != charged {
 					t.Errorf("outcome %v: charged %v", outcome, got)
 				}
 				break
