--- a/api.go
+++ b/api.go
@@ -121,7 +121,7 @@
 	State      ServerState
 }
 
-// Outcome tells how an attempt ended.
+// Outcome is how an attempt ended.
 type Outcome int
 
 // The outcomes of attempts.
--- a/example_test.go
+++ b/example_test.go
@@ -6,7 +6,7 @@
 	"gannethook"
 )
 
-// A router with one reader and one writer sends a prompt and holds a place for its answer.
+// A router with one reader and one writer sends a prompt to the reader and asks the writer for a place.
 func ExampleRouter_Handle() {
 	router, err := gannethook.New(gannethook.Settings{
 		Routers: 1,
--- a/golden_amd64_test.go
+++ b/golden_amd64_test.go
@@ -12,10 +12,10 @@
 	"testing"
 )
 
-var updateGolden = flag.Bool("update", false, "write testdata/golden.txt anew")
+var updateGolden = flag.Bool("update", false, "rewrite testdata/golden.txt")
 
-// goldenTrace sums up what routers were told and what they did, in order. A line of the golden file is its name, how
-// many events and actions it has, and the hash of their text.
+// goldenTrace hashes the events of routers and their actions, in order. A line of the golden file has the trace's name,
+// the number of events and actions, and the hash of their text.
 type goldenTrace struct {
 	sum             hash.Hash
 	events, actions int
@@ -24,12 +24,12 @@
 func (g *goldenTrace) add(at Millis, event Event, actions []Action) {
 	g.events, g.actions = g.events+1, g.actions+len(actions)
 	fmt.Fprintf(g.sum, "%v %s%v\n", at, goldenKind(event), goldenText(event))
-	for _, a := range actions {
-		fmt.Fprintf(g.sum, "  %s%v\n", goldenKind(a), a)
+	for _, action := range actions {
+		fmt.Fprintf(g.sum, "  %s%v\n", goldenKind(action), action)
 	}
 }
 
-// goldenText is an event's text without settings that came later than the file and that its settings leave out.
+// goldenText returns an event's text without the settings that were added after the file was written and are not set.
 func goldenText(event Event) string {
 	text := fmt.Sprint(event)
 	if ev, ok := event.(Reconfigure); ok && !ev.Settings.SparesWaited {
@@ -38,7 +38,7 @@
 	return text
 }
 
-// goldenKind names an event or action in the file's words, which stay as names in the code change.
+// goldenKind names an event or action as the file does, whatever the name of its type.
 func goldenKind(v any) string {
 	switch v.(type) {
 	case Membership:
@@ -81,84 +81,84 @@
 	return fmt.Sprintf("%s: %d events, %d actions, %x", name, g.events, g.actions, g.sum.Sum(nil))
 }
 
-// goldenSettings are settings that between them reach every decision.
+// goldenSettings returns settings that together reach every decision.
 func goldenSettings() map[string]Settings {
 	return map[string]Settings{
-		"plain":         fleet(),
-		"no cancels":    fleet(func(s *Settings) { s.Cancel = false }),
-		"no holds":      fleet(func(s *Settings) { s.Holds = false }),
-		"writers read":  fleet(func(s *Settings) { s.WritersRead = true }),
-		"asked for":     fleet(func(s *Settings) { s.AskDiscovery = true }),
-		"repeats part":  fleet(func(s *Settings) { s.RepeatPart, s.MaxAttempts = 0.2, 6 }),
-		"keyed for all": fleet(func(s *Settings) { s.Classes[2].Group, s.Classes[2].Window = GroupAll, 600 }),
-		"tenants": fleet(func(s *Settings) {
+		"plain":         testSettings(),
+		"no cancels":    testSettings(func(s *Settings) { s.Cancel = false }),
+		"no holds":      testSettings(func(s *Settings) { s.Holds = false }),
+		"writers read":  testSettings(func(s *Settings) { s.WritersRead = true }),
+		"asked for":     testSettings(func(s *Settings) { s.AskDiscovery = true }),
+		"repeats part":  testSettings(func(s *Settings) { s.RepeatPart, s.MaxAttempts = 0.2, 6 }),
+		"keyed for all": testSettings(func(s *Settings) { s.Classes[2].Group, s.Classes[2].Window = GroupAll, 600 }),
+		"tenants": testSettings(func(s *Settings) {
 			s.Tenants = []Tenant{{QuotaPerS: 0.5}, {QuotaPerS: 50}}
 			s.Classes[3].OneStage, s.Classes[3].Worth, s.ConnIdle = true, 9, 3000
 		}),
 	}
 }
 
-// goldenDay plays a small fleet through cold servers, failures, reports, kept text, drains, failed calls for the list
-// and new settings.
-func goldenDay(g *goldenTrace, set Settings, seed uint64) {
+// goldenScenario plays a small fleet through slow start, failures, reports, cached prompts, drains, failed
+// subscriptions and new settings.
+func goldenScenario(trace *goldenTrace, set Settings, seed uint64) {
 	var servers []Server
 	for i := range 6 {
-		servers = append(servers, at(fmt.Sprint("r", i), 0, i%2, i%3), at(fmt.Sprint("w", i), 1, i%2, i%3))
+		servers = append(servers, newServer(fmt.Sprint("r", i), 0, i%2, i%3), newServer(fmt.Sprint("w", i), 1, i%2, i%3))
 	}
-	f := newSlowStartFleet(slowStart{routers: 3, load: "steady", rules: slowStartRules{0.25, 10000, 2.5, 2000, set.Holds}}, seed, nil)
-	f.trace = func(i int, ev Event, acts []Action) { g.add(f.now+Millis(i)/1e6, ev, acts) }
-	for i := range f.routers {
-		f.routers[i], _ = New(set, seed+uint64(i))
+	sim := newSlowStartFleet(slowStartCase{routers: 3, load: "steady", limits: slowStartLimits{0.25, 10000, 2.5, 2000, set.Holds}}, seed, nil)
+	sim.trace = func(i int, ev Event, actions []Action) { trace.add(sim.now+Millis(i)/1e6, ev, actions) }
+	for i := range sim.routers {
+		sim.routers[i], _ = New(set, seed+uint64(i))
 	}
-	for i := range f.routers {
-		f.hand(i, Membership{Whole: true, Servers: servers})
+	for i := range sim.routers {
+		sim.deliver(i, Membership{Whole: true, Servers: servers})
 	}
 	rnd := rand.New(rand.NewPCG(seed, 7))
-	f.vary = func(q *Request) {
+	sim.varyRequest = func(q *Request) {
 		q.Class, q.Tenant, q.Prompt = rnd.IntN(len(set.Classes)), rnd.IntN(3), float64(100+rnd.IntN(6000))
 		q.Session = Key(1 + rnd.IntN(40))
 	}
-	f.answer = func(end *Ended) {
+	sim.varyOutcome = func(end *Ended) {
 		end.Reported, end.Memory, end.Kept = rnd.IntN(2) == 0, rnd.Float64(), float64(rnd.IntN(3000))
-		if o := Outcome(1 + rnd.IntN(int(UnknownEnd))); rnd.IntN(12) == 0 && o != Served && o != ReadDone {
-			end.Outcome, end.Done, end.NoState = o, false, o == Full && rnd.IntN(2) == 0
+		if outcome := Outcome(1 + rnd.IntN(int(UnknownEnd))); rnd.IntN(12) == 0 && outcome != Served && outcome != ReadDone {
+			end.Outcome, end.Done, end.NoState = outcome, false, outcome == Full && rnd.IntN(2) == 0
 		}
 	}
-	f.play(8000, 40)
-	for i, s := range servers[:4] {
-		s.Since, s.State = f.now, ServerState(1+i%2)
-		f.tell(s)
+	sim.play(8000, 40)
+	for i, srv := range servers[:4] {
+		srv.Since, srv.State = sim.now, ServerState(1+i%2)
+		sim.updateServers(srv)
 	}
-	f.failing["r4"], f.failing["w4"] = true, true
-	f.play(6000, 90)
-	for i := range f.routers {
-		f.hand(i, Membership{Failed: true})
-		f.hand(i, ClientGone{ID: f.id})
+	sim.failing["r4"], sim.failing["w4"] = true, true
+	sim.play(6000, 90)
+	for i := range sim.routers {
+		sim.deliver(i, Membership{Failed: true})
+		sim.deliver(i, ClientGone{ID: sim.id})
 	}
 	next := set
 	next.Classes, next.MaxAttempts = append(next.Classes[:len(next.Classes):len(next.Classes)], next.Classes[0]), 3
-	for i := range f.routers {
-		f.hand(i, Reconfigure{Settings: next})
+	for i := range sim.routers {
+		sim.deliver(i, Reconfigure{Settings: next})
 	}
-	f.play(4000, 40)
-	for _, r := range f.routers {
-		fmt.Fprintf(g.sum, "%v\n", r.View(f.now))
+	sim.play(4000, 40)
+	for _, r := range sim.routers {
+		fmt.Fprintf(trace.sum, "%v\n", r.View(sim.now))
 	}
 }
 
-// For the same events and seed the module takes the same actions as when testdata/golden.txt was written, before names and
-// files changed. The file is for this architecture: others may round otherwise.
+// For the same events and seed the module takes the same actions as when testdata/golden.txt was written. The file is
+// for this architecture: others may round differently.
 func TestGoldenTrace(t *testing.T) {
 	var lines []string
 	settings := goldenSettings()
 	for _, name := range []string{"plain", "no cancels", "no holds", "writers read", "asked for", "repeats part", "keyed for all", "tenants"} {
-		g := &goldenTrace{sum: sha256.New()}
-		goldenDay(g, settings[name], 5)
-		lines = append(lines, g.line("day, "+name))
+		trace := &goldenTrace{sum: sha256.New()}
+		goldenScenario(trace, settings[name], 5)
+		lines = append(lines, trace.line("day, "+name))
 		stream := &goldenTrace{sum: sha256.New()}
 		for seed := range uint64(3) {
-			for i, a := range play(t, seed, settings[name]) {
-				stream.add(Millis(i), nil, []Action{a})
+			for i, action := range runRandomStream(t, seed, settings[name]) {
+				stream.add(Millis(i), nil, []Action{action})
 			}
 		}
 		lines = append(lines, stream.line("stream, "+name))
@@ -175,6 +175,6 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(text, want) {
-		t.Errorf("the module acts otherwise than it did:\n%s\nthan\n%s", text, want)
+		t.Errorf("the module's actions differ from the golden file:\n%s\nwant\n%s", text, want)
 	}
 }
--- a/onestage_test.go
+++ b/onestage_test.go
@@ -5,45 +5,46 @@
 	"testing"
 )
 
-// withOneStage adds classes whose work is one stage: 4 safe, 5 unsafe, 6 keyed in a cell.
+// withOneStage adds one-stage classes: 4 safe, 5 unsafe, 6 keyed in a cell.
 func withOneStage(set *Settings) {
 	set.Classes = append(set.Classes, Class{Aim: 2000, Worth: 1, Effect: Safe, OneStage: true},
 		Class{Aim: 2000, Worth: 1, Effect: Unsafe, OneStage: true},
 		Class{Aim: 2000, Worth: 1, Effect: Keyed, Group: GroupCell, Window: 2000, OneStage: true})
 }
 
-// One-stage work goes to a reader, holds no place, and its Served there ends it: nothing is released.
+// One-stage work goes to a reader, holds no place, and is ended by Served there.
 func TestOneStagePath(t *testing.T) {
-	s := newScript(t, fleet(withOneStage), oneEach...)
-	s.on(1, ask(1, 4))
-	s.want("send 1 r1")
-	s.on(80, Ended{ID: 1, Attempt: 0, Server: "r1", Outcome: Served, Done: true})
-	s.want("release 1")
-	if s.r.requests[1] != nil || s.r.servers["r1"].inFlightPrice != 0 || s.r.servers["r1"].speed.work == 0 {
-		t.Errorf("left %v, or its time was not learned: %+v", s.r.requests[1], s.r.servers["r1"])
+	script := newScript(t, testSettings(withOneStage), oneOfEach...)
+	script.handle(1, newRequest(1, 4))
+	script.want("send 1 r1")
+	script.handle(80, Ended{ID: 1, Attempt: 0, Server: "r1", Outcome: Served, Done: true})
+	script.want("release 1")
+	if script.router.requests[1] != nil || script.router.servers["r1"].inFlightPrice != 0 || script.router.servers["r1"].speed.work == 0 {
+		t.Errorf("%v is left, or its time was not learned: %+v", script.router.requests[1], script.router.servers["r1"])
 	}
 }
 
-// A writer never gets it, though writers read; a mixed server does, and takes no memory for it.
+// A writer never gets one-stage work, even if writers read; a mixed server does, and books no memory for it.
 func TestOneStageServers(t *testing.T) {
-	s := newScript(t, fleet(withOneStage, func(set *Settings) { set.WritersRead = true }), at("w1", 1, 0, 0))
-	s.on(1, ask(1, 4))
-	s.want()
-	s = newScript(t, fleet(withOneStage), at("m1", 2, 0, 0), at("w1", 1, 0, 0))
-	s.on(1, ask(1, 4))
-	s.want("send 1 m1")
-	if n := len(s.r.servers["m1"].streams); n != 0 {
+	script := newScript(t, testSettings(withOneStage, func(set *Settings) { set.WritersRead = true }), newServer("w1", 1, 0, 0))
+	script.handle(1, newRequest(1, 4))
+	script.want()
+	script = newScript(t, testSettings(withOneStage), newServer("m1", 2, 0, 0), newServer("w1", 1, 0, 0))
+	script.handle(1, newRequest(1, 4))
+	script.want("send 1 m1")
+	if n := len(script.router.servers["m1"].streams); n != 0 {
 		t.Errorf("%d places are booked for one-stage work", n)
 	}
-	s.on(50, Ended{ID: 1, Attempt: 0, Server: "m1", Outcome: Served, Done: true})
-	if s.r.peakRate[Mixed] == 0 || s.r.peakRate[Reader] != 0 {
-		t.Errorf("the proof went to the wrong role: %v", s.r.peakRate)
+	script.handle(50, Ended{ID: 1, Attempt: 0, Server: "m1", Outcome: Served, Done: true})
+	if script.router.peakRate[Mixed] == 0 || script.router.peakRate[Reader] != 0 {
+		t.Errorf("the completion was counted for the wrong role: %v", script.router.peakRate)
 	}
 }
 
-// What may have run goes again as its class allows: safe to another server, unsafe nowhere, keyed in its group.
+// One-stage work that may have run is repeated as its class allows: safe at another server, unsafe nowhere, keyed in
+// its group.
 func TestOneStageEffects(t *testing.T) {
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		class   int
 		outcome Outcome
 		want    []string
@@ -53,80 +54,81 @@
 		{5, Failed, []string{"fail 1", "release 1"}},
 		{5, Full, []string{"release 1", "send 1"}},
 		{5, ConnectFailed, []string{"release 1", "send 1"}},
-		{6, Broken, []string{"release 1"}}, // the other reader stands in another cell: it waits
+		{6, Broken, []string{"release 1"}}, // the other reader is in another cell: the request waits
 	} {
-		t.Run(fmt.Sprint(c.class, c.outcome), func(t *testing.T) {
-			s := newScript(t, fleet(withOneStage), twoEach...)
-			s.on(1, ask(1, c.class))
-			s.on(9, Ended{ID: 1, Attempt: 0, Server: s.sent(), Outcome: c.outcome})
-			s.want(c.want...)
+		t.Run(fmt.Sprint(tc.class, tc.outcome), func(t *testing.T) {
+			script := newScript(t, testSettings(withOneStage), twoOfEach...)
+			script.handle(1, newRequest(1, tc.class))
+			script.handle(9, Ended{ID: 1, Attempt: 0, Server: script.sentTo(), Outcome: tc.outcome})
+			script.want(tc.want...)
 		})
 	}
 }
 
-// An overdue read of one stage is called off only where it may run twice.
-func TestOneStagePatience(t *testing.T) {
-	for class, off := range map[int]bool{4: true, 5: false, 6: false} {
-		s := newScript(t, fleet(withOneStage), twoEach...)
-		for i := range 30 { // many ends: silence tells something
+// An overdue read of one stage is cancelled only if it may run twice.
+func TestOneStageAttemptTimeout(t *testing.T) {
+	for class, wantCancel := range map[int]bool{4: true, 5: false, 6: false} {
+		script := newScript(t, testSettings(withOneStage), twoOfEach...)
+		for i := range 30 { // many completions: silence is evidence of a failure
 			id := RequestID(100 + i)
-			s.on(10, ask(id, 4))
-			s.on(10, Ended{ID: id, Attempt: 0, Server: s.sent(), Outcome: Served, Done: true})
+			script.handle(10, newRequest(id, 4))
+			script.handle(10, Ended{ID: id, Attempt: 0, Server: script.sentTo(), Outcome: Served, Done: true})
 		}
-		s.on(1, ask(1, class))
+		script.handle(1, newRequest(1, class))
 		var due []Wake
-		for _, a := range s.acts {
-			if w, ok := a.(Wake); ok && w.Ref%refsPerRequest == refReadCheck {
-				due = append(due, w)
+		for _, action := range script.actions {
+			if wake, ok := action.(Wake); ok && wake.Ref%refsPerRequest == refReadCheck {
+				due = append(due, wake)
 			}
 		}
 		if len(due) != 1 {
-			t.Fatalf("class %d: %v", class, s.acts)
+			t.Fatalf("class %d: %v", class, script.actions)
 		}
-		s.on(due[0].In, Wakeup{Ref: due[0].Ref})
-		_, cancelled := find[Cancel](s.acts)
-		if cancelled != off {
-			t.Errorf("class %d is called off: %v", class, cancelled)
+		script.handle(due[0].In, Wakeup{Ref: due[0].Ref})
+		_, cancelled := findAction[Cancel](script.actions)
+		if cancelled != wantCancel {
+			t.Errorf("class %d is cancelled: %v", class, cancelled)
 		}
 	}
 }
 
-func find[A Action](acts []Action) (a A, ok bool) {
-	for _, x := range acts {
-		if a, ok = x.(A); ok {
+func findAction[A Action](actions []Action) (a A, ok bool) {
+	for _, action := range actions {
+		if a, ok = action.(A); ok {
 			return a, true
 		}
 	}
 	return a, false
 }
 
-// A server gets one repeat, and its part of the first attempts besides; then repeats go elsewhere or wait.
+// A server gets one repeat, and the configured share of its first attempts on top; further repeats go elsewhere or
+// wait.
 func TestRepeatsBounded(t *testing.T) {
-	s := newScript(t, fleet(withOneStage, func(set *Settings) { set.RepeatPart = 0.1 }), oneEach...)
+	script := newScript(t, testSettings(withOneStage, func(set *Settings) { set.RepeatPart = 0.1 }), oneOfEach...)
 	send := func(id RequestID, n int, how Outcome) bool {
-		sent, ok := find[Send](s.acts)
+		sent, ok := findAction[Send](script.actions)
 		if ok {
-			s.on(0, Ended{ID: id, Attempt: n, Server: sent.Server, Outcome: how, Done: how == Served})
+			script.handle(0, Ended{ID: id, Attempt: n, Server: sent.Server, Outcome: how, Done: how == Served})
 		}
 		return ok
 	}
-	for id := RequestID(1); id <= 20; id++ { // three repeats' worth of first attempts
-		s.on(1, ask(id, 4))
+	for id := RequestID(1); id <= 20; id++ { // enough first attempts for three repeats
+		script.handle(1, newRequest(id, 4))
 		send(id, 0, Served)
 	}
 	repeats := 0
 	for id := RequestID(100); id < 110; id++ {
-		s.on(0, ask(id, 4))
-		if !send(id, 0, Full) { // turned away: it may go again at once, and there is no other reader
-			t.Fatalf("request %d is not sent: %q", id, shorts(s.acts))
+		script.handle(0, newRequest(id, 4))
+		if !send(id, 0, Full) { // rejected: it may be repeated at once, and there is no other reader
+			t.Fatalf("request %d is not sent: %q", id, summaries(script.actions))
 		}
-		s.r.servers["r1"].rejectionPenalties = map[int]decayingValue{}
-		s.on(sweepIntervalMs, Wakeup{Ref: refSweep})
+		script.router.servers["r1"].rejectionPenalties = map[int]decayingValue{}
+		script.handle(sweepIntervalMs, Wakeup{Ref: refSweep})
 		if send(id, 1, Served) {
 			repeats++
 		}
 	}
 	if repeats < 3 || repeats > 5 {
-		t.Errorf("%d repeats, 3 to 5 are due: one, and a tenth of 20 to 30 first attempts, fading", repeats)
+		t.Errorf("%d repeats, want 3 to 5: one, and a tenth of 20 to 30 decaying first attempts", repeats)
 	}
 }
--- a/router.go
+++ b/router.go
@@ -155,37 +155,36 @@
 
 // Router makes the decisions of one router. It is not safe for concurrent use.
 type Router struct {
-	settings         *Settings
-	seed             uint64
-	now              Millis
-	startedAt        Millis  // first event; 0: none yet
-	arrivals         float64 // requests received
-	servers          map[ServerID]*server
-	starts           map[ServerID]startRecord // also of servers that are no longer listed
-	updates          int                      // lists and changes received
-	clockAhead       Millis                   // least seen age of a newcomer, see startTime
-	listed           []*server                // in order of id
-	withoutRole      [Mixed + 1][]*server     // by role, the listed servers of the other roles
-	scratch          []candidate              // reused by candidates
-	requests         map[RequestID]*request
-	waiting          []*request               // for a usable server
-	lastTurns        map[Key]lastTurn         // by session
-	prefixCounts     map[Key]decayingValue    // reads by shared prefix
-	cachedPrefixes   map[cachedPrefix]Millis  // when a shared prefix was last sent to a reader
-	readCount        decayingValue            // all reads
-	tenantCounts     []decayingValue          // requests by tenant
-	completions      [Mixed + 1]decayingValue // reads ended or streams begun, by role
-	peakRate         [Mixed + 1]float64       // most of these per second and warm server, by role
-	maxReady         [Mixed + 1]float64       // most servers that were ready at once, by role
-	fleetSpeed       weightedRate             // of all readers' reads
-	dialFailures     decayingValue            // share of recent dials that failed
-	rejectedSends    []decayingValue          // by flow index, share of recent sends that writers rejected
-	meanShare        float64                  // mean memory share of the writers that reported
-	bestPace         float64                  // least ms per token that was not cached; 0: no read yet
-	unqueuedReadTime decayingValue            // ms that recent reads would have taken at the best pace
-	readTime         decayingValue            // recent mean ms to read a prompt
-	firstTokenTime   decayingValue            // recent mean ms from a writer's send to the first token
-	actions          []Action                 // of the event being handled
+	settings                 *Settings
+	seed                     uint64
+	now                      Millis
+	startedAt                Millis  // first event; 0: none yet
+	arrivals                 float64 // requests received
+	servers                  map[ServerID]*server
+	starts                   map[ServerID]startRecord // also of servers that are no longer listed
+	updates                  int                      // lists and changes received
+	clockAhead               Millis                   // least seen age of a newcomer, see startTime
+	listed                   []*server                // in order of id
+	withoutRole              [Mixed + 1][]*server     // by role, the listed servers of the other roles
+	scratch                  []candidate              // reused by candidates
+	requests                 map[RequestID]*request
+	waiting                  []*request               // for a usable server
+	lastTurns                map[Key]lastTurn         // by session
+	prefixCounts             map[Key]decayingValue    // reads by shared prefix
+	cachedPrefixes           map[cachedPrefix]Millis  // when a shared prefix was last sent to a reader
+	readCount                decayingValue            // all reads
+	tenantCounts             []decayingValue          // requests by tenant
+	completions              [Mixed + 1]decayingValue // reads ended or streams begun, by role
+	peakRate                 [Mixed + 1]float64       // most of these per second and warm server, by role
+	maxReady                 [Mixed + 1]float64       // most servers that were ready at once, by role
+	fleetSpeed               weightedRate             // of all readers' reads
+	dialFailures             decayingValue            // share of recent dials that failed
+	rejectedSends            []decayingValue          // by flow index, share of sends that writers rejected
+	meanShare                float64                  // mean memory share of the writers that reported
+	bestPace                 float64                  // least ms per uncached token; 0: no read yet
+	unqueuedReadTime         decayingValue            // mean ms of a read at the best pace, without a queue
+	readTime, firstTokenTime decayingValue            // mean ms of a read, of a writer's time to first token
+	actions                  []Action                 // of the event being handled
 }
 
 // New returns a router that knows no server yet.
--- a/router_test.go
+++ b/router_test.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	maxModuleLines = 1060 // lines of one file that are not blank
-	maxModuleWidth = 110  // columns, a tab counting four
+	maxModuleLines = 1060 // non-blank lines of one file
+	maxModuleWidth = 110  // columns; a tab counts four
 )
 
-// Each file of the decision module, as the deploy file names them, stays within what a review can read aloud.
+// Each file of the decision module, as deploy/balancer.toml lists them, stays small enough for a review.
 func TestModuleLimits(t *testing.T) {
 	deploy, err := os.ReadFile("deploy/balancer.toml")
 	if err != nil {
@@ -20,7 +20,7 @@
 	}
 	policy := regexp.MustCompile(`(?m)^policy = \[(.*)\]$`).FindSubmatch(deploy)
 	if policy == nil {
-		t.Fatal("deploy/balancer.toml names no files of the module")
+		t.Fatal("deploy/balancer.toml lists no files of the module")
 	}
 	for _, quoted := range strings.Split(string(policy[1]), ", ") {
 		checkModuleFile(t, strings.Trim(quoted, `"`))
@@ -47,10 +47,10 @@
 			lines++
 		}
 		if width := len([]rune(strings.ReplaceAll(line, "\t", "    "))); width > maxModuleWidth {
-			t.Errorf("%s:%d is %d wide", path, i+1, width)
+			t.Errorf("%s:%d is %d columns wide", path, i+1, width)
 		}
 	}
 	if lines > maxModuleLines {
-		t.Errorf("%s has %d lines that are not blank, %d at most", path, lines, maxModuleLines)
+		t.Errorf("%s has %d non-blank lines, limit %d", path, lines, maxModuleLines)
 	}
 }
--- a/scenario_test.go
+++ b/scenario_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// fleet are settings with readers (kind 0), writers (1) and mixed servers (2), and classes of each effect.
-func fleet(change ...func(*Settings)) Settings {
+// testSettings returns settings with readers (kind 0), writers (1) and mixed servers (2), and classes of each effect.
+func testSettings(change ...func(*Settings)) Settings {
 	set := Settings{
 		Routers: 2,
 		Classes: []Class{
@@ -31,36 +31,36 @@
 	return set
 }
 
-// script drives a router and keeps what it did.
-type script struct {
-	t    *testing.T
-	r    *Router
-	now  Millis
-	acts []Action
+// scriptedRouter drives a router and keeps the actions of the last event.
+type scriptedRouter struct {
+	t       *testing.T
+	router  *Router
+	now     Millis
+	actions []Action
 }
 
-func newScript(t *testing.T, set Settings, servers ...Server) *script {
+func newScript(t *testing.T, set Settings, servers ...Server) *scriptedRouter {
 	t.Helper()
 	r, err := New(set, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &script{t: t, r: r, now: 1e6}
-	s.on(0, Membership{Whole: true, Servers: servers})
-	return s
+	script := &scriptedRouter{t: t, router: r, now: 1e6}
+	script.handle(0, Membership{Whole: true, Servers: servers})
+	return script
 }
 
-// on hands in one event after a span and returns the actions.
-func (s *script) on(after Millis, ev Event) []Action {
+// handle passes one event to the router after a span and returns the actions.
+func (s *scriptedRouter) handle(after Millis, ev Event) []Action {
 	s.now += after
-	s.acts = s.r.Handle(s.now, ev)
-	return s.acts
+	s.actions = s.router.Handle(s.now, ev)
+	return s.actions
 }
 
-// want checks the last actions, timers left out, each by a prefix of its short form.
-func (s *script) want(short ...string) {
+// want checks the last actions without timers, each by a prefix of its summary.
+func (s *scriptedRouter) want(short ...string) {
 	s.t.Helper()
-	got := shorts(s.acts)
+	got := summaries(s.actions)
 	if len(got) == 0 && len(short) == 0 {
 		return
 	}
@@ -73,278 +73,282 @@
 	}
 }
 
-// shorts puts actions in a short form, timers left out.
-func shorts(acts []Action) []string {
+// summaries returns a short text for each action, without timers.
+func summaries(actions []Action) []string {
 	var out []string
-	for _, a := range acts {
-		switch a := a.(type) {
+	for _, action := range actions {
+		switch action := action.(type) {
 		case Wake:
 		case Send:
-			out = append(out, fmt.Sprintf("send %d %s %.0f", a.ID, a.Server, a.Timeout))
+			out = append(out, fmt.Sprintf("send %d %s %.0f", action.ID, action.Server, action.Timeout))
 		case Hold:
-			out = append(out, fmt.Sprintf("hold %d %s", a.ID, a.Server))
+			out = append(out, fmt.Sprintf("hold %d %s", action.ID, action.Server))
 		default:
-			out = append(out, fmt.Sprintf("%s %v", strings.ToLower(reflect.TypeOf(a).Name()), reflect.ValueOf(a).Field(0)))
+			out = append(out, fmt.Sprintf("%s %v", strings.ToLower(reflect.TypeOf(action).Name()), reflect.ValueOf(action).Field(0)))
 		}
 	}
 	return out
 }
 
-func at(id string, kind, zone, cell int) Server {
+func newServer(id string, kind, zone, cell int) Server {
 	return Server{ID: ServerID(id), Kind: kind, Zone: zone, Cell: cell, State: Ready}
 }
 
-func ask(id RequestID, class int) Request {
+func newRequest(id RequestID, class int) Request {
 	return Request{ID: id, Class: class, Session: Key(id), Budget: 6000, Prompt: 1000, MaxOut: 200}
 }
 
-// sent is the server of the last actions' send.
-func (s *script) sent() ServerID {
+// sentTo returns the server of the Send among the last actions.
+func (s *scriptedRouter) sentTo() ServerID {
 	s.t.Helper()
-	for _, a := range s.acts {
-		if send, ok := a.(Send); ok {
+	for _, action := range s.actions {
+		if send, ok := action.(Send); ok {
 			return send.Server
 		}
 	}
-	s.t.Fatalf("no send in %q", shorts(s.acts))
+	s.t.Fatalf("no send in %q", summaries(s.actions))
 	return ""
 }
 
-var oneEach = []Server{at("r1", 0, 0, 0), at("w1", 1, 0, 0)}
-var twoEach = []Server{at("r1", 0, 0, 0), at("r2", 0, 0, 1), at("w1", 1, 0, 0), at("w2", 1, 0, 1)}
+var oneOfEach = []Server{newServer("r1", 0, 0, 0), newServer("w1", 1, 0, 0)}
+var twoOfEach = []Server{newServer("r1", 0, 0, 0), newServer("r2", 0, 0, 1), newServer("w1", 1, 0, 0), newServer("w2", 1, 0, 1)}
 
-func TestOrdinaryPath(t *testing.T) {
-	s := newScript(t, fleet(), oneEach...)
-	s.on(1, ask(1, 0))
-	s.want("send 1 r1", "hold 1 w1")
-	s.on(5, Held{ID: 1, Attempt: 0, OK: true})
-	s.want()
-	s.on(95, Ended{ID: 1, Attempt: 0, Server: "r1", Outcome: ReadDone})
-	s.want("send 1 w1")
-	s.on(50, Streaming{ID: 1, Attempt: 1, Server: "w1"})
-	s.on(900, Ended{ID: 1, Attempt: 1, Server: "w1", Outcome: Served, Done: true})
-	s.want()
-	if len(s.r.requests) != 0 || len(s.r.servers["w1"].streams) != 0 || s.r.servers["r1"].inFlightPrice != 0 {
-		t.Error("an ended request is still in the books")
+func TestReadAndWritePath(t *testing.T) {
+	script := newScript(t, testSettings(), oneOfEach...)
+	script.handle(1, newRequest(1, 0))
+	script.want("send 1 r1", "hold 1 w1")
+	script.handle(5, Held{ID: 1, Attempt: 0, OK: true})
+	script.want()
+	script.handle(95, Ended{ID: 1, Attempt: 0, Server: "r1", Outcome: ReadDone})
+	script.want("send 1 w1")
+	script.handle(50, Streaming{ID: 1, Attempt: 1, Server: "w1"})
+	script.handle(900, Ended{ID: 1, Attempt: 1, Server: "w1", Outcome: Served, Done: true})
+	script.want()
+	if len(script.router.requests) != 0 || len(script.router.servers["w1"].streams) != 0 || script.router.servers["r1"].inFlightPrice != 0 {
+		t.Error("an ended request is still booked")
 	}
 }
 
-// TestHeldPlaceIsUsed: a hold's answer goes by the attempt; the held writer gets the state.
+// TestHeldPlaceIsUsed: the writer that granted a place gets the state.
 func TestHeldPlaceIsUsed(t *testing.T) {
-	s := newScript(t, fleet(), twoEach...)
-	s.on(1, ask(1, 0))
-	held := s.acts[len(s.acts)-1].(Hold).Server
-	reader := s.sent()
-	s.on(5, Held{ID: 1, Attempt: 0, OK: true})
-	s.on(195, Ended{ID: 1, Attempt: 0, Server: reader, Outcome: ReadDone})
-	s.want("send 1 " + string(held))
+	script := newScript(t, testSettings(), twoOfEach...)
+	script.handle(1, newRequest(1, 0))
+	held := script.actions[len(script.actions)-1].(Hold).Server
+	reader := script.sentTo()
+	script.handle(5, Held{ID: 1, Attempt: 0, OK: true})
+	script.handle(195, Ended{ID: 1, Attempt: 0, Server: reader, Outcome: ReadDone})
+	script.want("send 1 " + string(held))
 }
 
 func TestHoldRefusedAsksNext(t *testing.T) {
-	s := newScript(t, fleet(), twoEach...)
-	s.on(1, ask(1, 0))
-	first := s.acts[len(s.acts)-1].(Hold).Server
-	s.on(5, Held{ID: 1, Attempt: 0})
-	if len(s.acts) != 1 || s.acts[0].(Hold).Server == first {
-		t.Fatalf("got %q, want a hold at the other writer", shorts(s.acts))
-	}
-}
-
-// TestHeldColdWriterIsUsed: the hold itself spends a cold writer's credit; the send to it needs no more.
-func TestHeldColdWriterIsUsed(t *testing.T) {
-	cold := at("w1", 1, 0, 0)
-	cold.Since = 1e6 - 1000
-	s := newScript(t, fleet(), at("r1", 0, 0, 0), cold, at("w2", 1, 1, 1))
-	s.r.servers["w1"].sendTokens = 1
-	s.on(1, ask(1, 0))
-	s.want("send 1 r1", "hold 1 w1")
-	s.on(5, Held{ID: 1, Attempt: 0, OK: true})
-	s.on(95, Ended{ID: 1, Attempt: 0, Server: "r1", Outcome: ReadDone})
-	s.want("send 1 w1")
-}
-
-// TestNoStateReleases: a place may hold the state that its reader has not; waiting must not pin it.
+	script := newScript(t, testSettings(), twoOfEach...)
+	script.handle(1, newRequest(1, 0))
+	first := script.actions[len(script.actions)-1].(Hold).Server
+	script.handle(5, Held{ID: 1, Attempt: 0})
+	if len(script.actions) != 1 || script.actions[0].(Hold).Server == first {
+		t.Fatalf("got %q, want a hold at the other writer", summaries(script.actions))
+	}
+}
+
+// TestHeldSlowStartWriterIsUsed: the hold takes the send token of a writer in slow start; the send to it needs no
+// other.
+func TestHeldSlowStartWriterIsUsed(t *testing.T) {
+	starting := newServer("w1", 1, 0, 0)
+	starting.Since = 1e6 - 1000
+	script := newScript(t, testSettings(), newServer("r1", 0, 0, 0), starting, newServer("w2", 1, 1, 1))
+	script.router.servers["w1"].sendTokens = 1
+	script.handle(1, newRequest(1, 0))
+	script.want("send 1 r1", "hold 1 w1")
+	script.handle(5, Held{ID: 1, Attempt: 0, OK: true})
+	script.handle(95, Ended{ID: 1, Attempt: 0, Server: "r1", Outcome: ReadDone})
+	script.want("send 1 w1")
+}
+
+// TestNoStateReleases: a held place may have the state that its reader no longer has; waiting must not pin it.
 func TestNoStateReleases(t *testing.T) {
-	s := newScript(t, fleet(), oneEach...)
-	s.on(1, ask(1, 0))
-	s.on(5, Held{ID: 1, Attempt: 0, OK: true})
-	s.on(94, Ended{ID: 1, Attempt: 0, Server: "r1", Outcome: ReadDone})
-	s.on(1, Membership{Servers: []Server{{ID: "r1", Kind: 0, State: Gone}}})
-	s.on(1, Ended{ID: 1, Attempt: 1, Server: "w1", Outcome: Full, NoState: true})
-	s.want("release 1")
-}
-
-// TestErrorAfterTheFetch: a writer that gives an error may have fetched the state. With attempts for one read
-// and one write left, the prompt is read anew; a turn at the next writer could be the last, and find no state.
-// Writers that are not reached leave the state at its reader, and the time for which it may wait goes on: past it the
-// state is let go and the prompt read anew; where no attempts are left for that, the request is refused at once.
-func TestStateOutlivesDials(t *testing.T) {
-	for _, most := range []int{8, 4} {
-		set := fleet(func(set *Settings) { set.MaxAttempts, set.Holds = most, false })
-		s := newScript(t, set, at("r1", 0, 0, 0), at("r2", 0, 0, 0), at("w1", 1, 0, 0), at("w2", 1, 0, 0), at("w3", 1, 0, 0), at("w4", 1, 0, 0))
-		s.on(1, ask(1, 1))
-		s.on(100, Ended{ID: 1, Server: s.sent(), Outcome: ReadDone})
-		first := s.sent()
-		s.on(251, Ended{ID: 1, Attempt: 1, Server: first, Outcome: ConnectFailed})
-		second := s.sent()
-		s.on(251, Ended{ID: 1, Attempt: 2, Server: second, Outcome: ConnectFailed})
-		if most == 4 {
-			s.want("release 1", "refuse 1", "release 1")
+	script := newScript(t, testSettings(), oneOfEach...)
+	script.handle(1, newRequest(1, 0))
+	script.handle(5, Held{ID: 1, Attempt: 0, OK: true})
+	script.handle(94, Ended{ID: 1, Attempt: 0, Server: "r1", Outcome: ReadDone})
+	script.handle(1, Membership{Servers: []Server{{ID: "r1", Kind: 0, State: Gone}}})
+	script.handle(1, Ended{ID: 1, Attempt: 1, Server: "w1", Outcome: Full, NoState: true})
+	script.want("release 1")
+}
+
+// TestStateOutlivesFailedDials: writers that are not reached leave the state at its reader, where its time limit goes
+// on. After it the state is released and the prompt read anew; if no attempts are left for that, the request is refused
+// at once.
+func TestStateOutlivesFailedDials(t *testing.T) {
+	for _, maxAttempts := range []int{8, 4} {
+		set := testSettings(func(set *Settings) { set.MaxAttempts, set.Holds = maxAttempts, false })
+		script := newScript(t, set, newServer("r1", 0, 0, 0), newServer("r2", 0, 0, 0),
+			newServer("w1", 1, 0, 0), newServer("w2", 1, 0, 0), newServer("w3", 1, 0, 0), newServer("w4", 1, 0, 0))
+		script.handle(1, newRequest(1, 1))
+		script.handle(100, Ended{ID: 1, Server: script.sentTo(), Outcome: ReadDone})
+		first := script.sentTo()
+		script.handle(251, Ended{ID: 1, Attempt: 1, Server: first, Outcome: ConnectFailed})
+		second := script.sentTo()
+		script.handle(251, Ended{ID: 1, Attempt: 2, Server: second, Outcome: ConnectFailed})
+		if maxAttempts == 4 {
+			script.want("release 1", "refuse 1", "release 1")
 			continue
 		}
-		s.want("release 1", "send 1 r")
-		// The next state has a time of its own, and a failed dial that is quick does not end it.
-		s.on(100, Ended{ID: 1, Attempt: 3, Server: s.sent(), Outcome: ReadDone})
-		s.on(1, Ended{ID: 1, Attempt: 4, Server: s.sent(), Outcome: ConnectFailed})
-		s.want("send 1 w")
-	}
-}
-
-func TestErrorAfterTheFetch(t *testing.T) {
-	for _, c := range []struct {
-		most int
-		how  Outcome
-		anew bool
-	}{{4, Failed, true}, {5, Failed, false}, {0, Failed, false}, {4, Broken, true}, {4, ConnectFailed, false}, {4, Full, false}, {4, TimedOut, true}} {
-		set := fleet()
-		set.MaxAttempts = c.most
-		s := newScript(t, set, twoEach...)
-		s.on(1, ask(1, 0))
-		reader := s.sent()
-		s.on(5, Held{ID: 1, Attempt: 0, OK: true})
-		s.on(94, Ended{ID: 1, Attempt: 0, Server: reader, Outcome: ReadDone})
-		s.on(1, Ended{ID: 1, Attempt: 1, Server: "w1", Outcome: c.how})
-		if got := strings.Join(shorts(s.acts), ", "); strings.HasPrefix(got, "release 1, send 1 r") != c.anew {
-			t.Errorf("%d attempts, outcome %v: %s", c.most, c.how, got)
+		script.want("release 1", "send 1 r")
+		// The next state has its own time limit, and a dial that fails fast does not end it.
+		script.handle(100, Ended{ID: 1, Attempt: 3, Server: script.sentTo(), Outcome: ReadDone})
+		script.handle(1, Ended{ID: 1, Attempt: 4, Server: script.sentTo(), Outcome: ConnectFailed})
+		script.want("send 1 w")
+	}
+}
+
+// TestErrorAfterStateFetch: a writer that returns an error may have fetched the state. With attempts left for one read
+// and one write only, the prompt is read anew; a send to the next writer could be the last attempt, and find no state.
+func TestErrorAfterStateFetch(t *testing.T) {
+	for _, tc := range []struct {
+		maxAttempts int
+		outcome     Outcome
+		rereads     bool
+	}{{4, Failed, true}, {5, Failed, false}, {0, Failed, false}, {4, Broken, true},
+		{4, ConnectFailed, false}, {4, Full, false}, {4, TimedOut, true}} {
+		set := testSettings()
+		set.MaxAttempts = tc.maxAttempts
+		script := newScript(t, set, twoOfEach...)
+		script.handle(1, newRequest(1, 0))
+		reader := script.sentTo()
+		script.handle(5, Held{ID: 1, Attempt: 0, OK: true})
+		script.handle(94, Ended{ID: 1, Attempt: 0, Server: reader, Outcome: ReadDone})
+		script.handle(1, Ended{ID: 1, Attempt: 1, Server: "w1", Outcome: tc.outcome})
+		if got := strings.Join(summaries(script.actions), ", "); strings.HasPrefix(got, "release 1, send 1 r") != tc.rereads {
+			t.Errorf("%d attempts, outcome %v: %s", tc.maxAttempts, tc.outcome, got)
 		}
 	}
 }
 
-// TestSpoiltStreamsChargeNobody: answers that are spoilt on their way, from all writers alike, leave their writers
-// in use; an error before an answer began charges, and so does a connection that broke.
-func TestSpoiltStreamsChargeNobody(t *testing.T) {
-	for _, c := range []struct {
-		how     Outcome
-		begun   bool
-		charged bool
+// TestMalformedStreamsPenalizeNoWriter: answers that are malformed, from all writers alike, leave their writers in use;
+// an error before an answer began is penalized, and so is a broken connection.
+func TestMalformedStreamsPenalizeNoWriter(t *testing.T) {
+	for _, tc := range []struct {
+		outcome   Outcome
+		begun     bool
+		penalized bool
 	}{{Failed, true, false}, {Broken, true, true}, {Failed, false, true}} {
-		s := newScript(t, fleet(), oneEach...)
-		s.on(1, ask(1, 0))
-		s.on(5, Held{ID: 1, Attempt: 0, OK: true})
-		s.on(94, Ended{ID: 1, Attempt: 0, Server: "r1", Outcome: ReadDone})
-		if c.begun {
-			s.on(10, Streaming{ID: 1, Attempt: 1, Server: "w1"})
+		script := newScript(t, testSettings(), oneOfEach...)
+		script.handle(1, newRequest(1, 0))
+		script.handle(5, Held{ID: 1, Attempt: 0, OK: true})
+		script.handle(94, Ended{ID: 1, Attempt: 0, Server: "r1", Outcome: ReadDone})
+		if tc.begun {
+			script.handle(10, Streaming{ID: 1, Attempt: 1, Server: "w1"})
 		}
-		s.on(10, Ended{ID: 1, Attempt: 1, Server: "w1", Outcome: c.how, Done: c.begun})
-		if got := s.r.penaltyOf(s.r.servers["w1"]); (got > 0.5) != c.charged {
-			t.Errorf("outcome %v, begun %v: charge %v", c.how, c.begun, got)
+		script.handle(10, Ended{ID: 1, Attempt: 1, Server: "w1", Outcome: tc.outcome, Done: tc.begun})
+		if got := script.router.penaltyOf(script.router.servers["w1"]); (got > 0.5) != tc.penalized {
+			t.Errorf("outcome %v, begun %v: penalty %v", tc.outcome, tc.begun, got)
 		}
 	}
 }
 
-// TestQuickFailuresLeaveRoom: where every server fails a part of what it gets, at once, requests are taken on as
-// before; what is slow refuses them.
-func TestQuickFailuresLeaveRoom(t *testing.T) {
-	for _, c := range []struct {
-		quick bool
-		taken int
+// TestFastFailuresKeepAdmission: where every server fails a part of its requests at once, requests are accepted as
+// before; where servers are slow they are refused.
+func TestFastFailuresKeepAdmission(t *testing.T) {
+	for _, tc := range []struct {
+		fast     bool
+		accepted int
 	}{{true, 50}, {false, 0}} {
-		s := newScript(t, fleet(), twoEach...)
-		s.on(1, ask(1, 0))
-		for _, v := range s.r.listed {
-			s.r.recordFailure(v, c.quick)
-			s.r.recordFailure(v, c.quick)
+		script := newScript(t, testSettings(), twoOfEach...)
+		script.handle(1, newRequest(1, 0))
+		for _, srv := range script.router.listed {
+			script.router.recordFailure(srv, tc.fast)
+			script.router.recordFailure(srv, tc.fast)
 		}
-		taken := 0
+		accepted := 0
 		for id := RequestID(100); id < 150; id++ {
-			s.on(0, ask(id, 0))
-			if !strings.Contains(strings.Join(shorts(s.acts), ", "), "send") {
+			script.handle(0, newRequest(id, 0))
+			if !strings.Contains(strings.Join(summaries(script.actions), ", "), "send") {
 				continue
 			}
-			taken++
-			reader := s.sent()
-			s.on(0, ClientGone{ID: id})
-			s.on(0, Ended{ID: id, Attempt: 0, Server: reader, Outcome: Cancelled, Done: true})
+			accepted++
+			reader := script.sentTo()
+			script.handle(0, ClientGone{ID: id})
+			script.handle(0, Ended{ID: id, Attempt: 0, Server: reader, Outcome: Cancelled, Done: true})
 		}
-		if taken != c.taken {
-			t.Errorf("quick %v: %d taken", c.quick, taken)
+		if accepted != tc.accepted {
+			t.Errorf("fast failures %v: %d accepted", tc.fast, accepted)
 		}
 	}
 }
 
-// TestLongPromptIsTaken: a long prompt's own quadratic price does not refuse it at an idle fleet.
+// TestLongPromptIsTaken: the quadratic price of a long prompt does not have it refused by an idle fleet.
 func TestLongPromptIsTaken(t *testing.T) {
-	s := newScript(t, fleet(), oneEach...)
-	long := ask(1, 0)
+	script := newScript(t, testSettings(), oneOfEach...)
+	long := newRequest(1, 0)
 	long.Prompt = 30000
-	s.on(1, long)
-	s.want("send 1 r1", "hold 1 w1")
+	script.handle(1, long)
+	script.want("send 1 r1", "hold 1 w1")
 }
 
 func TestUnsafeMayHaveRunFails(t *testing.T) {
-	for _, o := range []Outcome{Failed, TimedOut, Broken, Cancelled, UnknownEnd} {
-		s := newScript(t, fleet(), twoEach...)
-		s.on(1, ask(1, 1))
-		s.on(5, Held{ID: 1, Attempt: 0, OK: true})
-		s.on(95, Ended{ID: 1, Attempt: 0, Server: "r1", Outcome: ReadDone})
-		s.on(95, Ended{ID: 1, Attempt: 1, Server: "w1", Outcome: o})
-		s.want("fail 1", "release 1")
+	for _, outcome := range []Outcome{Failed, TimedOut, Broken, Cancelled, UnknownEnd} {
+		script := newScript(t, testSettings(), twoOfEach...)
+		script.handle(1, newRequest(1, 1))
+		script.handle(5, Held{ID: 1, Attempt: 0, OK: true})
+		script.handle(95, Ended{ID: 1, Attempt: 0, Server: "r1", Outcome: ReadDone})
+		script.handle(95, Ended{ID: 1, Attempt: 1, Server: "w1", Outcome: outcome})
+		script.want("fail 1", "release 1")
 	}
 }
 
 func TestUnsafeReadsAgain(t *testing.T) {
-	s := newScript(t, fleet(), twoEach...)
-	s.on(1, ask(1, 1))
-	first := s.sent()
-	s.on(500, Ended{ID: 1, Attempt: 0, Server: first, Outcome: TimedOut})
-	if got := shorts(s.acts); len(got) != 3 || got[0] != "release 1" || strings.Contains(got[1], string(first)) {
+	script := newScript(t, testSettings(), twoOfEach...)
+	script.handle(1, newRequest(1, 1))
+	first := script.sentTo()
+	script.handle(500, Ended{ID: 1, Attempt: 0, Server: first, Outcome: TimedOut})
+	if got := summaries(script.actions); len(got) != 3 || got[0] != "release 1" || strings.Contains(got[1], string(first)) {
 		t.Fatalf("got %q, want another reader", got)
 	}
 }
 
 func TestLastAnswerBeforeDeadline(t *testing.T) {
 	for class, last := range []string{"refuse 1", "fail 1", "fail 1", "refuse 1"} {
-		s := newScript(t, fleet(), oneEach...)
-		s.on(1, ask(1, class))
-		timer := s.acts[0].(Wake)
-		s.on(5, Held{ID: 1, Attempt: 0, OK: true})
-		s.on(95, Ended{ID: 1, Attempt: 0, Server: "r1", Outcome: ReadDone})
-		s.on(timer.In-100, Wakeup{Ref: timer.Ref})
-		s.want(last, "cancel 1")
-		s.on(4, Ended{ID: 1, Attempt: 1, Server: "w1", Outcome: Cancelled, Done: true})
-		s.want("release 1")
+		script := newScript(t, testSettings(), oneOfEach...)
+		script.handle(1, newRequest(1, class))
+		timer := script.actions[0].(Wake)
+		script.handle(5, Held{ID: 1, Attempt: 0, OK: true})
+		script.handle(95, Ended{ID: 1, Attempt: 0, Server: "r1", Outcome: ReadDone})
+		script.handle(timer.In-100, Wakeup{Ref: timer.Ref})
+		script.want(last, "cancel 1")
+		script.handle(4, Ended{ID: 1, Attempt: 1, Server: "w1", Outcome: Cancelled, Done: true})
+		script.want("release 1")
 		if timer.In >= 6000 {
 			t.Error("the timer is due after the deadline")
 		}
 	}
 }
 
-func TestDrainingServerGetsNothing(t *testing.T) {
-	s := newScript(t, fleet(), twoEach...)
-	drained := at("r1", 0, 0, 0)
+func TestDrainingServerGetsNoWork(t *testing.T) {
+	script := newScript(t, testSettings(), twoOfEach...)
+	drained := newServer("r1", 0, 0, 0)
 	drained.State = Draining
-	w := at("w1", 1, 0, 0)
-	w.State = Gone
-	s.on(1, Membership{Servers: []Server{drained, w}})
+	writer := newServer("w1", 1, 0, 0)
+	writer.State = Gone
+	script.handle(1, Membership{Servers: []Server{drained, writer}})
 	for id := RequestID(1); id < 5; id++ {
-		s.on(1, ask(id, 0))
-		s.want(fmt.Sprintf("send %d r2", id), fmt.Sprintf("hold %d w2", id))
+		script.handle(1, newRequest(id, 0))
+		script.want(fmt.Sprintf("send %d r2", id), fmt.Sprintf("hold %d w2", id))
 	}
 }
 
-// TestOddEvents: late, repeated and unknown events cause no action.
-func TestOddEvents(t *testing.T) {
-	s := newScript(t, fleet(), oneEach...)
-	s.on(1, ask(1, 0))
-	for _, ev := range []Event{ask(1, 0), ask(2, 99), ask(2, -1), Streaming{ID: 9}, Held{ID: 9}, Ended{ID: 9},
+// TestUnexpectedEvents: late, repeated and unknown events cause no action.
+func TestUnexpectedEvents(t *testing.T) {
+	script := newScript(t, testSettings(), oneOfEach...)
+	script.handle(1, newRequest(1, 0))
+	for _, ev := range []Event{newRequest(1, 0), newRequest(2, 99), newRequest(2, -1), Streaming{ID: 9}, Held{ID: 9}, Ended{ID: 9},
 		Ended{ID: 1, Attempt: 7, Server: "x"}, ClientGone{ID: 9}, Wakeup{Ref: 4*9 + 2}, Wakeup{Ref: 3},
 		Membership{Failed: true}, Membership{Servers: []Server{{ID: "x", Kind: 9, State: Ready}}}} {
-		s.on(1, ev)
-		s.want()
+		script.handle(1, ev)
+		script.want()
 	}
 }
 
-func TestSettingsThatMakeNoSense(t *testing.T) {
+func TestInvalidSettings(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
 		"no classes":     func(s *Settings) { s.Classes = nil },
 		"negative time":  func(s *Settings) { s.PinLimit = -1 },
@@ -354,183 +358,187 @@
 		"unknown group":  func(s *Settings) { s.Classes[2].Group = 0 },
 		"no routers":     func(s *Settings) { s.Routers = 0 },
 	} {
-		if _, err := New(fleet(change), 1); err == nil {
+		if _, err := New(testSettings(change), 1); err == nil {
 			t.Errorf("%s: no error", name)
 		}
 	}
 }
 
-// TestColdServerBudget: a cold server's sends follow its warmth and the overload factor, a warm one's nothing.
-func TestColdServerBudget(t *testing.T) {
-	for factor, most := range map[float64]int{2.5: 12, 0.2: 2} {
-		cold := at("r2", 0, 0, 0)
-		cold.Since = 1e6
-		s := newScript(t, fleet(func(set *Settings) { set.OverloadFactor = factor }), at("r1", 0, 0, 0), cold, at("w1", 1, 0, 0))
+// TestSlowStartServerBudget: the sends to a server in slow start follow its ramp and the overload factor; those to a
+// warm server do not.
+func TestSlowStartServerBudget(t *testing.T) {
+	for factor, limit := range map[float64]int{2.5: 12, 0.2: 2} {
+		starting := newServer("r2", 0, 0, 0)
+		starting.Since = 1e6
+		script := newScript(t, testSettings(func(set *Settings) { set.OverloadFactor = factor }),
+			newServer("r1", 0, 0, 0), starting, newServer("w1", 1, 0, 0))
 		sent := 0
 		for id := RequestID(1); id <= 80; id++ {
-			s.on(50, ask(id, 0))
-			reader := s.sent()
+			script.handle(50, newRequest(id, 0))
+			reader := script.sentTo()
 			if reader == "r2" {
 				sent++
 			}
-			s.on(10, Ended{ID: id, Attempt: 0, Server: reader, Outcome: ReadDone})
-			s.on(5, Streaming{ID: id, Attempt: 1, Server: "w1"})
-			s.on(5, Ended{ID: id, Attempt: 1, Server: "w1", Outcome: Served, Done: true})
+			script.handle(10, Ended{ID: id, Attempt: 0, Server: reader, Outcome: ReadDone})
+			script.handle(5, Streaming{ID: id, Attempt: 1, Server: "w1"})
+			script.handle(5, Ended{ID: id, Attempt: 1, Server: "w1", Outcome: Served, Done: true})
 		}
-		if sent > most {
-			t.Errorf("factor %v: a cold reader got %d of 80 prompts in 6 s, %d at most", factor, sent, most)
+		if sent > limit {
+			t.Errorf("factor %v: a reader in slow start got %d of 80 prompts in 6 s, limit %d", factor, sent, limit)
 		}
 	}
 }
 
-// TestWorthSetsFloor: as freeness falls, what is worth far more is refused later.
+// TestWorthSetsFloor: as headroom falls, a class of far higher worth is refused later.
 func TestWorthSetsFloor(t *testing.T) {
-	s := newScript(t, fleet(func(set *Settings) { set.Classes[3].Worth = 9 }), oneEach...)
-	taken := [2]int{}
+	script := newScript(t, testSettings(func(set *Settings) { set.Classes[3].Worth = 9 }), oneOfEach...)
+	accepted := [2]int{}
 	for id := RequestID(1); id <= 400; id++ {
 		class := 3 * int(id%2)
-		long := ask(id, class)
+		long := newRequest(id, class)
 		long.Prompt = 2000
-		s.on(1, long)
-		if len(shorts(s.acts)) == 2 {
-			taken[id%2]++
+		script.handle(1, long)
+		if len(summaries(script.actions)) == 2 {
+			accepted[id%2]++
 		}
-		s.on(1, ClientGone{ID: id - 8})
-		s.on(0, Ended{ID: id - 8, Attempt: 0, Server: "r1", Outcome: Cancelled})
+		script.handle(1, ClientGone{ID: id - 8})
+		script.handle(0, Ended{ID: id - 8, Attempt: 0, Server: "r1", Outcome: Cancelled})
 	}
-	if taken[1] <= taken[0] {
-		t.Errorf("%d of the class of high worth taken, %d of the other", taken[1], taken[0])
+	if accepted[1] <= accepted[0] {
+		t.Errorf("%d requests of the class of high worth accepted, %d of the other", accepted[1], accepted[0])
 	}
 }
 
-// TestProgressKeepsRead: a read is taken away only from a reader that ends nothing, or that ended what was sent
+// TestProgressKeepsRead: a read is cancelled only at a reader that ends nothing, or that ended reads that were sent
 // later.
 func TestProgressKeepsRead(t *testing.T) {
-	for _, c := range []struct{ ended, watched RequestID }{{91, 92}, {0, 92}, {92, 91}} {
-		s := newScript(t, fleet(func(set *Settings) { set.MaxAttempts = 0 }), oneEach...)
-		s.rounds(30, 50)
+	for _, tc := range []struct{ ended, watched RequestID }{{91, 92}, {0, 92}, {92, 91}} {
+		script := newScript(t, testSettings(func(set *Settings) { set.MaxAttempts = 0 }), oneOfEach...)
+		script.playRequests(30, 50)
 		var watch Wake
 		for id := RequestID(91); id <= 92; id++ {
-			q := ask(id, 0)
-			q.Prompt = 100
-			s.on(1, q)
-			for _, a := range s.acts {
-				if w, ok := a.(Wake); ok && w.Ref == uint64(c.watched)*refsPerRequest+refReadCheck {
-					watch = w
+			req := newRequest(id, 0)
+			req.Prompt = 100
+			script.handle(1, req)
+			for _, action := range script.actions {
+				if wake, ok := action.(Wake); ok && wake.Ref == uint64(tc.watched)*refsPerRequest+refReadCheck {
+					watch = wake
 				}
 			}
 		}
-		if c.ended != 0 {
-			s.on(100, Ended{ID: c.ended, Attempt: 0, Server: "r1", Outcome: ReadDone})
+		if tc.ended != 0 {
+			script.handle(100, Ended{ID: tc.ended, Attempt: 0, Server: "r1", Outcome: ReadDone})
 		} else {
-			s.on(100, Wakeup{Ref: 3})
+			script.handle(100, Wakeup{Ref: 3})
 		}
-		s.on(watch.In-100, Wakeup{Ref: watch.Ref})
-		if c.ended == 91 {
-			s.want()
+		script.handle(watch.In-100, Wakeup{Ref: watch.Ref})
+		if tc.ended == 91 {
+			script.want()
 		} else {
-			s.want(fmt.Sprintf("cancel %d", c.watched))
+			script.want(fmt.Sprintf("cancel %d", tc.watched))
 		}
 	}
 }
 
-// TestFullReaderHasNoHeadroom: when readers turn prompts away, admission refuses although own books are empty.
+// TestFullReaderHasNoHeadroom: when readers reject prompts, admission refuses requests although nothing is booked at
+// them.
 func TestFullReaderHasNoHeadroom(t *testing.T) {
-	s := newScript(t, fleet(), oneEach...)
-	s.on(1, ask(1, 0))
-	s.on(1, Ended{ID: 1, Attempt: 0, Server: "r1", Outcome: Full})
-	s.on(1, ClientGone{ID: 1})
-	s.on(1, ask(2, 0))
-	s.want("refuse 2")
-	s.on(20000, ask(3, 0))
-	s.want("send 3 r1", "hold 3 w1")
+	script := newScript(t, testSettings(), oneOfEach...)
+	script.handle(1, newRequest(1, 0))
+	script.handle(1, Ended{ID: 1, Attempt: 0, Server: "r1", Outcome: Full})
+	script.handle(1, ClientGone{ID: 1})
+	script.handle(1, newRequest(2, 0))
+	script.want("refuse 2")
+	script.handle(20000, newRequest(3, 0))
+	script.want("send 3 r1", "hold 3 w1")
 }
 
-// TestUnsafeReadOutFails: at its last answer an unsafe request with a read still out fails, for a refusal
+// TestUnsafeReadInFlightFails: an unsafe request whose read is still in flight at the deadline fails, because a refusal
 // needs an outcome of every attempt.
-func TestUnsafeReadOutFails(t *testing.T) {
-	s := newScript(t, fleet(), oneEach...)
-	s.on(1, ask(1, 1))
-	timer := s.acts[0].(Wake)
-	s.on(timer.In, Wakeup{Ref: timer.Ref})
-	s.want("fail 1", "cancel 1")
+func TestUnsafeReadInFlightFails(t *testing.T) {
+	script := newScript(t, testSettings(), oneOfEach...)
+	script.handle(1, newRequest(1, 1))
+	timer := script.actions[0].(Wake)
+	script.handle(timer.In, Wakeup{Ref: timer.Ref})
+	script.want("fail 1", "cancel 1")
 }
 
-// TestKeyedStaysInGroup: a keyed request that may have run goes on inside its cell and window, else fails.
+// TestKeyedStaysInGroup: a keyed request that may have run is sent on only inside its cell and window.
 func TestKeyedStaysInGroup(t *testing.T) {
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		after Millis
 		want  []string
 	}{{1990, []string{"send 1 w3"}}, {2010, []string{}}} {
-		s := newScript(t, fleet(), at("r1", 0, 0, 0), at("w1", 1, 0, 0), at("w2", 1, 0, 1), at("w3", 1, 0, 0))
-		s.on(1, ask(1, 2))
-		held := s.acts[len(s.acts)-1].(Hold).Server
-		s.on(5, Held{ID: 1, Attempt: 0, OK: true})
-		s.on(100, Ended{ID: 1, Attempt: 0, Server: "r1", Outcome: ReadDone})
-		s.on(c.after, Ended{ID: 1, Attempt: 1, Server: held, Outcome: TimedOut})
-		if held == "w3" && len(c.want) > 0 {
-			c.want[0] = "send 1 w1"
+		script := newScript(t, testSettings(), newServer("r1", 0, 0, 0), newServer("w1", 1, 0, 0), newServer("w2", 1, 0, 1),
+			newServer("w3", 1, 0, 0))
+		script.handle(1, newRequest(1, 2))
+		held := script.actions[len(script.actions)-1].(Hold).Server
+		script.handle(5, Held{ID: 1, Attempt: 0, OK: true})
+		script.handle(100, Ended{ID: 1, Attempt: 0, Server: "r1", Outcome: ReadDone})
+		script.handle(tc.after, Ended{ID: 1, Attempt: 1, Server: held, Outcome: TimedOut})
+		if held == "w3" && len(tc.want) > 0 {
+			tc.want[0] = "send 1 w1"
 		}
-		s.want(c.want...)
+		script.want(tc.want...)
 	}
 }
 
 // TestKeyedRefusedInItsWindow: a keyed request that may have run is refused only while its group still drops a repeat
-// that follows the advised wait; later it fails, which promises nothing. A read that is out has run nothing.
+// sent after the advised wait; later it fails, which promises nothing. A read in flight has run nothing.
 func TestKeyedRefusedInItsWindow(t *testing.T) {
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		window Millis
 		want   string
 	}{{2000, "refuse 1"}, {900, "fail 1"}} {
-		s := newScript(t, fleet(func(set *Settings) {
-			set.Classes[2].Group, set.Classes[2].Window, set.Holds = GroupAll, c.window, false
-		}), at("r1", 0, 0, 0), at("w1", 1, 0, 0))
-		s.on(1, ask(1, 2))
-		deadline := s.acts[0].(Wake)
-		s.on(10, Ended{ID: 1, Attempt: 0, Server: "r1", Outcome: ReadDone})
-		s.want("send 1 w1")
-		s.on(700, Ended{ID: 1, Attempt: 1, Server: "w1", Outcome: Broken}) // 250 ms are advised
-		s.on(deadline.In, Wakeup{Ref: deadline.Ref})
-		if !slices.Contains(shorts(s.acts), "fail 1") { // by then all windows are over
-			t.Errorf("window %v, at the deadline: %v", c.window, shorts(s.acts))
+		script := newScript(t, testSettings(func(set *Settings) {
+			set.Classes[2].Group, set.Classes[2].Window, set.Holds = GroupAll, tc.window, false
+		}), newServer("r1", 0, 0, 0), newServer("w1", 1, 0, 0))
+		script.handle(1, newRequest(1, 2))
+		deadline := script.actions[0].(Wake)
+		script.handle(10, Ended{ID: 1, Attempt: 0, Server: "r1", Outcome: ReadDone})
+		script.want("send 1 w1")
+		script.handle(700, Ended{ID: 1, Attempt: 1, Server: "w1", Outcome: Broken}) // the advised wait is 250 ms
+		script.handle(deadline.In, Wakeup{Ref: deadline.Ref})
+		if !slices.Contains(summaries(script.actions), "fail 1") { // by then all windows have expired
+			t.Errorf("window %v, at the deadline: %v", tc.window, summaries(script.actions))
 		}
-		s.on(1, ask(2, 2))
-		s.on(10, Ended{ID: 2, Attempt: 0, Server: "r1", Outcome: ReadDone})
-		s.on(700, Ended{ID: 2, Attempt: 1, Server: "w1", Outcome: Broken})
-		q := s.r.requests[2]
-		s.acts = nil
-		s.r.finish(q)
-		if got := shorts(s.r.actions)[0]; got != strings.Replace(c.want, "1", "2", 1) {
-			t.Errorf("window %v: %v", c.window, got)
+		script.handle(1, newRequest(2, 2))
+		script.handle(10, Ended{ID: 2, Attempt: 0, Server: "r1", Outcome: ReadDone})
+		script.handle(700, Ended{ID: 2, Attempt: 1, Server: "w1", Outcome: Broken})
+		req := script.router.requests[2]
+		script.actions = nil
+		script.router.finish(req)
+		if got := summaries(script.router.actions)[0]; got != strings.Replace(tc.want, "1", "2", 1) {
+			t.Errorf("window %v: %v", tc.window, got)
 		}
-		s.r.actions = nil
-		s.on(5000, ask(3, 2))
-		s.on(1500, ClientGone{ID: 99})
-		if s.r.finish(s.r.requests[3]); shorts(s.r.actions)[0] != "refuse 3" {
-			t.Errorf("window %v, with a read out: %v", c.window, shorts(s.r.actions))
+		script.router.actions = nil
+		script.handle(5000, newRequest(3, 2))
+		script.handle(1500, ClientGone{ID: 99})
+		if script.router.finish(script.router.requests[3]); summaries(script.router.actions)[0] != "refuse 3" {
+			t.Errorf("window %v, with a read in flight: %v", tc.window, summaries(script.router.actions))
 		}
 	}
 }
 
-// TestRepeatIsWrittenInItsWindow: a keyed request's repeat tells until when it may be written, what is left of the
-// window since the send that may have run; others tell nothing.
+// TestRepeatIsWrittenInItsWindow: the Send of a keyed request's repeat carries what remains of the window since the
+// send that may have run, as its limit for being written; other sends carry none.
 func TestRepeatIsWrittenInItsWindow(t *testing.T) {
-	s := newScript(t, fleet(func(set *Settings) { set.Classes[2].Group, set.Holds = GroupAll, false }),
-		at("r1", 0, 0, 0), at("w1", 1, 0, 0), at("w2", 1, 0, 0))
+	script := newScript(t, testSettings(func(set *Settings) { set.Classes[2].Group, set.Holds = GroupAll, false }),
+		newServer("r1", 0, 0, 0), newServer("w1", 1, 0, 0), newServer("w2", 1, 0, 0))
 	within := func() Millis {
-		for _, a := range s.acts {
-			if send, ok := a.(Send); ok {
+		for _, action := range script.actions {
+			if send, ok := action.(Send); ok {
 				return send.Within
 			}
 		}
-		t.Fatalf("no send: %v", s.acts)
+		t.Fatalf("no send: %v", script.actions)
 		return 0
 	}
-	s.on(1, ask(1, 2))
+	script.handle(1, newRequest(1, 2))
 	first := within()
-	s.on(10, Ended{ID: 1, Attempt: 0, Server: "r1", Outcome: ReadDone})
-	second, writer := within(), s.sent()
-	s.on(700, Ended{ID: 1, Attempt: 1, Server: writer, Outcome: Broken})
+	script.handle(10, Ended{ID: 1, Attempt: 0, Server: "r1", Outcome: ReadDone})
+	second, writer := within(), script.sentTo()
+	script.handle(700, Ended{ID: 1, Attempt: 1, Server: writer, Outcome: Broken})
 	if third := within(); first != 0 || second != 0 || third != 1300 {
 		t.Errorf("%v, %v, then %v of a window of 2000", first, second, third)
 	}
@@ -538,223 +546,228 @@
 
 // TestMixedServerTakesAll: a mixed server gets the whole request, without a hold.
 func TestMixedServerTakesAll(t *testing.T) {
-	s := newScript(t, fleet(), at("m1", 2, 0, 0))
-	s.on(1, ask(1, 0))
-	s.want("send 1 m1")
+	script := newScript(t, testSettings(), newServer("m1", 2, 0, 0))
+	script.handle(1, newRequest(1, 0))
+	script.want("send 1 m1")
 }
 
-// TestKeyedLeavesNoCell: with no other writer in its cell a keyed request that may have run is sent nowhere.
+// TestKeyedLeavesNoCell: without another writer in its cell a keyed request that may have run is sent nowhere.
 func TestKeyedLeavesNoCell(t *testing.T) {
-	s := newScript(t, fleet(), at("r1", 0, 0, 0), at("w1", 1, 0, 0), at("w2", 1, 0, 1))
-	s.on(1, ask(1, 2))
-	s.want("send 1 r1", "hold 1 w1")
-	s.on(5, Held{ID: 1, Attempt: 0, OK: true})
-	s.on(100, Ended{ID: 1, Attempt: 0, Server: "r1", Outcome: ReadDone})
-	s.on(100, Ended{ID: 1, Attempt: 1, Server: "w1", Outcome: TimedOut})
-	s.want()
-}
-
-// TestManyRoutersOneColdServer: the cold budget holds for the sum over all routers, uneven and restarted ones
-// too. 100 routers share 4 warm readers; none knows of another, and a fifth reader starts cold.
-func TestManyRoutersOneColdServer(t *testing.T) {
+	script := newScript(t, testSettings(), newServer("r1", 0, 0, 0), newServer("w1", 1, 0, 0), newServer("w2", 1, 0, 1))
+	script.handle(1, newRequest(1, 2))
+	script.want("send 1 r1", "hold 1 w1")
+	script.handle(5, Held{ID: 1, Attempt: 0, OK: true})
+	script.handle(100, Ended{ID: 1, Attempt: 0, Server: "r1", Outcome: ReadDone})
+	script.handle(100, Ended{ID: 1, Attempt: 1, Server: "w1", Outcome: TimedOut})
+	script.want()
+}
+
+// TestManyRoutersOneSlowStartServer: the slow-start limit holds for the sum over all routers, with uneven traffic and
+// with routers that have just restarted. 100 routers share 4 warm readers without knowing of each other, and a fifth
+// reader starts.
+func TestManyRoutersOneSlowStartServer(t *testing.T) {
 	const routers, span = 100, 2000
-	warm := []Server{at("r1", 0, 0, 0), at("r2", 0, 0, 0), at("r3", 0, 0, 0), at("r4", 0, 0, 0), at("w1", 1, 0, 0)}
-	var fleetOf []*script
+	warm := []Server{newServer("r1", 0, 0, 0), newServer("r2", 0, 0, 0), newServer("r3", 0, 0, 0),
+		newServer("r4", 0, 0, 0), newServer("w1", 1, 0, 0)}
+	var scripts []*scriptedRouter
 	for i := range routers {
-		s := &script{t: t, now: 1e6}
-		s.r, _ = New(fleet(func(set *Settings) { set.Routers = routers }), uint64(i)*7919)
-		s.on(0, Membership{Whole: true, Servers: warm})
-		fleetOf = append(fleetOf, s)
-	}
-	id, reads, cold := RequestID(0), 0, 0
-	turn := func(ms Millis) {
-		for i, s := range fleetOf {
-			s.now += ms
-			if i%2 == 1 && id%3 != 0 { // uneven fronts: every other router sees a third
+		script := &scriptedRouter{t: t, now: 1e6}
+		script.router, _ = New(testSettings(func(set *Settings) { set.Routers = routers }), uint64(i)*7919)
+		script.handle(0, Membership{Whole: true, Servers: warm})
+		scripts = append(scripts, script)
+	}
+	id, reads, startingReads := RequestID(0), 0, 0
+	step := func(ms Millis) {
+		for i, script := range scripts {
+			script.now += ms
+			if i%2 == 1 && id%3 != 0 { // uneven traffic: every other router gets a third
 				id++
 				continue
 			}
 			id++
-			s.on(0, ask(id, 0))
-			for _, a := range s.acts {
-				if send, ok := a.(Send); ok {
+			script.handle(0, newRequest(id, 0))
+			for _, action := range script.actions {
+				if send, ok := action.(Send); ok {
 					if reads++; send.Server == "r5" {
-						cold++
+						startingReads++
 					}
-					s.on(0, Ended{ID: id, Attempt: 0, Server: send.Server, Outcome: ReadDone})
-					s.on(0, ClientGone{ID: id})
-					s.on(0, Ended{ID: id, Attempt: 1, Server: "w1", Outcome: Cancelled})
+					script.handle(0, Ended{ID: id, Attempt: 0, Server: send.Server, Outcome: ReadDone})
+					script.handle(0, ClientGone{ID: id})
+					script.handle(0, Ended{ID: id, Attempt: 1, Server: "w1", Outcome: Cancelled})
 				}
 			}
 		}
 	}
 	for range 20 {
-		turn(1500)
-	}
-	each := float64(reads) / 4 / (20 * 1500) * span // what a warm reader takes in the span
-	fresh := at("r5", 0, 0, 0)
-	fresh.Since = fleetOf[0].now
-	for i, s := range fleetOf {
-		if i < 20 { // restarted just now
-			s.r, _ = New(*s.r.settings, uint64(i))
-			s.on(0, Membership{Whole: true, Servers: append(slices.Clone(warm), fresh)})
+		step(1500)
+	}
+	perReader := float64(reads) / 4 / (20 * 1500) * span // reads that a warm reader gets in the span
+	fresh := newServer("r5", 0, 0, 0)
+	fresh.Since = scripts[0].now
+	for i, script := range scripts {
+		if i < 20 { // these routers restart now
+			script.router, _ = New(*script.router.settings, uint64(i))
+			script.handle(0, Membership{Whole: true, Servers: append(slices.Clone(warm), fresh)})
 		}
-		s.on(0, Membership{Servers: []Server{fresh}})
+		script.handle(0, Membership{Servers: []Server{fresh}})
 	}
-	cold = 0
+	startingReads = 0
 	for range 4 {
-		turn(span / 4)
+		step(span / 4)
 	}
-	set := fleetOf[0].r.settings
-	if most := set.OverloadFactor * (set.ColdFrom + 0.15) * each; float64(cold) > most {
-		t.Errorf("%d reads at the cold reader within its window, %.1f at most", cold, most)
+	set := scripts[0].router.settings
+	if limit := set.OverloadFactor * (set.ColdFrom + 0.15) * perReader; float64(startingReads) > limit {
+		t.Errorf("%d reads at the reader in slow start within its window, limit %.1f", startingReads, limit)
 	}
 }
 
-// Slow start holds for the sum of all routers, however many there are and however unevenly they are used: what they
-// send a cold server within the time in which it falls stays within N + 2 sqrt(N) + 2 reads, N being what the
-// settings allow it. And what is cold is used: it gets a third of its share by warmth at the least.
-func TestColdServerBySumOfRouters(t *testing.T) {
-	const span = 2000 // ms; the settings' window
+// Slow start holds for the sum of all routers, however many there are and however uneven their traffic: what they send
+// a server within the window in which it would fail stays within N + 2 sqrt(N) + 2 reads, where N is what the settings
+// allow. And the server is used: it gets at least a third of its share by ramp.
+func TestSlowStartBySumOfRouters(t *testing.T) {
+	const span = 2000 // ms; the window of the overload factor
 	for _, routers := range []int{20, 30, 300} {
 		for seed := range uint64(3) {
 			rnd := rand.New(rand.NewPCG(seed, uint64(routers)))
-			var fleetOf []*script
-			var part []float64 // of the traffic; one in ten sees four times the mean
+			var scripts []*scriptedRouter
+			var part []float64 // shares of the traffic; one router in ten gets four times the mean
 			total := 0.0
-			warm := []Server{at("w1", 1, 0, 0)}
+			warm := []Server{newServer("w1", 1, 0, 0)}
 			for i := range 8 {
-				warm = append(warm, at(fmt.Sprint("r", i), 0, 0, 0))
+				warm = append(warm, newServer(fmt.Sprint("r", i), 0, 0, 0))
 			}
 			for i := range routers {
-				s := &script{t: t, now: 1e6}
-				s.r, _ = New(fleet(func(set *Settings) { set.Routers = routers }), rnd.Uint64())
-				s.on(0, Membership{Whole: true, Servers: warm})
-				fleetOf = append(fleetOf, s)
+				script := &scriptedRouter{t: t, now: 1e6}
+				script.router, _ = New(testSettings(func(set *Settings) { set.Routers = routers }), rnd.Uint64())
+				script.handle(0, Membership{Whole: true, Servers: warm})
+				scripts = append(scripts, script)
 				share := 0.2 + rnd.Float64()
 				if i%10 == 0 {
 					share *= 4
 				}
 				part, total = append(part, share), total+share
 			}
-			id, reads, cold := RequestID(0), 0, 0
-			play := func(length Millis) { // 64 reads a second, eight for each warm reader
-				for end := fleetOf[0].now + length; fleetOf[0].now < end; {
+			id, reads, startingReads := RequestID(0), 0, 0
+			play := func(length Millis) { // 64 reads per second, eight for each warm reader
+				for end := scripts[0].now + length; scripts[0].now < end; {
 					gap := Millis(rnd.ExpFloat64() * 1000 / 64)
-					for _, s := range fleetOf {
-						s.now += gap
+					for _, script := range scripts {
+						script.now += gap
 					}
 					at, i := rnd.Float64()*total, 0
 					for ; i < routers-1 && at > part[i]; i++ {
 						at -= part[i]
 					}
-					s := fleetOf[i]
+					script := scripts[i]
 					id++
-					q := ask(id, 0)
-					q.Prefix, q.PrefixLen = Key(1+id%7), 500
-					s.on(0, q)
-					for _, a := range s.acts {
-						if send, ok := a.(Send); ok {
+					req := newRequest(id, 0)
+					req.Prefix, req.PrefixLen = Key(1+id%7), 500
+					script.handle(0, req)
+					for _, action := range script.actions {
+						if send, ok := action.(Send); ok {
 							if reads++; send.Server == "cold" {
-								cold++
+								startingReads++
 							}
-							s.on(0, Ended{ID: id, Server: send.Server, Outcome: ReadDone})
-							s.on(0, ClientGone{ID: id})
-							s.on(0, Ended{ID: id, Attempt: 1, Server: "w1", Outcome: Cancelled})
+							script.handle(0, Ended{ID: id, Server: send.Server, Outcome: ReadDone})
+							script.handle(0, ClientGone{ID: id})
+							script.handle(0, Ended{ID: id, Attempt: 1, Server: "w1", Outcome: Cancelled})
 						}
 					}
 				}
 			}
 			play(20000)
-			each := float64(reads) / 8 / 20000 * span // what a warm reader takes in the span
-			fresh := at("cold", 0, 0, 0)
-			fresh.Since = fleetOf[0].now
-			for _, s := range fleetOf {
-				s.on(0, Membership{Servers: []Server{fresh}})
+			perReader := float64(reads) / 8 / 20000 * span // reads that a warm reader gets in the span
+			fresh := newServer("cold", 0, 0, 0)
+			fresh.Since = scripts[0].now
+			for _, script := range scripts {
+				script.handle(0, Membership{Servers: []Server{fresh}})
 			}
-			set, all, share := fleetOf[0].r.settings, 0, 0.0
+			set, totalReads, share := scripts[0].router.settings, 0, 0.0
 			for window := range 3 {
-				cold = 0
+				startingReads = 0
 				play(span)
-				warmth := set.ColdFrom + (1-set.ColdFrom)*(float64(window)+0.5)*span/float64(set.WarmAfter)
-				n := set.OverloadFactor * warmth * each * 2 // its capacity is twice what it is used for
-				if most := n + 2*math.Sqrt(n) + 2; float64(cold) > most {
-					t.Errorf("%d routers, seed %d, window %d: %d reads at the cold reader, %.1f at most", routers, seed, window, cold, most)
+				ramp := set.ColdFrom + (1-set.ColdFrom)*(float64(window)+0.5)*span/float64(set.WarmAfter)
+				allowed := set.OverloadFactor * ramp * perReader * 2 // the capacity is twice the usual load
+				if limit := allowed + 2*math.Sqrt(allowed) + 2; float64(startingReads) > limit {
+					t.Errorf("%d routers, seed %d, window %d: %d reads at the reader in slow start, limit %.1f",
+						routers, seed, window, startingReads, limit)
 				}
-				all, share = all+cold, share+warmth*each
+				totalReads, share = totalReads+startingReads, share+ramp*perReader
 			}
-			if least := share / 3; float64(all) < least {
-				t.Errorf("%d routers, seed %d: %d reads at the cold reader, whose share is %.1f", routers, seed, all, share)
+			if least := share / 3; float64(totalReads) < least {
+				t.Errorf("%d routers, seed %d: %d reads at the reader in slow start, whose share is %.1f", routers, seed, totalReads, share)
 			}
 		}
 	}
 }
 
-// Slow start holds for the sum of all routers also where the cold servers are all that is left, whose share of the
-// requests would be far more than a warm one's: the rest failed and is charged, turns this flow away, or has left the list.
-func TestColdServersLeftAlone(t *testing.T) {
+// Slow start holds for the sum of all routers also if only servers in slow start are left, whose share of the requests
+// would be far more than a warm server's: the others failed and are penalized, reject this flow, or have left the list.
+func TestOnlySlowStartServersLeft(t *testing.T) {
 	const routers, span = 84, 2000
-	for how, lose := range map[string]func(*script, ServerID){
-		"charged": func(s *script, id ServerID) {
-			s.r.recordFailure(s.r.servers[id], true)
-			s.r.recordFailure(s.r.servers[id], true)
+	for how, fail := range map[string]func(*scriptedRouter, ServerID){
+		"charged": func(script *scriptedRouter, id ServerID) {
+			script.router.recordFailure(script.router.servers[id], true)
+			script.router.recordFailure(script.router.servers[id], true)
+		},
+		"full": func(script *scriptedRouter, id ServerID) {
+			script.router.servers[id].rejectionPenalties[0] = decayingValue{1, script.now}
 		},
-		"full": func(s *script, id ServerID) { s.r.servers[id].rejectionPenalties[0] = decayingValue{1, s.now} },
-		"gone": func(s *script, id ServerID) {
-			gone := at(string(id), 0, 0, 0)
+		"gone": func(script *scriptedRouter, id ServerID) {
+			gone := newServer(string(id), 0, 0, 0)
 			gone.State = Gone
-			s.on(0, Membership{Servers: []Server{gone}})
+			script.handle(0, Membership{Servers: []Server{gone}})
 		},
 	} {
 		rnd := rand.New(rand.NewPCG(1, 2))
-		var fleetOf []*script
-		warm := []Server{at("w1", 1, 0, 0)}
+		var scripts []*scriptedRouter
+		warm := []Server{newServer("w1", 1, 0, 0)}
 		for i := range 12 {
-			warm = append(warm, at(fmt.Sprint("r", i), 0, 0, 0))
+			warm = append(warm, newServer(fmt.Sprint("r", i), 0, 0, 0))
 		}
 		for range routers {
-			s := &script{t: t, now: 1e6}
-			s.r, _ = New(fleet(func(set *Settings) { set.Routers = routers }), rnd.Uint64())
-			s.on(0, Membership{Whole: true, Servers: warm})
-			fleetOf = append(fleetOf, s)
+			script := &scriptedRouter{t: t, now: 1e6}
+			script.router, _ = New(testSettings(func(set *Settings) { set.Routers = routers }), rnd.Uint64())
+			script.handle(0, Membership{Whole: true, Servers: warm})
+			scripts = append(scripts, script)
 		}
 		id, reads := RequestID(0), map[ServerID]int{}
-		play := func(length Millis) { // 96 requests a second, eight for each warm reader
+		play := func(length Millis) { // 96 requests per second, eight for each warm reader
 			clear(reads)
-			for end := fleetOf[0].now + length; fleetOf[0].now < end; {
+			for end := scripts[0].now + length; scripts[0].now < end; {
 				gap := Millis(rnd.ExpFloat64() * 1000 / 96)
-				for _, s := range fleetOf {
-					s.now += gap
+				for _, script := range scripts {
+					script.now += gap
 				}
-				s := fleetOf[rnd.IntN(routers)]
+				script := scripts[rnd.IntN(routers)]
 				id++
-				s.on(0, ask(id, 0))
-				for _, a := range s.acts {
-					if send, ok := a.(Send); ok {
+				script.handle(0, newRequest(id, 0))
+				for _, action := range script.actions {
+					if send, ok := action.(Send); ok {
 						reads[send.Server]++
-						s.on(0, Ended{ID: id, Server: send.Server, Outcome: ReadDone})
-						s.on(0, ClientGone{ID: id})
-						s.on(0, Ended{ID: id, Attempt: 1, Server: "w1", Outcome: Cancelled})
+						script.handle(0, Ended{ID: id, Server: send.Server, Outcome: ReadDone})
+						script.handle(0, ClientGone{ID: id})
+						script.handle(0, Ended{ID: id, Attempt: 1, Server: "w1", Outcome: Cancelled})
 					}
 				}
 			}
 		}
 		play(20000)
-		for _, s := range fleetOf {
+		for _, script := range scripts {
 			for i := range 12 {
-				lose(s, ServerID(fmt.Sprint("r", i)))
+				fail(script, ServerID(fmt.Sprint("r", i)))
 			}
 			for i := range 2 {
-				fresh := at(fmt.Sprint("cold", i), 0, 0, 0)
-				fresh.Since = fleetOf[0].now
-				s.on(0, Membership{Servers: []Server{fresh}})
+				fresh := newServer(fmt.Sprint("cold", i), 0, 0, 0)
+				fresh.Since = scripts[0].now
+				script.handle(0, Membership{Servers: []Server{fresh}})
 			}
 		}
 		play(span)
-		set := fleetOf[0].r.settings
-		n := set.OverloadFactor * (set.ColdFrom + 0.075) * 8 * span / 1000 * 2 // its capacity is twice what it is used for
-		if most := int(n + 2*math.Sqrt(n) + 2); reads["cold0"] > most || reads["cold1"] > most || reads["cold0"] == 0 {
-			t.Errorf("%s: %d and %d reads at the cold readers, %d at most", how, reads["cold0"], reads["cold1"], most)
+		set := scripts[0].router.settings
+		allowed := set.OverloadFactor * (set.ColdFrom + 0.075) * 8 * span / 1000 * 2 // the capacity is twice the usual load
+		if limit := int(allowed + 2*math.Sqrt(allowed) + 2); reads["cold0"] > limit || reads["cold1"] > limit || reads["cold0"] == 0 {
+			t.Errorf("%s: %d and %d reads at the readers in slow start, limit %d", how, reads["cold0"], reads["cold1"], limit)
 		}
 	}
 }
--- a/unreached_test.go
+++ b/unreached_test.go
@@ -2,27 +2,27 @@
 
 import "testing"
 
-// A server is charged for a connection that it did not take, and not for one that the router could not try.
-func TestNotTriedChargesNobody(t *testing.T) {
-	for outcome, charged := range map[Outcome]bool{ConnectFailed: true, NotTried: false} {
-		s := newScript(t, fleet(), at("r1", 0, 0, 0), at("r2", 0, 0, 0), at("w1", 1, 0, 0))
-		s.on(1, Request{ID: 1, Class: 1, Budget: 5000, Prompt: 100})
-		for _, a := range s.acts {
-			if send, ok := a.(Send); ok {
-				s.on(1, Ended{ID: 1, Attempt: 0, Server: send.Server, Outcome: outcome})
-				if got := s.r.penaltyOf(s.r.servers[send.Server]) > 0; got != charged {
-					t.Errorf("outcome %v: charged %v", outcome, got)
+// A server is penalized for a connection that it did not accept, and not for one that the router could not try.
+func TestNotTriedPenalizesNoServer(t *testing.T) {
+	for outcome, penalized := range map[Outcome]bool{ConnectFailed: true, NotTried: false} {
+		script := newScript(t, testSettings(), newServer("r1", 0, 0, 0), newServer("r2", 0, 0, 0), newServer("w1", 1, 0, 0))
+		script.handle(1, Request{ID: 1, Class: 1, Budget: 5000, Prompt: 100})
+		for _, action := range script.actions {
+			if send, ok := action.(Send); ok {
+				script.handle(1, Ended{ID: 1, Attempt: 0, Server: send.Server, Outcome: outcome})
+				if got := script.router.penaltyOf(script.router.servers[send.Server]) > 0; got != penalized {
+					t.Errorf("outcome %v: penalized %v", outcome, got)
 				}
 				break
 			}
 		}
-		again := false // even one that may not run twice: nothing has run
-		for _, a := range s.acts {
-			_, send := a.(Send)
-			again = again || send
+		resent := false // even unsafe work is sent again: nothing has run
+		for _, action := range script.actions {
+			_, send := action.(Send)
+			resent = resent || send
 		}
-		if !again {
-			t.Errorf("outcome %v: not tried elsewhere: %v", outcome, s.acts)
+		if !resent {
+			t.Errorf("outcome %v: not sent to another server: %v", outcome, script.actions)
 		}
 	}
 }
