--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -1,6 +1,5 @@
-// Package admission stands between the fronts and the driver: it has package limits
-// decide on each request, hands on what passes, and tells limits how it went.
-// Nothing here decides.
+// Package admission connects the fronts, package limits and the driver: it passes each request to the limiter, submits
+// admitted requests to the driver and reports their progress to the limiter. All decisions are made by package limits.
 package admission
 
 import (
@@ -12,299 +11,303 @@
 	"gannethook/internal/limits"
 )
 
-// Core takes requests in; driver.Driver does.
-type Core interface {
+// Submitter accepts admitted requests; driver.Driver implements it.
+type Submitter interface {
 	Submit(job driver.Job, sink driver.Sink) (*driver.Call, error)
 }
 
-// Job is a request with what limits go by.
+// Job is a request with the attributes that the limiter needs.
 type Job struct {
 	driver.Job
-	Client uint64 // whose tries again are counted; 0: not known
-	Retry  bool   // it is one
-	Paid   bool   // a part of what Charge has charged
-	Begun  bool   // other parts have run
+	Client uint64 // whose retries are counted; 0: unknown
+	Retry  bool   // the client marks the request as a retry
+	Paid   bool   // a part of a batch that Charge has charged already
+	Begun  bool   // other parts of the batch have run
 }
 
-// Controller hands requests to one driver. It is safe for concurrent use.
+// Controller submits requests to one driver as the limiter admits them. It is safe for concurrent use.
 type Controller struct {
-	core  Core
-	done  func(driver.Summary) // told of what never came to the driver
-	start time.Time
+	submitter Submitter
+	refused   func(driver.Summary) // called for each request that ended without reaching the driver
+	start     time.Time
 
 	mu      sync.Mutex
-	lim     *limits.Limiter
-	serial  uint64
-	tickets map[uint64]*Ticket
-	alarm   *time.Timer
-	due     time.Duration // that the alarm is set for; 0: it is not
-	over    bool          // nothing more is taken
+	limiter *limits.Limiter
+	lastID  uint64
+	tickets map[uint64]*Ticket // queued and dispatched requests by id
+	timer   *time.Timer
+	timerAt time.Duration // when timer fires; 0: not set
+	stopped bool          // new requests are refused
 }
 
-// New returns a controller; Stop ends it.
-func New(core Core, set limits.Settings, done func(driver.Summary)) *Controller {
-	in := &Controller{core: core, done: done, start: time.Now(), lim: limits.New(set), tickets: map[uint64]*Ticket{}}
-	in.alarm = time.AfterFunc(time.Hour, in.tick)
-	in.alarm.Stop()
-	return in
+// New returns a controller. It calls refused, if not nil, with the summary of each request that ended without reaching
+// the driver. Stop ends the controller.
+func New(submitter Submitter, settings limits.Settings, refused func(driver.Summary)) *Controller {
+	c := &Controller{submitter: submitter, refused: refused, start: time.Now(),
+		limiter: limits.New(settings), tickets: map[uint64]*Ticket{}}
+	c.timer = time.AfterFunc(time.Hour, c.tick)
+	c.timer.Stop()
+	return c
 }
 
-func (in *Controller) now() time.Duration { return time.Since(in.start) }
+func (c *Controller) now() time.Duration { return time.Since(c.start) }
 
-// Ticket is a request on its way. It is the driver's sink for it.
+// Ticket is a submitted request. It is the sink that the driver gets for the request, in front of the caller's sink.
 type Ticket struct {
-	in   *Controller
-	id   uint64
-	job  Job
-	sink driver.Sink
-	came time.Time
+	controller *Controller
+	id         uint64
+	job        Job
+	sink       driver.Sink
+	arrived    time.Time
 
-	// Under the controller's mu:
-	handed bool
-	gone   bool // its client left before the driver had it
-	begun  bool
-	over   bool
-	call   *driver.Call
+	// Guarded by the controller's mu:
+	dispatched bool         // admitted by the limiter
+	clientGone bool         // the client disconnected while the request was being submitted to the driver
+	firstToken bool         // the first token has come
+	finished   bool         // the final answer has been given
+	call       *driver.Call // once the driver has accepted the request
 }
 
-// ask is the request as limits see it.
-func (in *Controller) ask(id uint64, j *Job) limits.Request {
-	tokens := j.PromptSize + float64(j.MaxTokens)
-	return limits.Request{ID: id, Tenant: j.Tenant, Class: j.Class, Client: j.Client, Retry: j.Retry, Charged: j.Paid, PartsRun: j.Begun,
-		Prompt: j.PromptSize, Tokens: tokens, TimeLeft: j.Timeout,
-		Price: gannethook.Price(j.PromptSize) + gannethook.Price(float64(j.MaxTokens))}
+// limitsRequest describes a request to the limiter.
+func (c *Controller) limitsRequest(id uint64, job *Job) limits.Request {
+	tokens := job.PromptSize + float64(job.MaxTokens)
+	return limits.Request{ID: id, Tenant: job.Tenant, Class: job.Class, Client: job.Client, Retry: job.Retry,
+		Charged: job.Paid, PartsRun: job.Begun,
+		Prompt: job.PromptSize, Tokens: tokens, TimeLeft: job.Timeout,
+		Price: gannethook.Price(job.PromptSize) + gannethook.Price(float64(job.MaxTokens))}
 }
 
-// Submit takes a request in. Its sink gets exactly one final answer, at once or
-// later, also from this very call.
-func (in *Controller) Submit(job Job, sink driver.Sink) *Ticket {
-	t := &Ticket{in: in, job: job, sink: sink, came: time.Now()}
-	in.mu.Lock()
-	if in.over {
-		in.mu.Unlock()
-		t.turnAway(driver.Answer{Outcome: driver.Refused, Reason: driver.ErrStopped.Error()})
+// Submit submits a request. Its sink gets exactly one final answer, possibly before Submit returns.
+func (c *Controller) Submit(job Job, sink driver.Sink) *Ticket {
+	t := &Ticket{controller: c, job: job, sink: sink, arrived: time.Now()}
+	c.mu.Lock()
+	if c.stopped {
+		c.mu.Unlock()
+		t.answerUnsubmitted(driver.Answer{Outcome: driver.Refused, Reason: driver.ErrStopped.Error()})
 		return t
 	}
-	in.serial++
-	t.id = in.serial
-	in.tickets[t.id] = t
-	list := in.lim.Admit(in.now(), in.ask(t.id, &t.job))
-	in.unlock(list)
+	c.lastID++
+	t.id = c.lastID
+	c.tickets[t.id] = t
+	verdicts := c.limiter.Admit(c.now(), c.limitsRequest(t.id, &t.job))
+	c.applyAndUnlock(verdicts)
 	return t
 }
 
-// Charge takes the budgets of a batch, whose parts are then Paid. A refusal says why.
-func (in *Controller) Charge(job Job) (ok bool, a driver.Answer) {
-	in.mu.Lock()
-	defer in.mu.Unlock()
-	v := in.lim.Charge(in.now(), in.ask(0, &job))
+// Charge charges a batch to its tenant's budgets; its parts are then submitted as Paid. If it is refused, the answer
+// gives the reason.
+func (c *Controller) Charge(job Job) (ok bool, a driver.Answer) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	v := c.limiter.Charge(c.now(), c.limitsRequest(0, &job))
 	return v.Admitted, refusal(v)
 }
 
-// Refund gives back what Charge took for a batch of which nothing ran.
-func (in *Controller) Refund(job Job) {
-	in.mu.Lock()
-	defer in.mu.Unlock()
-	in.lim.Refund(in.ask(0, &job))
+// Refund returns to the budgets what Charge took for a batch of which nothing ran.
+func (c *Controller) Refund(job Job) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.limiter.Refund(c.limitsRequest(0, &job))
 }
 
-// unlock ends a call of the limiter's: verdicts are carried out without the lock.
-func (in *Controller) unlock(list []limits.Verdict) {
+// applyAndUnlock applies verdicts after a call of the limiter. It releases mu before it calls sinks or the driver.
+func (c *Controller) applyAndUnlock(verdicts []limits.Verdict) {
 	for {
 		type step struct {
 			t *Ticket
 			v limits.Verdict
 		}
 		var steps []step
-		for _, v := range list {
-			t := in.tickets[v.ID]
+		for _, v := range verdicts {
+			t := c.tickets[v.ID]
 			if t == nil {
 				continue
 			}
-			if t.handed = v.Admitted; !v.Admitted {
-				t.over = true
-				delete(in.tickets, v.ID)
+			if t.dispatched = v.Admitted; !v.Admitted {
+				t.finished = true
+				delete(c.tickets, v.ID)
 			}
 			steps = append(steps, step{t, v})
 		}
-		in.arm()
-		in.mu.Unlock()
-		var failed []*Ticket
+		c.resetTimer()
+		c.mu.Unlock()
+		var rejected []*Ticket
 		for _, s := range steps {
 			if !s.v.Admitted {
-				s.t.turnAway(refusal(s.v))
-			} else if !s.t.handOn() {
-				failed = append(failed, s.t)
+				s.t.answerUnsubmitted(refusal(s.v))
+			} else if !s.t.submit() {
+				rejected = append(rejected, s.t)
 			}
 		}
-		if len(failed) == 0 {
+		if len(rejected) == 0 {
 			return
 		}
-		in.mu.Lock()
-		list = nil
-		for _, t := range failed {
-			delete(in.tickets, t.id)
-			list = append(list, in.lim.Ended(in.now(), t.id, limits.Refused)...)
+		c.mu.Lock()
+		verdicts = nil
+		for _, t := range rejected {
+			delete(c.tickets, t.id)
+			verdicts = append(verdicts, c.limiter.Ended(c.now(), t.id, limits.Refused)...)
 		}
 	}
 }
 
-// handOn gives a request to the driver; where that is full, it is refused.
-func (t *Ticket) handOn() bool {
+// submit submits an admitted request to the driver; if the driver rejects it, the request is refused.
+func (t *Ticket) submit() bool {
 	job := t.job.Job
-	job.QueuedFor = time.Since(t.came)
-	call, err := t.in.core.Submit(job, t)
-	t.in.mu.Lock()
+	job.QueuedFor = time.Since(t.arrived)
+	call, err := t.controller.submitter.Submit(job, t)
+	t.controller.mu.Lock()
 	t.call = call
-	gone := t.gone
-	t.in.mu.Unlock()
+	clientGone := t.clientGone
+	t.controller.mu.Unlock()
 	if err != nil {
-		t.turnAway(driver.Answer{Outcome: driver.Refused, Reason: err.Error(), RetryAfter: time.Second})
+		t.answerUnsubmitted(driver.Answer{Outcome: driver.Refused, Reason: err.Error(), RetryAfter: time.Second})
 		return false
 	}
-	if gone && call != nil {
+	if clientGone && call != nil {
 		call.Abandon()
 	}
 	return true
 }
 
-// arm sets the alarm to when the limiter has something to do.
-func (in *Controller) arm() {
-	at, some := in.lim.Due()
+// resetTimer sets the timer to the time at which the limiter needs a Tick.
+func (c *Controller) resetTimer() {
+	at, scheduled := c.limiter.Due()
 	switch {
-	case !some || in.over:
-		in.due = 0
-		in.alarm.Stop()
-	case at != in.due:
-		in.due = at
-		in.alarm.Reset(max(at-in.now(), 0))
+	case !scheduled || c.stopped:
+		c.timerAt = 0
+		c.timer.Stop()
+	case at != c.timerAt:
+		c.timerAt = at
+		c.timer.Reset(max(at-c.now(), 0))
 	}
 }
 
-func (in *Controller) tick() {
-	in.mu.Lock()
-	in.due = 0
-	in.unlock(in.lim.Tick(in.now()))
+func (c *Controller) tick() {
+	c.mu.Lock()
+	c.timerAt = 0
+	c.applyAndUnlock(c.limiter.Tick(c.now()))
 }
 
-// turnAway answers what never came to the driver: nothing of it has run.
-func (t *Ticket) turnAway(a driver.Answer) {
+// answerUnsubmitted answers a request that never reached the driver: nothing of it has run.
+func (t *Ticket) answerUnsubmitted(a driver.Answer) {
 	t.sink.Final(a)
-	if t.in.done != nil {
-		t.in.done(driver.Summary{Session: t.job.SessionID, Class: t.job.ClassName, Outcome: a.Outcome, Reason: a.Reason,
-			RetryAfter: a.RetryAfter, PromptSize: t.job.PromptSize, Total: time.Since(t.came)})
+	if t.controller.refused != nil {
+		t.controller.refused(driver.Summary{Session: t.job.SessionID, Class: t.job.ClassName, Outcome: a.Outcome, Reason: a.Reason,
+			RetryAfter: a.RetryAfter, PromptSize: t.job.PromptSize, Total: time.Since(t.arrived)})
 	}
 }
 
-// refusal words a verdict that turns a request away.
+// refusal returns the answer for a refusal by the limiter.
 func refusal(v limits.Verdict) driver.Answer {
-	return driver.Answer{Outcome: driver.Refused, RetryAfter: v.RetryAfter, Reason: "limits: " + v.Reason.String(), LimitReason: v.Reason}
+	return driver.Answer{Outcome: driver.Refused, RetryAfter: v.RetryAfter, Reason: "limits: " + v.Reason.String(),
+		LimitReason: v.Reason}
 }
 
-// Token passes a token on; the first one takes the request out of hand.
+// Token passes a token on; the first one ends the request's use of the concurrency limit.
 func (t *Ticket) Token(text []byte) bool {
-	in := t.in
-	in.mu.Lock()
-	if t.begun {
-		in.mu.Unlock()
+	c := t.controller
+	c.mu.Lock()
+	if t.firstToken {
+		c.mu.Unlock()
 	} else {
-		t.begun = true
-		in.unlock(in.lim.FirstToken(in.now(), t.id))
+		t.firstToken = true
+		c.applyAndUnlock(c.limiter.FirstToken(c.now(), t.id))
 	}
 	return t.sink.Token(text)
 }
 
-var ends = map[driver.Outcome]limits.End{driver.Served: limits.Served, driver.Refused: limits.Refused,
+var endOf = map[driver.Outcome]limits.End{driver.Served: limits.Served, driver.Refused: limits.Refused,
 	driver.Failed: limits.Failed, driver.Cancelled: limits.ClientGone}
 
-// Final takes the driver's answer.
+// Final passes on the driver's final answer and reports the end of the request to the limiter.
 func (t *Ticket) Final(a driver.Answer) {
 	t.sink.Final(a)
-	in := t.in
-	in.mu.Lock()
-	t.over = true
-	delete(in.tickets, t.id)
-	in.unlock(in.lim.Ended(in.now(), t.id, ends[a.Outcome]))
+	c := t.controller
+	c.mu.Lock()
+	t.finished = true
+	delete(c.tickets, t.id)
+	c.applyAndUnlock(c.limiter.Ended(c.now(), t.id, endOf[a.Outcome]))
 }
 
-// Abandon tells that the client took the request back or left.
+// Abandon cancels the request because its client cancelled it or disconnected.
 func (t *Ticket) Abandon() {
-	in := t.in
-	in.mu.Lock()
+	c := t.controller
+	c.mu.Lock()
 	switch {
-	case t.over:
-		in.mu.Unlock()
+	case t.finished:
+		c.mu.Unlock()
 	case t.call != nil:
-		in.mu.Unlock()
+		c.mu.Unlock()
 		t.call.Abandon()
-	case t.handed: // on its way into the driver
-		t.gone = true
-		in.mu.Unlock()
+	case t.dispatched: // being submitted to the driver
+		t.clientGone = true
+		c.mu.Unlock()
 	default:
-		t.over = true
-		delete(in.tickets, t.id)
-		in.unlock(in.lim.Ended(in.now(), t.id, limits.ClientGone))
-		t.turnAway(driver.Answer{Outcome: driver.Cancelled})
+		t.finished = true
+		delete(c.tickets, t.id)
+		c.applyAndUnlock(c.limiter.Ended(c.now(), t.id, limits.ClientGone))
+		t.answerUnsubmitted(driver.Answer{Outcome: driver.Cancelled})
 	}
 }
 
-// Reload takes new settings while requests wait.
-func (in *Controller) Reload(set limits.Settings) {
-	in.mu.Lock()
-	in.unlock(in.lim.Reload(in.now(), set))
+// Reload applies new settings; queued requests stay queued.
+func (c *Controller) Reload(settings limits.Settings) {
+	c.mu.Lock()
+	c.applyAndUnlock(c.limiter.Reload(c.now(), settings))
 }
 
-// SetRouters tells how many routers there are.
-func (in *Controller) SetRouters(routers int) {
-	in.mu.Lock()
-	in.lim.SetRouters(in.now(), routers)
-	in.arm()
-	in.mu.Unlock()
+// SetRouters sets the number of routers that quotas are divided among.
+func (c *Controller) SetRouters(routers int) {
+	c.mu.Lock()
+	c.limiter.SetRouters(c.now(), routers)
+	c.resetTimer()
+	c.mu.Unlock()
 }
 
-// Revoke turns away what waits for a client whose key was taken back.
-func (in *Controller) Revoke(client uint64) {
-	in.mu.Lock()
-	in.unlock(in.lim.Revoke(in.now(), client))
+// Revoke refuses the queued requests of a client whose API key was revoked.
+func (c *Controller) Revoke(client uint64) {
+	c.mu.Lock()
+	c.applyAndUnlock(c.limiter.Revoke(c.now(), client))
 }
 
-// Remaining tells what a tenant may still ask for.
-func (in *Controller) Remaining(tenant, class int) (requests, tokens limits.Allowance) {
-	in.mu.Lock()
-	defer in.mu.Unlock()
-	return in.lim.Remaining(in.now(), tenant, class)
+// Remaining returns what remains of a tenant's budgets for a class.
+func (c *Controller) Remaining(tenant, class int) (requests, tokens limits.Allowance) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.limiter.Remaining(c.now(), tenant, class)
 }
 
-// View shows the limiter.
-func (in *Controller) View() limits.View {
-	in.mu.Lock()
-	defer in.mu.Unlock()
-	return in.lim.View()
+// View returns the limiter's state for operators.
+func (c *Controller) View() limits.View {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.limiter.View()
 }
 
-// Stop takes nothing more; what waits is refused.
-func (in *Controller) Stop() {
-	in.mu.Lock()
-	in.over = true
-	in.alarm.Stop()
-	in.mu.Unlock()
-	in.Refuse()
+// Stop refuses new and queued requests; dispatched ones continue.
+func (c *Controller) Stop() {
+	c.mu.Lock()
+	c.stopped = true
+	c.timer.Stop()
+	c.mu.Unlock()
+	c.Refuse()
 }
 
-// Refuse refuses what waits, as when the time of a stop is over.
-func (in *Controller) Refuse() {
-	in.mu.Lock()
-	var list []*Ticket
-	for id, t := range in.tickets {
-		if !t.handed {
-			t.over = true
-			delete(in.tickets, id)
-			in.lim.Ended(in.now(), id, limits.ClientGone) // what waits frees no room
-			list = append(list, t)
+// Refuse refuses all queued requests, for instance when the time for a drain is over.
+func (c *Controller) Refuse() {
+	c.mu.Lock()
+	var queued []*Ticket
+	for id, t := range c.tickets {
+		if !t.dispatched {
+			t.finished = true
+			delete(c.tickets, id)
+			c.limiter.Ended(c.now(), id, limits.ClientGone) // no verdicts: a queued request frees no capacity
+			queued = append(queued, t)
 		}
 	}
-	in.mu.Unlock()
-	for _, t := range list {
-		t.turnAway(driver.Answer{Outcome: driver.Refused, Reason: driver.ErrStopped.Error()})
+	c.mu.Unlock()
+	for _, t := range queued {
+		t.answerUnsubmitted(driver.Answer{Outcome: driver.Refused, Reason: driver.ErrStopped.Error()})
 	}
 }
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -11,31 +11,31 @@
 	"gannethook/internal/limits"
 )
 
-// core is a driver that serves each request after a time, or is full.
-type core struct {
-	takes time.Duration
-	full  bool
-	mu    sync.Mutex
-	out   int
-	most  int
-	jobs  []driver.Job
-	wg    sync.WaitGroup
+// fakeDriver is a driver that serves each request after a time, or is full.
+type fakeDriver struct {
+	serviceTime time.Duration
+	full        bool
+	mu          sync.Mutex
+	inFlight    int
+	peak        int
+	jobs        []driver.Job
+	wg          sync.WaitGroup
 }
 
-func (c *core) Submit(job driver.Job, sink driver.Sink) (*driver.Call, error) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.full {
+func (d *fakeDriver) Submit(job driver.Job, sink driver.Sink) (*driver.Call, error) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.full {
 		return nil, driver.ErrBusy
 	}
-	c.jobs = append(c.jobs, job)
-	c.out++
-	c.most = max(c.most, c.out)
-	c.wg.Go(func() {
-		time.Sleep(c.takes)
-		c.mu.Lock()
-		c.out-- // its first token takes it out of hand
-		c.mu.Unlock()
+	d.jobs = append(d.jobs, job)
+	d.inFlight++
+	d.peak = max(d.peak, d.inFlight)
+	d.wg.Go(func() {
+		time.Sleep(d.serviceTime)
+		d.mu.Lock()
+		d.inFlight-- // its first token takes it out of hand
+		d.mu.Unlock()
 		sink.Token([]byte(`"t"`))
 		sink.Final(driver.Answer{Outcome: driver.Served, Tokens: 1})
 	})
@@ -68,74 +68,74 @@
 	s.at = time.Now()
 }
 
-func set(hand, waiting int) limits.Settings {
+func testSettings(concurrency, waiting int) limits.Settings {
 	return limits.Settings{Routers: 1, Classes: []limits.Class{{Aim: time.Second, Worth: 1}}, MaxWaiting: waiting, WaitPart: 0.5,
-		MinInFlight: hand, StartInFlight: hand, MaxInFlight: hand, MaxClients: 10, MinRetryAfter: 100 * time.Millisecond, MaxRetryAfter: time.Second}
+		MinInFlight: concurrency, StartInFlight: concurrency, MaxInFlight: concurrency, MaxClients: 10, MinRetryAfter: 100 * time.Millisecond, MaxRetryAfter: time.Second}
 }
 
-func job() Job {
+func testJob() Job {
 	return Job{Job: driver.Job{Tenant: -1, PromptSize: 100, MaxTokens: 10, Timeout: 5 * time.Second}}
 }
 
-// run asks for so many at once, on the test's clock, and waits for all.
-func run(t *testing.T, c *core, hand, waiting, n int, do func(in *Controller, tickets []*Ticket)) (list []*sink) {
+// submitAll asks for so many at once, on the test's clock, and waits for all.
+func submitAll(t *testing.T, d *fakeDriver, concurrency, waiting, n int, do func(c *Controller, tickets []*Ticket)) (sinks []*sink) {
 	synctest.Test(t, func(t *testing.T) {
 		var mu sync.Mutex
-		told := 0
-		in := New(c, set(hand, waiting), func(driver.Summary) { mu.Lock(); told++; mu.Unlock() })
+		refused := 0
+		c := New(d, testSettings(concurrency, waiting), func(driver.Summary) { mu.Lock(); refused++; mu.Unlock() })
 		var tickets []*Ticket
 		for range n {
 			s := &sink{t: t}
-			list = append(list, s)
-			tickets = append(tickets, in.Submit(job(), s))
+			sinks = append(sinks, s)
+			tickets = append(tickets, c.Submit(testJob(), s))
 		}
 		if do != nil {
-			do(in, tickets)
+			do(c, tickets)
 		}
 		time.Sleep(10 * time.Second)
 		synctest.Wait()
-		c.wg.Wait()
-		in.Stop()
-		if v := in.View(); v.Waiting != 0 || v.Hands != 0 || len(in.tickets) != 0 {
-			t.Errorf("at the end %+v, %d tickets", v, len(in.tickets))
+		d.wg.Wait()
+		c.Stop()
+		if v := c.View(); v.Waiting != 0 || v.Hands != 0 || len(c.tickets) != 0 {
+			t.Errorf("at the end %+v, %d tickets", v, len(c.tickets))
 		}
-		if told+len(c.jobs) != n {
-			t.Errorf("%d of %d told of, %d came to the driver", told, n, len(c.jobs))
+		if refused+len(d.jobs) != n {
+			t.Errorf("%d of %d told of, %d came to the driver", refused, n, len(d.jobs))
 		}
 	})
-	return list
+	return sinks
 }
 
-// count is how the requests ended.
-func count(t *testing.T, list []*sink) map[driver.Outcome]int {
+// outcomes is how the requests ended.
+func outcomes(t *testing.T, sinks []*sink) map[driver.Outcome]int {
 	t.Helper()
-	m := map[driver.Outcome]int{}
-	for i, s := range list {
+	counts := map[driver.Outcome]int{}
+	for i, s := range sinks {
 		if len(s.finals) != 1 {
 			t.Fatalf("request %d has %d final answers", i, len(s.finals))
 		}
-		m[s.finals[0].Outcome]++
+		counts[s.finals[0].Outcome]++
 	}
-	return m
+	return counts
 }
 
 // What there is room for goes to the driver at once, the rest in its turn, with
 // the time that it has waited; nothing is lost.
-func TestTurns(t *testing.T) {
-	c := &core{takes: 50 * time.Millisecond}
-	list := run(t, c, 2, 100, 10, nil)
-	if m := count(t, list); m[driver.Served] != 10 || c.most > 2 {
-		t.Errorf("%v, %d in hand at once", m, c.most)
+func TestQueueing(t *testing.T) {
+	d := &fakeDriver{serviceTime: 50 * time.Millisecond}
+	sinks := submitAll(t, d, 2, 100, 10, nil)
+	if m := outcomes(t, sinks); m[driver.Served] != 10 || d.peak > 2 {
+		t.Errorf("%v, %d in hand at once", m, d.peak)
 	}
-	if last := c.jobs[9]; last.QueuedFor != 200*time.Millisecond {
+	if last := d.jobs[9]; last.QueuedFor != 200*time.Millisecond {
 		t.Errorf("the last waited %v by its job", last.QueuedFor)
 	}
 }
 
 // What would wait too long is refused in its time, whoever is slow.
-func TestLateIsRefused(t *testing.T) {
-	c := &core{takes: 3 * time.Second}
-	m := count(t, run(t, c, 1, 100, 6, nil))
+func TestQueueTimeout(t *testing.T) {
+	d := &fakeDriver{serviceTime: 3 * time.Second}
+	m := outcomes(t, submitAll(t, d, 1, 100, 6, nil))
 	if m[driver.Served] != 1 || m[driver.Refused] != 5 {
 		t.Errorf("%v", m)
 	}
@@ -143,70 +143,70 @@
 
 // A driver that is full refuses; the room is free again.
 func TestFullDriver(t *testing.T) {
-	c := &core{full: true}
-	if m := count(t, run(t, c, 2, 100, 6, nil)); m[driver.Refused] != 6 {
+	d := &fakeDriver{full: true}
+	if m := outcomes(t, submitAll(t, d, 2, 100, 6, nil)); m[driver.Refused] != 6 {
 		t.Errorf("%v", m)
 	}
 }
 
 // A client that leaves while it waits, and one that left on its way, have one answer each.
-func TestLeft(t *testing.T) {
-	c := &core{takes: 50 * time.Millisecond}
-	list := run(t, c, 1, 100, 3, func(_ *Controller, tickets []*Ticket) {
+func TestClientDisconnects(t *testing.T) {
+	d := &fakeDriver{serviceTime: 50 * time.Millisecond}
+	sinks := submitAll(t, d, 1, 100, 3, func(_ *Controller, tickets []*Ticket) {
 		tickets[1].Abandon()
 		tickets[1].Abandon()
 		tickets[0].Abandon() // the driver has it: its answer stands
 	})
-	if m := count(t, list); m[driver.Cancelled] != 1 || m[driver.Served] != 2 {
+	if m := outcomes(t, sinks); m[driver.Cancelled] != 1 || m[driver.Served] != 2 {
 		t.Errorf("%v", m)
 	}
 }
 
 // A stop refuses what waits at once, and takes nothing more.
 func TestStop(t *testing.T) {
-	c := &core{takes: time.Second}
+	d := &fakeDriver{serviceTime: time.Second}
 	var late *sink
-	from := time.Time{}
-	list := run(t, c, 1, 100, 4, func(in *Controller, _ []*Ticket) {
-		from = time.Now()
-		in.Stop()
+	stopped := time.Time{}
+	sinks := submitAll(t, d, 1, 100, 4, func(c *Controller, _ []*Ticket) {
+		stopped = time.Now()
+		c.Stop()
 		late = &sink{t: t}
-		in.done = nil
-		in.Submit(job(), late)
+		c.refused = nil
+		c.Submit(testJob(), late)
 	})
-	if m := count(t, append(list, late)); m[driver.Refused] != 4 || m[driver.Served] != 1 {
+	if m := outcomes(t, append(sinks, late)); m[driver.Refused] != 4 || m[driver.Served] != 1 {
 		t.Errorf("%v", m)
 	}
-	if list[3].at.Sub(from) != 0 {
-		t.Errorf("refused %v after the stop", list[3].at.Sub(from))
+	if sinks[3].at.Sub(stopped) != 0 {
+		t.Errorf("refused %v after the stop", sinks[3].at.Sub(stopped))
 	}
 }
 
 // Many at once, from many sides, have one answer each.
 func TestConcurrent(t *testing.T) {
-	c := &core{takes: time.Millisecond}
-	in := New(c, set(8, 50), func(driver.Summary) {})
+	d := &fakeDriver{serviceTime: time.Millisecond}
+	c := New(d, testSettings(8, 50), func(driver.Summary) {})
 	var wg sync.WaitGroup
-	list := make([]*sink, 400)
-	for i := range list {
-		list[i] = &sink{t: t}
+	sinks := make([]*sink, 400)
+	for i := range sinks {
+		sinks[i] = &sink{t: t}
 		wg.Go(func() {
-			ticket := in.Submit(job(), list[i])
+			ticket := c.Submit(testJob(), sinks[i])
 			if i%7 == 0 {
 				ticket.Abandon()
 			}
 			if i%50 == 0 {
-				in.Reload(set(4+i%3, 30))
-				in.SetRouters(1 + i%4)
-				in.Revoke(uint64(i))
+				c.Reload(testSettings(4+i%3, 30))
+				c.SetRouters(1 + i%4)
+				c.Revoke(uint64(i))
 			}
 		})
 	}
 	wg.Wait()
-	c.wg.Wait()
-	in.Stop()
-	c.wg.Wait()
-	if m := count(t, list); m[driver.Served] == 0 {
+	d.wg.Wait()
+	c.Stop()
+	d.wg.Wait()
+	if m := outcomes(t, sinks); m[driver.Served] == 0 {
 		t.Error(fmt.Sprint(m))
 	}
 }
--- a/internal/apikeys/keys.go
+++ b/internal/apikeys/keys.go
@@ -1,5 +1,5 @@
-// Package apikeys tells tenants by their API keys. Keys are kept as digests, are
-// compared in constant time, and come and go with their file while the router runs.
+// Package apikeys authenticates tenants by their API keys. Keys are stored as digests in a file, compared in constant
+// time, and added and revoked by changes of the file while the router runs.
 package apikeys
 
 import (
@@ -20,17 +20,17 @@
 	"gannethook/internal/sexp"
 )
 
-// Prefix begins every key: gh_ID_SECRET. The id is no secret; it finds the
-// digest, and names the key in files and logs.
+// Prefix starts the text of every key, gh_ID_SECRET. The id is not secret: it selects the digest and names the key in
+// files and logs.
 const Prefix = "gh_"
 
-// Bounds of a key's text.
+// Maximum lengths in bytes of a key's id and of its whole text.
 const (
-	maxID  = 32
-	maxKey = 256
+	maxIDLength  = 32
+	maxKeyLength = 256
 )
 
-// Key is a key that was made.
+// Key is an entry of the keys file.
 type Key struct {
 	At      sexp.Pos
 	ID      string `gann:"#,need"`
@@ -40,19 +40,19 @@
 	Revoked bool   `gann:"revoked"`
 }
 
-// Client names a key to what counts its tries.
+// Client returns the key's client id for the retry budget; it is never 0.
 func (k *Key) Client() uint64 { return max(xxhash.Sum64String(k.ID), 1) }
 
-// good tells whether a key counts at a time.
-func (k *Key) good(now time.Time) bool {
+// valid reports whether the key is accepted at a time: neither revoked nor expired.
+func (k *Key) valid(now time.Time) bool {
 	return !k.Revoked && (time.Time(k.Until).IsZero() || now.Before(time.Time(k.Until)))
 }
 
-// Digest is the SHA-256 of a key's whole text. The secret has 256 random bits:
-// no salt or slow hash would make it harder to guess.
+// Digest is the SHA-256 of a key's whole text. Since the secret has 256 random bits, a salt or a slow hash would not
+// make it harder to guess.
 type Digest [sha256.Size]byte
 
-// UnmarshalText reads 64 hexadecimal digits.
+// UnmarshalText parses 64 hexadecimal digits.
 func (d *Digest) UnmarshalText(text []byte) error {
 	if n, err := hex.Decode(d[:], text); err != nil || n != len(d) || len(text) != 2*len(d) {
 		return fmt.Errorf("%.80q is not a digest of 64 hexadecimal digits", text)
@@ -60,10 +60,10 @@
 	return nil
 }
 
-// Time is a time as RFC 3339 has it.
+// Time is a time in the format of RFC 3339.
 type Time time.Time
 
-// UnmarshalText reads 2026-12-31T00:00:00Z.
+// UnmarshalText parses a time such as 2026-12-31T00:00:00Z.
 func (t *Time) UnmarshalText(text []byte) error {
 	at, err := time.Parse(time.RFC3339, string(text))
 	if err != nil {
@@ -73,7 +73,8 @@
 	return nil
 }
 
-// New makes a key for a tenant: its text, which is told once, and the line for the file.
+// New generates a key for a tenant. It returns the key's text, which is not stored anywhere, and the entry for the keys
+// file. A zero until means that the key doesn't expire.
 func New(tenant string, until time.Time) (text, line string) {
 	var raw [40]byte
 	rand.Read(raw[:])
@@ -86,16 +87,16 @@
 	return text, line + ")"
 }
 
-// Table is the keys of one state of the file. It never changes.
+// Table is the keys of one version of the file. It is immutable.
 type Table struct{ keys map[string]*Key }
 
-// file is a keys file's form.
+// file is the format of a keys file.
 type file struct {
 	Keys []Key `gann:"key"`
 }
 
-// Parse reads a text; name stands for its file in errors. known tells the tenants that there are.
-func Parse(name, text string, known func(tenant string) bool) (*Table, error) {
+// Parse parses the text of a keys file; name is the file's name in errors. knownTenant reports whether a tenant exists.
+func Parse(name, text string, knownTenant func(tenant string) bool) (*Table, error) {
 	var f file
 	if err := sexp.Read(name, text, &f); err != nil {
 		return nil, err
@@ -104,11 +105,11 @@
 	for i := range f.Keys {
 		k := &f.Keys[i]
 		switch {
-		case k.ID == "" || len(k.ID) > maxID || strings.ContainsRune(k.ID, '_'):
-			return nil, sexp.Errorf(k.At, "a key's id has 1 to %d characters and no _", maxID)
+		case k.ID == "" || len(k.ID) > maxIDLength || strings.ContainsRune(k.ID, '_'):
+			return nil, sexp.Errorf(k.At, "a key's id has 1 to %d characters and no _", maxIDLength)
 		case t.keys[k.ID] != nil:
 			return nil, sexp.Errorf(k.At, "key %q is given twice", k.ID)
-		case !known(k.Tenant):
+		case !knownTenant(k.Tenant):
 			return nil, sexp.Errorf(k.At, "no tenant is named %q", k.Tenant)
 		}
 		t.keys[k.ID] = k
@@ -116,62 +117,61 @@
 	return t, nil
 }
 
-// nobody is compared with where there is no key of an id, so that a wrong id
-// takes as long as a wrong secret.
-var nobody Key
+// noKey is compared with if no key has the id, so that an unknown id takes as long as a wrong secret.
+var noKey Key
 
-// Find is the key of a text as a client sent it.
+// Find returns the valid key whose text a client sent.
 func (t *Table) Find(now time.Time, text string) (*Key, bool) {
-	if len(text) > maxKey {
+	if len(text) > maxKeyLength {
 		return nil, false
 	}
 	rest, ok := strings.CutPrefix(text, Prefix)
 	id, _, ok2 := strings.Cut(rest, "_")
 	k := t.keys[id]
 	if k == nil {
-		k = &nobody
+		k = &noKey
 	}
 	sum := sha256.Sum256([]byte(text))
 	same := subtle.ConstantTimeCompare(sum[:], k.Digest[:]) == 1
-	if !ok || !ok2 || !same || k == &nobody || !k.good(now) {
+	if !ok || !ok2 || !same || k == &noKey || !k.valid(now) {
 		return nil, false
 	}
 	return k, true
 }
 
-// Good tells whether the key of an id counts.
+// Good reports whether the key of an id exists and is valid.
 func (t *Table) Good(now time.Time, id string) bool {
 	k := t.keys[id]
-	return k != nil && k.good(now)
+	return k != nil && k.valid(now)
 }
 
-// Gone lists the keys that counted in an earlier state and do not in this one, in order of id.
-func (t *Table) Gone(now time.Time, before *Table) []*Key {
-	var list []*Key
+// Invalidated lists the keys that are valid in an earlier version and not in this one, ordered by id.
+func (t *Table) Invalidated(now time.Time, before *Table) []*Key {
+	var invalidated []*Key
 	for id, k := range before.keys {
-		if k.good(now) && !t.Good(now, id) {
-			list = append(list, k)
+		if k.valid(now) && !t.Good(now, id) {
+			invalidated = append(invalidated, k)
 		}
 	}
-	slices.SortFunc(list, func(a, b *Key) int { return strings.Compare(a.ID, b.ID) })
-	return list
+	slices.SortFunc(invalidated, func(a, b *Key) int { return strings.Compare(a.ID, b.ID) })
+	return invalidated
 }
 
-// Len is how many keys there are.
+// Len returns the number of keys, valid or not.
 func (t *Table) Len() int { return len(t.keys) }
 
-// File follows a file of keys. A file that can't be read or makes no sense
-// leaves the table as it was: nobody loses a key by a slip.
+// File watches a keys file. A file that can't be read or parsed leaves the current table in use, so that a mistake in
+// the file locks no client out.
 type File struct {
-	path  string
-	known func(tenant string) bool
-	table atomic.Pointer[Table]
-	stamp string
+	path        string
+	knownTenant func(tenant string) bool
+	table       atomic.Pointer[Table]
+	version     string // modification time and size of the file as last read
 }
 
-// Open reads a file.
-func Open(path string, known func(tenant string) bool) (*File, error) {
-	f := &File{path: path, known: known}
+// Open reads a keys file; it fails if the file can't be read or parsed.
+func Open(path string, knownTenant func(tenant string) bool) (*File, error) {
+	f := &File{path: path, knownTenant: knownTenant}
 	_, err := f.Look(time.Now())
 	if f.table.Load() == nil {
 		return nil, err
@@ -179,33 +179,33 @@
 	return f, nil
 }
 
-// Table is the keys as of the last look.
+// Table returns the keys as of the last successful Look.
 func (f *File) Table() *Table { return f.table.Load() }
 
-// Look reads the file if it has changed, and lists the keys that are gone. One
-// goroutine may look.
+// Look reads the file again if it has changed, and lists the keys that are no longer valid. It must not be called
+// concurrently.
 func (f *File) Look(now time.Time) (gone []*Key, err error) {
 	info, err := os.Stat(f.path)
 	if err != nil {
 		return nil, fmt.Errorf("keys: %w", err)
 	}
 	before := f.table.Load()
-	stamp := fmt.Sprint(info.ModTime().UnixNano(), info.Size())
-	if stamp == f.stamp {
+	version := fmt.Sprint(info.ModTime().UnixNano(), info.Size())
+	if version == f.version {
 		return nil, nil
 	}
-	f.stamp = stamp // one that makes no sense is not told of again and again
+	f.version = version // a malformed version is reported once
 	text, err := os.ReadFile(f.path)
 	if err != nil {
 		return nil, fmt.Errorf("keys: %w", err)
 	}
-	t, err := Parse(f.path, string(text), f.known)
+	t, err := Parse(f.path, string(text), f.knownTenant)
 	if err != nil {
 		return nil, fmt.Errorf("keys: %w", err)
 	}
 	f.table.Store(t)
 	if before != nil {
-		gone = t.Gone(now, before)
+		gone = t.Invalidated(now, before)
 	}
 	return gone, nil
 }
--- a/internal/apikeys/keys_test.go
+++ b/internal/apikeys/keys_test.go
@@ -8,25 +8,25 @@
 	"time"
 )
 
-func anyone(string) bool { return true }
+func anyTenant(string) bool { return true }
 
 // A key is found by its whole text alone, in its time, and the file has no secret.
 func TestFind(t *testing.T) {
 	now := time.Now()
 	text, line := New("acme", time.Time{})
-	late, lateLine := New("acme", now.Add(-time.Hour))
+	expired, expiredLine := New("acme", now.Add(-time.Hour))
 	_, secret, _ := strings.Cut(strings.TrimPrefix(text, Prefix), "_")
 	if strings.Contains(line, secret) {
 		t.Fatalf("the file has the secret: %s", line)
 	}
-	table, err := Parse("f", line+"\n"+lateLine, anyone)
+	table, err := Parse("f", line+"\n"+expiredLine, anyTenant)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if k, ok := table.Find(now, text); !ok || k.Tenant != "acme" || k.Client() == 0 {
 		t.Errorf("%+v, %v", k, ok)
 	}
-	for _, wrong := range []string{"", "gh_", text[:len(text)-1], text + "x", strings.Replace(text, "gh_", "sk_", 1), late,
+	for _, wrong := range []string{"", "gh_", text[:len(text)-1], text + "x", strings.Replace(text, "gh_", "sk_", 1), expired,
 		"gh__" + secret, strings.Repeat("x", 1000), "gh_ffffffffffffffff_" + secret} {
 		if _, ok := table.Find(now, wrong); ok {
 			t.Errorf("%.80q is a key", wrong)
@@ -64,7 +64,7 @@
 	old, oldLine := New("acme", time.Time{})
 	next, nextLine := New("acme", time.Time{})
 	write(0, oldLine)
-	f, err := Open(path, anyone)
+	f, err := Open(path, anyTenant)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -90,7 +90,7 @@
 	if _, err := f.Look(now); err != nil {
 		t.Errorf("told again: %v", err)
 	}
-	if _, err := Open(path, anyone); err == nil {
+	if _, err := Open(path, anyTenant); err == nil {
 		t.Error("a router starts on a broken file")
 	}
 }
@@ -98,7 +98,7 @@
 func FuzzFind(f *testing.F) {
 	text, line := New("acme", time.Time{})
 	f.Add(text)
-	table, err := Parse("f", line, anyone)
+	table, err := Parse("f", line, anyTenant)
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/internal/batch/batch.go
+++ b/internal/batch/batch.go
@@ -1,6 +1,6 @@
-// Package batch decides how a request of many texts is split into parts that go
-// to servers apart, when each part is asked for, and what becomes of the whole:
-// exactly one final answer. It has no I/O and no clock.
+// Package batch splits a request of many texts into parts that run on different servers, decides when each part is
+// submitted, and combines their ends into exactly one final answer. It does no I/O and has no clock: each call passes
+// the time.
 package batch
 
 import (
@@ -8,41 +8,40 @@
 	"time"
 )
 
-// Limits size the parts.
+// Limits bounds the parts of a batch.
 type Limits struct {
-	Tokens float64       // of a part, but for a text that is longer alone
-	Items  int           // texts of a part
-	Out    int           // parts out at once
-	Tries  int           // of a part that is refused: each waits twice as long as the one before
-	Margin time.Duration // before the deadline: no part is asked for again later than that
+	Tokens float64       // maximum tokens of a part, unless it is a single longer text
+	Items  int           // maximum texts of a part
+	Out    int           // maximum parts in flight
+	Tries  int           // maximum attempts of a part that is refused; the delay doubles with each
+	Margin time.Duration // no part is retried within this time before the deadline
 }
 
-// Part is the texts from From to before To.
+// Part is the texts from index From up to but not including To.
 type Part struct {
 	From, To int
 	Tokens   float64
 }
 
-// Split cuts texts, of so many tokens each, into parts in order. As reading is
-// priced by the square of what is read, parts are made alike rather than the
-// last one small. whole keeps all together: where a part may run twice, or half
-// of the whole may not run, the parts could not be answered as one.
-func Split(sizes []float64, lim Limits, whole bool) []Part {
-	all := 0.0
+// Split divides texts, given by their sizes in tokens, into consecutive parts. As the price of a read grows with the
+// square of its size, the parts are of similar size rather than full with a small last one. whole keeps all texts in one
+// part, for work of which a part must not run twice or run without the rest: its parts could not be answered as one.
+func Split(sizes []float64, limits Limits, whole bool) []Part {
+	total := 0.0
 	for _, n := range sizes {
-		all += n
+		total += n
 	}
 	if whole || len(sizes) == 0 {
-		return []Part{{0, len(sizes), all}}
+		return []Part{{0, len(sizes), total}}
 	}
-	count := max(math.Ceil(all/lim.Tokens), math.Ceil(float64(len(sizes))/float64(lim.Items)), 1)
-	tokens, items := all/count, int(math.Ceil(float64(len(sizes))/count))
+	count := max(math.Ceil(total/limits.Tokens), math.Ceil(float64(len(sizes))/float64(limits.Items)), 1)
+	tokens, items := total/count, int(math.Ceil(float64(len(sizes))/count))
 	var list []Part
 	p := Part{}
 	for i, n := range sizes {
-		// A text goes to the part whose fair end it is nearer to, within the bounds.
-		over := p.Tokens+n > lim.Tokens || p.Tokens+n/2 > tokens && p.Tokens > 0 || i-p.From >= min(lim.Items, max(items, 1)*2)
-		if i > p.From && over {
+		// Within the bounds, a part ends where its size is nearest to the mean size of a part.
+		cut := p.Tokens+n > limits.Tokens || p.Tokens+n/2 > tokens && p.Tokens > 0 || i-p.From >= min(limits.Items, max(items, 1)*2)
+		if i > p.From && cut {
 			p.To = i
 			list = append(list, p)
 			p = Part{From: i}
@@ -53,10 +52,10 @@
 	return append(list, p)
 }
 
-// Kind tells how a part or the whole ended.
+// Kind is the outcome of a part or of the batch.
 type Kind int
 
-// The ends.
+// The outcomes.
 const (
 	Served Kind = iota + 1
 	Refused
@@ -64,7 +63,7 @@
 	Cancelled
 )
 
-// End is how a part or the whole ended.
+// End is how a part or the batch ended.
 type End struct {
 	Kind       Kind
 	RetryAfter time.Duration
@@ -72,22 +71,22 @@
 	MayHaveRun bool
 }
 
-// Action is something that a batch wants done.
+// Action is an action that the caller performs for a batch.
 type Action interface{ isAction() }
 
 // The actions.
 type (
-	// Ask asks for a part.
+	// Ask submits a part.
 	Ask struct {
 		Part  int
-		Again bool // it was refused before
-		Begun bool // other parts have run
+		Again bool // the part was refused before: a retry
+		Begun bool // other parts may have run
 	}
-	// Drop takes a part back that is out.
+	// Drop cancels a part that is in flight.
 	Drop struct{ Part int }
-	// Wake asks for a call of Wake at a time.
+	// Wake requests a call of Machine.Wake at the given time.
 	Wake struct{ At time.Duration }
-	// Final is the whole's one answer; nothing follows but Drops.
+	// Final is the one answer of the batch; only Drop actions follow it.
 	Final struct{ End }
 )
 
@@ -96,125 +95,127 @@
 func (Wake) isAction()  {}
 func (Final) isAction() {}
 
-// state of a part.
-type state int
+// partState is the state of a part.
+type partState int
 
 const (
-	waits state = iota
-	out
-	later // it was refused and is asked for again at its time
-	done
+	partWaiting partState = iota
+	partInFlight
+	partBackoff // refused; waits for its retry
+	partDone
 )
 
 type part struct {
-	state state
-	tries int
-	at    time.Duration // when it is asked for again
+	state    partState
+	attempts int
+	retryAt  time.Duration // time of the retry in state partBackoff
 }
 
-// Machine is one batch on its way.
+// Machine is the state machine of one batch. It is not safe for concurrent use.
 type Machine struct {
-	lim      Limits
-	deadline time.Duration
-	free     bool // a refusal is harmless though parts have run
-	parts    []part
-	next     int // first that was never asked for
-	out      int
-	left     int // parts that are not served
-	ran      bool
-	over     bool
+	limits     Limits
+	deadline   time.Duration
+	repeatable bool // parts may run twice, so that the batch may be refused after some ran
+	parts      []part
+	next       int // first part that was never submitted
+	inFlight   int
+	remaining  int  // parts not served yet
+	mayHaveRun bool // a part that ended may have run
+	finished   bool // Final has been returned
 }
 
-// New returns a batch of so many parts. free tells that all may run twice, so
-// that the whole may be refused after some parts ran.
-func New(parts int, lim Limits, deadline time.Duration, free bool) *Machine {
-	return &Machine{lim: lim, deadline: deadline, free: free, parts: make([]part, parts), left: parts}
+// New returns the state machine of a batch with the given number of parts. repeatable means that all parts may run
+// twice, so that the batch may be refused after some parts ran.
+func New(parts int, limits Limits, deadline time.Duration, repeatable bool) *Machine {
+	return &Machine{limits: limits, deadline: deadline, repeatable: repeatable, parts: make([]part, parts), remaining: parts}
 }
 
-// Start asks for the first parts.
-func (m *Machine) Start(now time.Duration) []Action { return m.fill(now, nil) }
+// Start submits the first parts.
+func (m *Machine) Start(now time.Duration) []Action { return m.submitParts(now, nil) }
 
-// fill asks for parts while fewer are out than may be: those that were refused
-// and are due first, for all wait for them.
-func (m *Machine) fill(now time.Duration, acts []Action) []Action {
+// submitParts submits parts up to the bound of parts in flight. Retries that are due come first, since the whole batch
+// waits for them.
+func (m *Machine) submitParts(now time.Duration, actions []Action) []Action {
 	for i := range m.parts {
-		if p := &m.parts[i]; m.out < m.lim.Out && p.state == later && p.at <= now {
-			acts = m.ask(i, true, acts)
+		if p := &m.parts[i]; m.inFlight < m.limits.Out && p.state == partBackoff && p.retryAt <= now {
+			actions = m.submit(i, true, actions)
 		}
 	}
-	for ; m.next < len(m.parts) && m.out < m.lim.Out; m.next++ {
-		acts = m.ask(m.next, false, acts)
+	for ; m.next < len(m.parts) && m.inFlight < m.limits.Out; m.next++ {
+		actions = m.submit(m.next, false, actions)
 	}
-	return acts
+	return actions
 }
 
-func (m *Machine) ask(i int, again bool, acts []Action) []Action {
-	m.parts[i].state = out
-	m.parts[i].tries++
-	m.out++
-	return append(acts, Ask{i, again, m.ran})
+func (m *Machine) submit(i int, retry bool, actions []Action) []Action {
+	m.parts[i].state = partInFlight
+	m.parts[i].attempts++
+	m.inFlight++
+	return append(actions, Ask{i, retry, m.mayHaveRun})
 }
 
-// Wake asks for parts again whose time has come.
+// Wake submits the retries that are due.
 func (m *Machine) Wake(now time.Duration) []Action {
-	if m.over {
+	if m.finished {
 		return nil
 	}
-	return m.fill(now, nil)
+	return m.submitParts(now, nil)
 }
 
-// Ended takes a part's answer.
+// Ended records how a part in flight ended.
 func (m *Machine) Ended(now time.Duration, i int, e End) []Action {
-	if m.over || i < 0 || i >= len(m.parts) || m.parts[i].state != out {
+	if m.finished || i < 0 || i >= len(m.parts) || m.parts[i].state != partInFlight {
 		return nil
 	}
 	p := &m.parts[i]
-	m.out--
-	m.ran = m.ran || e.MayHaveRun
+	m.inFlight--
+	m.mayHaveRun = m.mayHaveRun || e.MayHaveRun
 	switch e.Kind {
 	case Served:
-		p.state = done
-		if m.left--; m.left == 0 {
-			return m.finish(End{Kind: Served, MayHaveRun: m.ran})
+		p.state = partDone
+		if m.remaining--; m.remaining == 0 {
+			return m.finish(End{Kind: Served, MayHaveRun: m.mayHaveRun})
 		}
-		return m.fill(now, nil)
+		return m.submitParts(now, nil)
 	case Refused:
-		// A batch of which nothing has run is refused at once: its client learns that there is no room, and no work
-		// is lost. One that has begun goes on trying, for what has run would be.
-		if at := now + e.RetryAfter<<min(p.tries-1, 6); (m.ran || m.out > 0) && p.tries < m.lim.Tries && at < m.deadline-m.lim.Margin {
-			p.state, p.at = later, at
-			return m.fill(now, []Action{Wake{at}})
+		// A batch of which nothing has run is refused at once: its client learns of the overload early and no work is
+		// lost. A batch that has begun retries the part, since a refusal would waste what has run.
+		if retryAt := now + e.RetryAfter<<min(p.attempts-1, 6); (m.mayHaveRun || m.inFlight > 0) &&
+			p.attempts < m.limits.Tries && retryAt < m.deadline-m.limits.Margin {
+			p.state, p.retryAt = partBackoff, retryAt
+			return m.submitParts(now, []Action{Wake{retryAt}})
 		}
 	}
-	p.state = done
-	// No API has half an answer: what one part lacks, all lack.
-	return m.finish(End{Kind: m.kind(e.Kind), RetryAfter: e.RetryAfter, Reason: e.Reason, MayHaveRun: m.ran || m.out > 0})
+	p.state = partDone
+	// No API has a partial answer: if one part isn't served, the batch isn't.
+	return m.finish(End{Kind: m.batchKind(e.Kind), RetryAfter: e.RetryAfter, Reason: e.Reason,
+		MayHaveRun: m.mayHaveRun || m.inFlight > 0})
 }
 
-// kind is the whole's, by the part that ended it. Guards rule 2: a refusal
-// promises that trying again is harmless, and another part may have run.
-func (m *Machine) kind(of Kind) Kind {
-	if of == Refused && !m.free && (m.ran || m.out > 0) {
+// batchKind returns the outcome of a batch, given that of the part that ended it. This guards rule 2 (a request that is
+// unsafe to repeat never runs twice): a refusal promises that a retry is harmless, but another part may have run.
+func (m *Machine) batchKind(part Kind) Kind {
+	if part == Refused && !m.repeatable && (m.mayHaveRun || m.inFlight > 0) {
 		return Failed
 	}
-	return of
+	return part
 }
 
-// Left takes the whole back: its client is gone.
+// Left cancels the batch because its client disconnected.
 func (m *Machine) Left() []Action {
-	if m.over {
+	if m.finished {
 		return nil
 	}
-	return m.finish(End{Kind: Cancelled, MayHaveRun: m.ran || m.out > 0})
+	return m.finish(End{Kind: Cancelled, MayHaveRun: m.mayHaveRun || m.inFlight > 0})
 }
 
 func (m *Machine) finish(e End) []Action {
-	m.over = true
-	acts := []Action{Final{e}}
+	m.finished = true
+	actions := []Action{Final{e}}
 	for i := range m.parts {
-		if m.parts[i].state == out {
-			acts = append(acts, Drop{i})
+		if m.parts[i].state == partInFlight {
+			actions = append(actions, Drop{i})
 		}
 	}
-	return acts
+	return actions
 }
--- a/internal/batch/batch_test.go
+++ b/internal/batch/batch_test.go
@@ -14,61 +14,61 @@
 // Parts cover all texts in order, within the bounds, and are not needlessly many.
 func TestSplit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		lim := Limits{Tokens: rapid.Float64Range(10, 1000).Draw(t, "tokens"), Items: rapid.IntRange(1, 50).Draw(t, "items")}
+		limits := Limits{Tokens: rapid.Float64Range(10, 1000).Draw(t, "tokens"), Items: rapid.IntRange(1, 50).Draw(t, "items")}
 		sizes := rapid.SliceOfN(rapid.Float64Range(0, 300), 1, 200).Draw(t, "sizes")
-		list, at, all := Split(sizes, lim, false), 0, 0.0
-		for i, p := range list {
+		parts, at, total := Split(sizes, limits, false), 0, 0.0
+		for i, p := range parts {
 			sum := 0.0
 			for _, n := range sizes[p.From:p.To] {
 				sum += n
 			}
-			all += sum
-			if p.From != at || p.To <= p.From || p.To-p.From > lim.Items || sum > lim.Tokens+1e-9 && p.To-p.From > 1 || sum != p.Tokens {
-				t.Fatalf("part %d of %d: %+v, %g tokens", i, len(list), p, sum)
+			total += sum
+			if p.From != at || p.To <= p.From || p.To-p.From > limits.Items || sum > limits.Tokens+1e-9 && p.To-p.From > 1 || sum != p.Tokens {
+				t.Fatalf("part %d of %d: %+v, %g tokens", i, len(parts), p, sum)
 			}
 			at = p.To
 		}
 		if at != len(sizes) {
 			t.Fatalf("%d of %d texts", at, len(sizes))
 		}
-		if least := max(all/lim.Tokens, float64(len(sizes))/float64(lim.Items)); float64(len(list)) > 2*least+2 {
-			t.Fatalf("%d parts, %g are the least", len(list), least)
+		if least := max(total/limits.Tokens, float64(len(sizes))/float64(limits.Items)); float64(len(parts)) > 2*least+2 {
+			t.Fatalf("%d parts, %g are the least", len(parts), least)
 		}
 	})
-	if list := Split([]float64{5, 5, 5}, Limits{Tokens: 6, Items: 1}, true); len(list) != 1 || list[0].To != 3 || list[0].Tokens != 15 {
-		t.Errorf("%+v; it may not be split", list)
+	if parts := Split([]float64{5, 5, 5}, Limits{Tokens: 6, Items: 1}, true); len(parts) != 1 || parts[0].To != 3 || parts[0].Tokens != 15 {
+		t.Errorf("%+v; it may not be split", parts)
 	}
 }
 
-// run plays a batch against drawn ends and checks every promise on the way.
-func run(t *rapid.T) {
+// simulate plays a batch against drawn ends and checks every promise on the way.
+func simulate(t *rapid.T) {
 	n := rapid.IntRange(1, 12).Draw(t, "parts")
-	lim := Limits{Out: rapid.IntRange(1, 4).Draw(t, "out"), Tries: rapid.IntRange(1, 3).Draw(t, "tries"), Margin: 100 * time.Millisecond}
-	free := rapid.Bool().Draw(t, "free")
+	limits := Limits{Out: rapid.IntRange(1, 4).Draw(t, "out"), Tries: rapid.IntRange(1, 3).Draw(t, "tries"), Margin: 100 * time.Millisecond}
+	repeatable := rapid.Bool().Draw(t, "free")
 	deadline := 5 * time.Second
-	m := New(n, lim, deadline, free)
+	m := New(n, limits, deadline, repeatable)
 	now := time.Duration(0)
-	open, served, tries, wakes := map[int]bool{}, map[int]bool{}, map[int]int{}, []time.Duration{}
+	inFlight, served, attempts, wakes := map[int]bool{}, map[int]bool{}, map[int]int{}, []time.Duration{}
 	var final *End
-	ran := false
-	do := func(acts []Action) {
-		for _, a := range acts {
+	mayHaveRun := false
+	apply := func(actions []Action) {
+		for _, a := range actions {
 			switch a := a.(type) {
 			case Ask:
-				if final != nil || open[a.Part] || served[a.Part] || a.Again != (tries[a.Part] > 0) {
+				if final != nil || inFlight[a.Part] || served[a.Part] || a.Again != (attempts[a.Part] > 0) {
 					t.Fatalf("%+v after %+v", a, final)
 				}
-				open[a.Part] = true
-				if tries[a.Part]++; tries[a.Part] > lim.Tries || len(open) > lim.Out {
-					t.Fatalf("part %d, try %d, %d out", a.Part, tries[a.Part], len(open))
+				inFlight[a.Part] = true
+				if attempts[a.Part]++; attempts[a.Part] > limits.Tries || len(inFlight) > limits.Out {
+					t.Fatalf("part %d, try %d, %d out", a.Part, attempts[a.Part], len(inFlight))
 				}
 			case Drop:
-				if final == nil || !open[a.Part] {
+				if final == nil || !inFlight[a.Part] {
 					t.Fatalf("%+v", a)
 				}
-				delete(open, a.Part)
+				delete(inFlight, a.Part)
 			case Wake:
-				if a.At >= deadline-lim.Margin {
+				if a.At >= deadline-limits.Margin {
 					t.Fatalf("a part is asked for again at %v", a.At)
 				}
 				wakes = append(wakes, a.At)
@@ -80,46 +80,46 @@
 			}
 		}
 	}
-	do(m.Start(now))
+	apply(m.Start(now))
 	for final == nil {
 		now += 10 * time.Millisecond
 		for len(wakes) > 0 && wakes[0] <= now {
 			wakes = wakes[1:]
-			do(m.Wake(now))
+			apply(m.Wake(now))
 		}
-		if len(open) == 0 {
+		if len(inFlight) == 0 {
 			if len(wakes) == 0 {
 				t.Fatal("nothing is out, nothing will be, and there is no answer")
 			}
 			continue
 		}
 		i := rapid.IntRange(0, n-1).Draw(t, "which")
-		if !open[i] {
+		if !inFlight[i] {
 			continue
 		}
-		delete(open, i)
+		delete(inFlight, i)
 		e := End{Kind: Kind(rapid.SampledFrom([]int{1, 1, 1, 1, 2, 2, 3}).Draw(t, "kind")), RetryAfter: 200 * time.Millisecond}
 		e.MayHaveRun = e.Kind != Refused
-		ran = ran || e.MayHaveRun
+		mayHaveRun = mayHaveRun || e.MayHaveRun
 		served[i] = e.Kind == Served
-		do(m.Ended(now, i, e))
+		apply(m.Ended(now, i, e))
 		if final == nil {
 			continue
 		}
-		if final.Kind == Refused && !free && ran {
+		if final.Kind == Refused && !repeatable && mayHaveRun {
 			t.Fatal("refused though a part may have run and may not run twice")
 		}
 		if final.Kind == Served && len(served) != n {
 			t.Fatal("served without all parts")
 		}
 	}
-	if acts := m.Ended(now, 0, End{Kind: Served}); len(acts) > 0 || len(open) > 0 {
-		t.Fatalf("after the end: %v, %d parts still out", acts, len(open))
+	if actions := m.Ended(now, 0, End{Kind: Served}); len(actions) > 0 || len(inFlight) > 0 {
+		t.Fatalf("after the end: %v, %d parts still out", actions, len(inFlight))
 	}
 }
 
 // Whatever becomes of the parts, the whole has one answer, and nothing follows it.
-func TestOneAnswer(t *testing.T) { rapid.Check(t, run) }
+func TestOneAnswer(t *testing.T) { rapid.Check(t, simulate) }
 
 func started(m *Machine) *Machine {
 	m.Start(0)
@@ -152,9 +152,9 @@
 	if f, ok := steps[4].acts[0].(Final); !ok || f.Kind != Served || !f.MayHaveRun {
 		t.Errorf("%v", steps[4].acts)
 	}
-	gone := New(3, Limits{Out: 2, Tries: 1}, time.Minute, true)
-	gone.Start(0)
-	if acts := gone.Left(); len(acts) != 3 {
+	disconnected := New(3, Limits{Out: 2, Tries: 1}, time.Minute, true)
+	disconnected.Start(0)
+	if acts := disconnected.Left(); len(acts) != 3 {
 		t.Errorf("its client left: %v; an answer and two parts taken back are due", acts)
 	}
 }
--- a/internal/idempotency/table_test.go
+++ b/internal/idempotency/table_test.go
@@ -12,7 +12,7 @@
 
 func TestMain(m *testing.M) { rapidseed.Main(m) }
 
-var unsafeName = Scope{Key: "k"}
+var testScope = Scope{Key: "k"}
 
 var (
 	safeClass   = &gannethook.Class{Effect: gannethook.Safe}
@@ -24,7 +24,7 @@
 func TestVerdicts(t *testing.T) {
 	const s = time.Second
 	begin := func(tb *Table, at time.Duration, retry bool) Verdict {
-		return tb.Begin(at, unsafeName, unsafeClass, retry)
+		return tb.Begin(at, testScope, unsafeClass, retry)
 	}
 	for _, c := range []struct {
 		name string
@@ -38,12 +38,12 @@
 		}, InProgress},
 		{"after one that may have run", func(tb *Table) Verdict {
 			begin(tb, 0, false)
-			tb.End(s, unsafeName, true)
+			tb.End(s, testScope, true)
 			return begin(tb, 2*s, false)
 		}, MayHaveRun},
 		{"after one that did not run", func(tb *Table) Verdict {
 			begin(tb, 0, false)
-			tb.End(s, unsafeName, false)
+			tb.End(s, testScope, false)
 			return begin(tb, 2*s, false)
 		}, Proceed},
 		{"a repeat of a try at another router", func(tb *Table) Verdict { return begin(tb, 0, true) }, Unknown},
@@ -55,7 +55,7 @@
 		}, Proceed},
 		{"the window is over", func(tb *Table) Verdict {
 			begin(tb, 0, false)
-			tb.End(s, unsafeName, true)
+			tb.End(s, testScope, true)
 			return begin(tb, 12*s, false)
 		}, Proceed},
 		{"another tenant's key", func(tb *Table) Verdict {
@@ -69,30 +69,30 @@
 			return begin(tb, s, false)
 		}, TableFull},
 		{"safe is never held up", func(tb *Table) Verdict {
-			tb.Begin(0, unsafeName, safeClass, false)
-			return tb.Begin(0, unsafeName, safeClass, true)
+			tb.Begin(0, testScope, safeClass, false)
+			return tb.Begin(0, testScope, safeClass, true)
 		}, Proceed},
 		{"keyed everywhere: the engines drop the repeat", func(tb *Table) Verdict {
-			tb.Begin(0, unsafeName, keyedClass, false)
-			tb.End(s, unsafeName, true)
-			return tb.Begin(2*s, unsafeName, keyedClass, true)
+			tb.Begin(0, testScope, keyedClass, false)
+			tb.End(s, testScope, true)
+			return tb.Begin(2*s, testScope, keyedClass, true)
 		}, Proceed},
 		{"keyed, but the engines remember it no longer", func(tb *Table) Verdict {
-			tb.Begin(0, unsafeName, keyedClass, false)
-			tb.End(s, unsafeName, true)
-			return tb.Begin(6*s, unsafeName, keyedClass, false)
+			tb.Begin(0, testScope, keyedClass, false)
+			tb.End(s, testScope, true)
+			return tb.Begin(6*s, testScope, keyedClass, false)
 		}, MayHaveRun},
 		{"keyed, and a repeat that was refused does not hide the first", func(tb *Table) Verdict {
-			tb.Begin(0, unsafeName, keyedClass, false)
-			tb.End(s, unsafeName, true)
-			tb.Begin(2*s, unsafeName, keyedClass, true)
-			tb.End(3*s, unsafeName, false)
-			return tb.Begin(6*s, unsafeName, keyedClass, false)
+			tb.Begin(0, testScope, keyedClass, false)
+			tb.End(s, testScope, true)
+			tb.Begin(2*s, testScope, keyedClass, true)
+			tb.End(3*s, testScope, false)
+			return tb.Begin(6*s, testScope, keyedClass, false)
 		}, MayHaveRun},
 		{"keyed in a zone: the next server may be outside", func(tb *Table) Verdict {
-			tb.Begin(0, unsafeName, zoneClass, false)
-			tb.End(s, unsafeName, true)
-			return tb.Begin(2*s, unsafeName, zoneClass, false)
+			tb.Begin(0, testScope, zoneClass, false)
+			tb.End(s, testScope, true)
+			return tb.Begin(2*s, testScope, zoneClass, false)
 		}, MayHaveRun},
 	} {
 		if got := c.do(New(10*s, 3)); got != c.want {
@@ -103,35 +103,35 @@
 
 // Whatever clients do, an unsafe key that may have run never goes again within
 // its window, and the table keeps its bound.
-func TestNeverTwice(t *testing.T) {
+func TestUnsafeKeyRunsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		const remember, most = 10 * time.Second, 4
-		tb := New(remember, most)
+		const retention, maxKeys = 10 * time.Second, 4
+		tb := New(retention, maxKeys)
 		open, ranAt := map[string]bool{}, map[string]time.Duration{}
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 4000).Draw(t, "ms")) * time.Millisecond
 			key := rapid.SampledFrom([]string{"a", "b", "c", "d", "e", "f"}).Draw(t, "key")
-			n := Scope{Key: key}
+			scope := Scope{Key: key}
 			if rapid.Bool().Draw(t, "end") {
 				ran := rapid.Bool().Draw(t, "ran")
-				if tb.End(now, n, ran); open[key] {
+				if tb.End(now, scope, ran); open[key] {
 					if delete(open, key); ran {
 						ranAt[key] = now
 					}
 				}
 				continue
 			}
-			v := tb.Begin(now, n, unsafeClass, rapid.Bool().Draw(t, "retry"))
+			v := tb.Begin(now, scope, unsafeClass, rapid.Bool().Draw(t, "retry"))
 			at, ran := ranAt[key]
-			if v == Proceed && (open[key] || ran && now-at < remember) {
+			if v == Proceed && (open[key] || ran && now-at < retention) {
 				t.Fatalf("%s goes again at %v: open %v, ran at %v", key, now, open[key], at)
 			}
 			if v == Proceed {
 				open[key] = true
 				delete(ranAt, key)
 			}
-			if tb.Len() > most {
+			if tb.Len() > maxKeys {
 				t.Fatalf("%d keys are remembered", tb.Len())
 			}
 		}
--- a/internal/limits/learn.go
+++ b/internal/limits/learn.go
@@ -2,178 +2,180 @@
 
 import "time"
 
-// Figures of what is learned; docs/limits.md has why.
+// Parameters of the concurrency limit; docs/limits.md gives the reasons. Fractions of latency refer to the target
+// latency of the request's class.
 const (
-	soon      = 0.4                    // part of the aim within which a first token is soon enough
-	twice     = 2.0                    // or this multiple of the least part that it takes of late
-	baseOver  = time.Minute            // in which a class's least part rises towards what it takes now
-	slow      = 0.8                    // part of the aim that is never soon enough; a class whose least is more tells nothing
-	latePart  = 0.15                   // part of a round's requests that may be late
-	shrink    = 0.8                    // what a late round leaves of the room
-	growPart  = 0.05                   // of the room that was too much last, in a round
-	roundLong = 100 * time.Millisecond // a round's length at the least
-	roundSeen = 8                      // requests that it rests on
-	usualGain = 0.05                   // weight of one request in means
-	inUse     = 0.8                    // part of the room that counts as put to use
+	earlyFraction    = 0.4                    // a first token within this fraction is on time
+	baselineMultiple = 2.0                    // as is one within this multiple of the class's baseline
+	baselineRise     = time.Minute            // time in which a baseline rises to a higher latency
+	lateFraction     = 0.8                    // anything above is late; a class with a higher baseline is not evaluated
+	lateTolerance    = 0.15                   // fraction of a round's requests that may be late
+	decreaseFactor   = 0.8                    // multiplicative decrease after a late round
+	increaseFraction = 0.05                   // additive increase per round, as a fraction of lastOverload; at least 1
+	minRound         = 100 * time.Millisecond // minimum duration of a round
+	minRoundRequests = 8                      // minimum number of requests in a round
+	meanGain         = 0.05                   // weight of one request in exponential averages
+	usedFraction     = 0.8                    // the limit only increases if at least this fraction was used
 )
 
-// floor is the least part of the aim that a class's first token took of late.
-type floor struct {
-	part float64
-	at   time.Duration
+// baseline is the lowest recent first-token latency of a class, as a fraction of its target latency. It drops at
+// once and rises slowly.
+type baseline struct {
+	fraction float64
+	at       time.Duration
 }
 
-func (l *floor) see(now time.Duration, part float64) {
-	if part > l.part {
-		part = l.part + min(float64(now-l.at)/float64(baseOver), 1)*(min(part, 1)-l.part)
+func (b *baseline) observe(now time.Duration, fraction float64) {
+	if fraction > b.fraction {
+		fraction = b.fraction + min(float64(now-b.at)/float64(baselineRise), 1)*(min(fraction, 1)-b.fraction)
 	}
-	l.part, l.at = part, now
+	b.fraction, b.at = fraction, now
 }
 
-// room learns how much may be in hand at once: handed to the module, with no
-// first token yet. It grows by steps while first tokens come soon and shrinks by
-// a part when they do not: routers that share engines and nothing else come to
-// equal parts of them (Chiu and Jain, 1989). Soon is a part of the class's aim,
-// so that what waits here is in time as well, or twice what the class takes at
-// the best: one that is slow by nature does not shut the room.
-type room struct {
-	least, most float64
-	now         float64 // in requests of mean size
-	high        float64 // the room that was too much last
-	top         float64 // most in hand in this round
-	seen, late  float64
-	since       time.Duration // this round's start: what was handed on before tells of an earlier room
-	usual       float64       // mean part of the aim that a first token takes
-	mean        float64       // size of a request
-	base        []floor       // by class
+// concurrencyLimit adapts how much work may be in flight: dispatched to the decision module, with no first token
+// yet. It uses additive increase while first tokens are on time and multiplicative decrease when they are not, so
+// that routers that share engines but no state converge to equal shares (Chiu and Jain, 1989). On time means within
+// a fraction of the class's target latency, which leaves time for queueing, or within twice the class's baseline:
+// a class that is always slow does not close the limit.
+type concurrencyLimit struct {
+	lower, upper   float64
+	current        float64 // the limit, in requests of mean size
+	lastOverload   float64 // the limit, or the amount in flight if lower, when a round was last late
+	peak           float64 // highest amount in flight in this round
+	requests, late float64
+	roundStart     time.Duration // late requests dispatched before it reflect an earlier limit
+	meanFraction   float64       // mean first-token latency as a fraction of the target
+	meanSize       float64       // mean size of a request
+	baselines      []baseline    // indexed by class
 }
 
-func newRoom(least, start, most float64, classes int) room {
-	r := room{least: least, most: most, now: start, high: start, usual: soon / 2, base: make([]floor, classes)}
-	for i := range r.base {
-		r.base[i].part = soon / twice
+func newConcurrencyLimit(lower, start, upper float64, classes int) concurrencyLimit {
+	c := concurrencyLimit{lower: lower, upper: upper, current: start, lastOverload: start, meanFraction: earlyFraction / 2,
+		baselines: make([]baseline, classes)}
+	for i := range c.baselines {
+		c.baselines[i].fraction = earlyFraction / baselineMultiple
 	}
-	return r
+	return c
 }
 
-// took notes a first token that took a part of its class's aim since it was handed on.
-func (r *room) took(now, handed time.Duration, class int, part float64) {
-	r.usual += usualGain * (min(part, 1) - r.usual)
-	late := r.slow(class, part)
-	r.base[class].see(now, part)
-	if r.base[class].part < slow {
-		r.note(now, handed, late)
+// firstToken records a first-token latency, measured since the dispatch, as a fraction of the target latency.
+func (c *concurrencyLimit) firstToken(now, dispatched time.Duration, class int, fraction float64) {
+	c.meanFraction += meanGain * (min(fraction, 1) - c.meanFraction)
+	late := c.isLate(class, fraction)
+	c.baselines[class].observe(now, fraction)
+	if c.baselines[class].fraction < lateFraction {
+		c.record(now, dispatched, late)
 	}
 }
 
-// slow tells whether a part of its aim is long for a class's first token.
-func (r *room) slow(class int, part float64) bool {
-	return part > min(max(soon, twice*r.base[class].part), slow)
+// isLate reports whether a first-token latency is late for a class.
+func (c *concurrencyLimit) isLate(class int, fraction float64) bool {
+	return fraction > min(max(earlyFraction, baselineMultiple*c.baselines[class].fraction), lateFraction)
 }
 
-// turned notes that the module refused: there is less room than was thought.
-func (r *room) turned(now, handed time.Duration) { r.note(now, handed, true) }
+// refused records a refusal by the decision module, which counts as a late request: capacity is lower than assumed.
+func (c *concurrencyLimit) refused(now, dispatched time.Duration) { c.record(now, dispatched, true) }
 
-func (r *room) note(now, handed time.Duration, late bool) {
-	if handed < r.since && late {
+func (c *concurrencyLimit) record(now, dispatched time.Duration, late bool) {
+	if dispatched < c.roundStart && late {
 		return
 	}
-	r.seen++
+	c.requests++
 	if late {
-		r.late++
+		c.late++
 	}
-	if r.seen < roundSeen || now-r.since < roundLong {
+	if c.requests < minRoundRequests || now-c.roundStart < minRound {
 		return
 	}
 	switch {
-	case r.late > latePart*r.seen:
-		// What was in hand was too much, not what could have been: a room that was never filled shrinks to it.
-		r.high = min(r.now, max(r.top, r.least))
-		r.now = max(r.high*shrink, r.least)
-	case r.top >= r.now*inUse:
-		r.now = min(r.now+max(1, growPart*r.high), r.most)
+	case c.late > lateTolerance*c.requests:
+		// The overload occurred at the amount in flight, so an unused limit decreases to that amount first.
+		c.lastOverload = min(c.current, max(c.peak, c.lower))
+		c.current = max(c.lastOverload*decreaseFactor, c.lower)
+	case c.peak >= c.current*usedFraction:
+		c.current = min(c.current+max(1, increaseFraction*c.lastOverload), c.upper)
 	}
-	r.seen, r.late, r.top, r.since = 0, 0, 0, now
+	c.requests, c.late, c.peak, c.roundStart = 0, 0, 0, now
 }
 
-// sized learns the mean size of requests and gives this one's in means.
-func (r *room) sized(size float64) float64 {
-	if r.mean == 0 {
-		r.mean = size
+// relativeSize updates the mean request size and returns this request's size relative to it.
+func (c *concurrencyLimit) relativeSize(size float64) float64 {
+	if c.meanSize == 0 {
+		c.meanSize = size
 	}
-	r.mean += usualGain * (size - r.mean)
-	return size / r.mean
+	c.meanSize += meanGain * (size - c.meanSize)
+	return size / c.meanSize
 }
 
-// shed is the brown-out: a level that rises while work is turned away for want
-// of room, and falls when there is room. At level 1 the class of least worth is
-// shed whole, at 2 the next, and between them a part; the worthiest never is.
-type shed struct {
-	ranks  []int // of the classes, by worth; equals alike
-	top    float64
-	level  float64
-	asked  float64
-	turned float64
-	since  time.Duration
+// shedder implements the brown-out: its level rises while requests are refused for lack of capacity and falls when
+// there is capacity. At level 1 all requests of the class of lowest worth are shed, at level 2 also those of the next
+// class, and between two levels a random fraction. First attempts of
+// the class of highest worth are never shed.
+type shedder struct {
+	ranks      []int // of each class by worth, 0 for the lowest; classes of equal worth share a rank
+	maxLevel   float64
+	level      float64
+	requests   float64
+	refused    float64
+	roundStart time.Duration
 }
 
-// Figures of the brown-out.
+// Parameters of the brown-out.
 const (
-	shedRound = 250 * time.Millisecond
-	shedUp    = 0.5  // level that a round which turns all away adds
-	shedDown  = 0.02 // level that a round with room takes off
-	shedFrom  = 0.01 // part turned away that is let be
+	shedRound     = 250 * time.Millisecond // minimum duration of a round
+	shedIncrease  = 0.5                    // added to the level by a round in which every request is refused
+	shedDecrease  = 0.02                   // subtracted by a round with capacity
+	shedThreshold = 0.01                   // fraction of refused requests that doesn't raise the level
 )
 
-func newShed(classes []Class) shed {
-	s := shed{}
+func newShedder(classes []Class) shedder {
+	s := shedder{}
 	for _, c := range classes {
 		rank := 0
 		for i, o := range classes {
-			first := true
+			unseen := true
 			for _, p := range classes[:i] {
-				first = first && p.Worth != o.Worth
+				unseen = unseen && p.Worth != o.Worth
 			}
-			if first && o.Worth < c.Worth {
+			if unseen && o.Worth < c.Worth {
 				rank++
 			}
 		}
 		s.ranks = append(s.ranks, rank)
-		s.top = max(s.top, float64(rank))
+		s.maxLevel = max(s.maxLevel, float64(rank))
 	}
 	return s
 }
 
-// drops tells whether a request of a class is shed; x is its chance, 0 to under
-// 1. One that is tried again counts as of least worth: the time that its client
-// has waited already is gone, and more of them come the less room there is.
-func (s *shed) drops(class int, again bool, x float64) bool {
+// sheds reports whether a request of a class is shed; draw is the request's random draw in [0, 1). A retry counts as
+// of the lowest worth: part of its client's time has passed, and retries multiply when capacity is short.
+func (s *shedder) sheds(class int, retry bool, draw float64) bool {
 	rank := s.ranks[class]
-	if again {
+	if retry {
 		rank = 0
 	}
-	return s.level-float64(rank) > x
+	return s.level-float64(rank) > draw
 }
 
-// count counts a request that was not shed; turned tells that there was no room for it.
-func (s *shed) count(turned bool) {
-	s.asked++
-	if turned {
-		s.turned++
+// count counts a request that was not shed; refused reports that there was no capacity for it.
+func (s *shedder) count(refused bool) {
+	s.requests++
+	if refused {
+		s.refused++
 	}
 }
 
-// round moves the level where a round is over.
-func (s *shed) round(now time.Duration) {
-	if now-s.since < shedRound {
+// update adjusts the level at the end of a round.
+func (s *shedder) update(now time.Duration) {
+	if now-s.roundStart < shedRound {
 		return
 	}
-	part := s.turned / max(s.asked, roundSeen)
-	if part > shedFrom {
-		s.level = min(s.level+shedUp*part, s.top)
+	fraction := s.refused / max(s.requests, minRoundRequests)
+	if fraction > shedThreshold {
+		s.level = min(s.level+shedIncrease*fraction, s.maxLevel)
 	} else {
-		rounds := float64((now - s.since) / shedRound)
-		s.level = max(s.level-shedDown*rounds, 0)
+		rounds := float64((now - s.roundStart) / shedRound)
+		s.level = max(s.level-shedDecrease*rounds, 0)
 	}
-	s.asked, s.turned, s.since = 0, 0, now
+	s.requests, s.refused, s.roundStart = 0, 0, now
 }
--- a/internal/limits/limiter.go
+++ b/internal/limits/limiter.go
@@ -5,588 +5,598 @@
 	"time"
 )
 
-// Class is what the limiter needs of a class of requests.
+// Class configures the limits of one class of requests.
 type Class struct {
-	Aim        time.Duration // first token, or the whole of one-stage work, wanted within this
-	AimPer1000 time.Duration // and so much more for each 1,000 prompt tokens
-	Worth      float64
-	Priority   int // within a tenant: the higher first
+	Aim        time.Duration // target latency of the first token, or of the whole answer for one-stage work
+	AimPer1000 time.Duration // added to Aim for each 1,000 prompt tokens
+	Worth      float64       // classes of lower worth are shed and evicted first
+	Priority   int           // order within a tenant: higher first
 }
 
-// Budget bounds what a tenant may ask for of one class, or of all.
+// Budget is a tenant's rate limits for one class, or for all classes together.
 type Budget struct {
-	Class    int  // -1: all together
-	Requests Rate // over all routers
-	Tokens   Rate // of prompts and, at the most, answers
+	Class    int  // -1: all classes together
+	Requests Rate // for the whole fleet of routers
+	Tokens   Rate // of prompts and of answers at their maximum length
 }
 
-// Tenant is one tenant's terms.
+// Tenant configures the limits of one tenant.
 type Tenant struct {
-	Weight  float64 // of its turn where work has to wait; 0 counts as 1
+	Weight  float64 // share in the fair queue; 0 counts as 1
 	Budgets []Budget
 }
 
-// Settings are all that a Limiter is told at its start.
+// Settings configures a Limiter. Tenants and classes are referred to by their indexes here.
 type Settings struct {
-	Routers       int // that quotas are divided among
+	Routers       int // number of routers that quotas are divided among
 	Classes       []Class
-	Tenants       []Tenant      // requests of no tenant have none of their terms, and share one turn
-	MaxWaiting    int           // requests that may wait
-	WaitPart      float64       // part of its aim that a request may wait
-	MinInFlight   int           // requests in hand at the least,
-	StartInFlight int           // at first,
-	MaxInFlight   int           // and at the most
-	Retries       float64       // tries again for each first try of a client; 0: not limited
-	MaxClients    int           // whose tries are counted, at the most
-	Shed          bool          // work of least worth is shed where there is no room
-	MinRetryAfter time.Duration // the least wait that a refusal for want of room advises
-	MaxRetryAfter time.Duration // and the most
-	Seed          uint64        // of this router
-}
-
-// Reason tells why work was turned away.
+	Tenants       []Tenant      // requests without a tenant have no budgets and share one flow of the queue
+	MaxWaiting    int           // maximum length of the queue, in requests
+	WaitPart      float64       // fraction of its target latency that a request may wait
+	MinInFlight   int           // concurrency limit: lower bound, in requests of mean size
+	StartInFlight int           // initial value
+	MaxInFlight   int           // upper bound
+	Retries       float64       // retries per first attempt of a client; 0: unlimited
+	MaxClients    int           // maximum number of clients whose retries are counted
+	Shed          bool          // enables the brown-out
+	MinRetryAfter time.Duration // retry delay of refusals for lack of capacity: lower bound
+	MaxRetryAfter time.Duration // upper bound
+	Seed          uint64        // differs between routers
+}
+
+// Reason is why a request was refused.
 type Reason int
 
 // The reasons.
 const (
-	Requests Reason = iota + 1 // its tenant's budget of requests is used up
-	Tokens                     // its tenant's budget of tokens is
-	TooLarge                   // it is larger than its tenant may ever ask for at once
-	Retries                    // its client tries again too often
-	Shed                       // it is worth least, and there is no room
-	Crowded                    // it would wait too long, or too many wait
-	Waited                     // it has waited too long
-	Revoked                    // its client's key was taken back
+	Requests     Reason = iota + 1 // the tenant's request budget is used up
+	Tokens                         // the tenant's token budget is used up
+	TooLarge                       // the request exceeds the burst of its tenant's token budget
+	Retries                        // the client's retry budget is used up
+	Shed                           // shed by the brown-out
+	Overloaded                     // the expected wait is too long, or the queue is full
+	QueueTimeout                   // the request waited longer than it may
+	Revoked                        // the client's API key was revoked
 )
 
 func (r Reason) String() string {
 	return [...]string{"", "requests", "tokens", "too large", "retries", "shed", "crowded", "waited", "revoked"}[r]
 }
 
-// Verdict is the limiter's word on one request, given once.
+// Verdict is the limiter's decision on one request, returned once.
 type Verdict struct {
 	ID         uint64
-	Admitted   bool // it is to be handed to the module now
-	Reason     Reason
-	RetryAfter time.Duration // when to come again; 0 of TooLarge and Revoked: never
+	Admitted   bool          // dispatch the request to the decision module now
+	Reason     Reason        // of a refusal
+	RetryAfter time.Duration // advice to the client; 0 for TooLarge and Revoked: don't retry
 }
 
-// Request is work that is asked for.
+// Request describes one request to the limiter.
 type Request struct {
 	ID       uint64
-	Tenant   int // -1: none
-	Class    int
-	Client   uint64        // whose tries are counted; 0: not known
-	Retry    bool          // the client marks it as a try again
-	Charged  bool          // a part of what Charge has charged
-	PartsRun bool          // and others of its parts have run: it is not shed
-	Prompt   float64       // tokens
-	Tokens   float64       // of prompt and, at the most, answer
-	Price    float64       // of it all: its size in turns
-	TimeLeft time.Duration // until its client gives up
-}
-
-// work is a request that waits or is in hand.
-type work struct {
+	Tenant   int           // index into Settings.Tenants; -1: none
+	Class    int           // index into Settings.Classes
+	Client   uint64        // whose retries are counted; 0: unknown
+	Retry    bool          // the client marks the request as a retry
+	Charged  bool          // a part of a batch that Charge has charged already
+	PartsRun bool          // other parts of the batch have run: this one is not shed
+	Prompt   float64       // tokens of the prompt
+	Tokens   float64       // tokens of the prompt and of the answer at its maximum length
+	Price    float64       // cost of the whole request: its size in the queue and in the concurrency limit
+	TimeLeft time.Duration // until the client's deadline
+}
+
+// activeRequest is a request that is queued or dispatched.
+type activeRequest struct {
 	Request
-	aim   time.Duration
-	size  float64 // in requests of mean size, while in hand
-	since time.Duration
-	hand  bool // handed to the module
-	begun bool // and begun: it counts no more
+	target     time.Duration // target latency
+	size       float64       // in requests of mean size; set at dispatch
+	since      time.Duration // arrival, or dispatch once dispatched
+	dispatched bool          // passed to the decision module
+	released   bool          // no longer counts as in flight: its first token has come, or it ended
 }
 
-// pair is a tenant's budget, and the meter at this router.
-type pair struct {
+// budgetState is the state of one Budget at this router.
+type budgetState struct {
 	requests, tokens Meter
-	own              arrivals
-	known            bool
+	arrivals         arrivals
+	initialized      bool // requests starts from initialUse
 }
 
-// Limiter decides for one router. It is not safe for concurrent use. What it
-// keeps is bounded by what waits or is in hand, by the tenants that have
-// budgets, and by Clients.
+// Limiter decides for one router. It is not safe for concurrent use. Its memory is bounded by the queued and dispatched
+// requests, the tenants' budgets and Settings.MaxClients.
 type Limiter struct {
-	set     Settings
-	fleet   routers
-	queue   *Queue
-	room    room
-	shed    shed
-	works   map[uint64]*work
-	inHand  float64
-	hands   int
-	meters  map[[2]int]*pair // by tenant and place of the budget
-	clients map[uint64]*retries
-	pace    float64 // size a second that was handed on while work waited
-	paceAt  time.Duration
-	paced   float64
-	turned  map[Reason]uint64
-	passed  uint64
-	out     []Verdict
-}
-
-// New returns a limiter that has seen nothing.
-func New(set Settings) *Limiter {
-	l := &Limiter{set: set, fleet: routers{now: max(set.Routers, 1), next: max(set.Routers, 1)},
-		room: newRoom(float64(set.MinInFlight), float64(set.StartInFlight), float64(set.MaxInFlight), len(set.Classes)), shed: newShed(set.Classes),
-		works: map[uint64]*work{}, meters: map[[2]int]*pair{}, clients: map[uint64]*retries{}, turned: map[Reason]uint64{}}
-	l.queue = NewQueue(set.MaxWaiting, l.weight)
+	settings      Settings
+	routers       routerCount
+	queue         *Queue
+	concurrency   concurrencyLimit
+	shedder       shedder
+	active        map[uint64]*activeRequest // by request id
+	inFlightSize  float64                   // in requests of mean size
+	inFlight      int                       // requests
+	budgetStates  map[[2]int]*budgetState   // by the indexes of the tenant and its budget
+	clients       map[uint64]*retryBudget
+	throughput    float64       // price per second that is dispatched while requests are queued; 0: not measured yet
+	measuredSince time.Duration // start of the current measurement
+	measuredSize  float64       // price dispatched in it
+	refusals      map[Reason]uint64
+	admitted      uint64
+	decided       []Verdict // not returned yet
+}
+
+// New returns a limiter without requests.
+func New(settings Settings) *Limiter {
+	l := &Limiter{settings: settings, routers: routerCount{current: max(settings.Routers, 1), next: max(settings.Routers, 1)},
+		concurrency: newConcurrencyLimit(float64(settings.MinInFlight), float64(settings.StartInFlight),
+			float64(settings.MaxInFlight), len(settings.Classes)), shedder: newShedder(settings.Classes),
+		active: map[uint64]*activeRequest{}, budgetStates: map[[2]int]*budgetState{}, clients: map[uint64]*retryBudget{},
+		refusals: map[Reason]uint64{}}
+	l.queue = NewQueue(settings.MaxWaiting, l.weight)
 	return l
 }
 
 func (l *Limiter) weight(tenant int) float64 {
-	if tenant < 0 || tenant >= len(l.set.Tenants) {
+	if tenant < 0 || tenant >= len(l.settings.Tenants) {
 		return 1
 	}
-	return l.set.Tenants[tenant].Weight
+	return l.settings.Tenants[tenant].Weight
 }
 
-// verdicts gives what was decided since the last time.
-func (l *Limiter) verdicts() []Verdict {
-	out := l.out
-	l.out = nil
-	return out
+// takeVerdicts returns the verdicts since the last call.
+func (l *Limiter) takeVerdicts() []Verdict {
+	verdicts := l.decided
+	l.decided = nil
+	return verdicts
 }
 
-// Admit takes a request in and gives its verdict, or none while it waits; others
-// may come with it, in order.
-func (l *Limiter) Admit(now time.Duration, a Request) []Verdict {
-	l.drain(now)
-	if l.works[a.ID] != nil || a.Class < 0 || a.Class >= len(l.set.Classes) {
-		return l.verdicts()
+// Admit decides on a new request, or queues it. It returns the verdicts that are due, of this and of other requests, in
+// order.
+func (l *Limiter) Admit(now time.Duration, r Request) []Verdict {
+	l.advance(now)
+	if l.active[r.ID] != nil || r.Class < 0 || r.Class >= len(l.settings.Classes) {
+		return l.takeVerdicts()
 	}
-	class := &l.set.Classes[a.Class]
-	w := &work{Request: a, since: now, aim: class.Aim + time.Duration(a.Prompt/1000*float64(class.AimPer1000))}
-	if v := l.Charge(now, a); v.Admitted {
-		l.admit(now, w)
+	class := &l.settings.Classes[r.Class]
+	a := &activeRequest{Request: r, since: now, target: class.Aim + time.Duration(r.Prompt/1000*float64(class.AimPer1000))}
+	if v := l.Charge(now, r); v.Admitted {
+		l.dispatchOrQueue(now, a)
 	} else {
-		l.out = append(l.out, v)
+		l.decided = append(l.decided, v)
 	}
-	return l.verdicts()
+	return l.takeVerdicts()
 }
 
-// Charge takes a request's budgets, as for a batch that then comes in parts.
-// What it refuses has taken nothing. Charging counts no try again of a part.
-func (l *Limiter) Charge(now time.Duration, a Request) Verdict {
-	if a.Charged {
-		return Verdict{ID: a.ID, Admitted: true}
+// Charge charges a request to its tenant's budgets and its client's retry budget, for instance for a batch that is then
+// admitted in parts. A refused request isn't charged to the tenant. Parts that are Charged pass and aren't counted as
+// retries.
+func (l *Limiter) Charge(now time.Duration, r Request) Verdict {
+	if r.Charged {
+		return Verdict{ID: r.ID, Admitted: true}
 	}
-	if wait := l.tries(now, a); wait > 0 {
-		return l.refuse(a.ID, Retries, wait)
+	if wait := l.checkRetry(now, r); wait > 0 {
+		return l.refusal(r.ID, Retries, wait)
 	}
-	if why, wait := l.budgets(now, a); why != 0 {
-		return l.refuse(a.ID, why, wait)
+	if reason, wait := l.checkBudgets(now, r); reason != 0 {
+		return l.refusal(r.ID, reason, wait)
 	}
-	l.each(a, func(b *Budget, p *pair) {
-		requests, tokens := l.shares(now, b, p, a)
-		p.requests.Take(now, requests, 1)
-		p.tokens.Take(now, tokens, a.Tokens)
+	l.eachBudget(r, func(b *Budget, state *budgetState) {
+		requests, tokens := l.routerShares(now, b, state, r)
+		state.requests.Take(now, requests, 1)
+		state.tokens.Take(now, tokens, r.Tokens)
 	})
-	return Verdict{ID: a.ID, Admitted: true}
+	return Verdict{ID: r.ID, Admitted: true}
 }
 
-// refuse words a refusal; the advice is bounded, but for budgets, whose wait is known.
-func (l *Limiter) refuse(id uint64, why Reason, after time.Duration) Verdict {
-	l.turned[why]++
-	return Verdict{ID: id, Reason: why, RetryAfter: after}
+// refusal counts and returns a refusal. Its retry delay is not bounded: the wait for a budget is known exactly.
+func (l *Limiter) refusal(id uint64, reason Reason, retryAfter time.Duration) Verdict {
+	l.refusals[reason]++
+	return Verdict{ID: id, Reason: reason, RetryAfter: retryAfter}
 }
 
-// tries counts a client's try; it tells how long the next one again is away.
-func (l *Limiter) tries(now time.Duration, a Request) time.Duration {
-	if l.set.Retries <= 0 || a.Client == 0 {
+// checkRetry counts an attempt of a client. For a retry beyond the budget it returns how long until the next retry is
+// admitted, otherwise 0.
+func (l *Limiter) checkRetry(now time.Duration, r Request) time.Duration {
+	if l.settings.Retries <= 0 || r.Client == 0 {
 		return 0
 	}
-	b := l.clients[a.Client]
+	b := l.clients[r.Client]
 	if b == nil {
-		if len(l.clients) >= l.set.MaxClients {
-			l.forget(now)
+		if len(l.clients) >= l.settings.MaxClients {
+			l.evictClients(now)
 		}
-		b = &retries{left: retriesMost, at: now}
-		l.clients[a.Client] = b
+		b = &retryBudget{available: minRetryBurst, at: now}
+		l.clients[r.Client] = b
 	}
-	if a.Retry {
-		return b.again(now, l.set.Retries)
+	if r.Retry {
+		return b.take(now, l.settings.Retries)
 	}
-	b.first(now, l.set.Retries)
+	b.firstAttempt(now, l.settings.Retries)
 	return 0
 }
 
-// forget drops the clients whose budgets are full again, and where that is not
-// enough all: memory is bounded. That gives each client a full budget anew.
-func (l *Limiter) forget(now time.Duration) {
+// evictClients bounds memory: it drops the clients with a full retry budget, or, where that is not enough, all clients,
+// which gives each a full budget again.
+func (l *Limiter) evictClients(now time.Duration) {
 	for id, b := range l.clients {
-		if b.settle(now); b.left >= retriesMost {
+		if b.refill(now); b.available >= minRetryBurst {
 			delete(l.clients, id)
 		}
 	}
-	if len(l.clients) >= l.set.MaxClients {
+	if len(l.clients) >= l.settings.MaxClients {
 		clear(l.clients)
 	}
 }
 
-// each calls f with each budget that a request falls under.
-func (l *Limiter) each(a Request, f func(b *Budget, p *pair)) {
-	if a.Tenant < 0 || a.Tenant >= len(l.set.Tenants) {
+// eachBudget calls f with each budget that applies to a request.
+func (l *Limiter) eachBudget(r Request, f func(b *Budget, state *budgetState)) {
+	if r.Tenant < 0 || r.Tenant >= len(l.settings.Tenants) {
 		return
 	}
-	list := l.set.Tenants[a.Tenant].Budgets
-	for i := range list {
-		if b := &list[i]; b.Class < 0 || b.Class == a.Class {
-			key := [2]int{a.Tenant, i}
-			p := l.meters[key]
-			if p == nil {
-				p = &pair{}
-				l.meters[key] = p
+	budgets := l.settings.Tenants[r.Tenant].Budgets
+	for i := range budgets {
+		if b := &budgets[i]; b.Class < 0 || b.Class == r.Class {
+			key := [2]int{r.Tenant, i}
+			state := l.budgetStates[key]
+			if state == nil {
+				state = &budgetState{}
+				l.budgetStates[key] = state
 			}
-			f(b, p)
+			f(b, state)
 		}
 	}
 }
 
-// shares are this router's parts of a budget. The tokens' burst lets one
-// request pass that the whole fleet's would.
-func (l *Limiter) shares(now time.Duration, b *Budget, p *pair, a Request) (requests, tokens Rate) {
-	own := p.own.left(now)
-	n := l.fleet.now
-	return share(b.Requests, n, own, together(b.Requests, n)), share(b.Tokens, n, own, min(a.Tokens, b.Tokens.Burst))
+// routerShares returns this router's shares of a budget. The burst of tokens admits any single request that the fleet's
+// burst admits.
+func (l *Limiter) routerShares(now time.Duration, b *Budget, state *budgetState, r Request) (requests, tokens Rate) {
+	arrivals := state.arrivals.decayed(now)
+	n := l.routers.current
+	return routerShare(b.Requests, n, arrivals, smallShareBurst(b.Requests, n)),
+		routerShare(b.Tokens, n, arrivals, min(r.Tokens, b.Tokens.Burst))
 }
 
-// budgets tells which budget turns a request away, and for how long.
-func (l *Limiter) budgets(now time.Duration, a Request) (why Reason, wait time.Duration) {
-	l.each(a, func(b *Budget, p *pair) {
-		if !p.known {
-			used := first(b.Requests, l.fleet.now, unit(l.set.Seed, uint64(a.Tenant)))
-			p.known, p.requests.used, p.requests.at = true, used, now
+// checkBudgets returns which budget refuses a request and for how long, or 0 if none does.
+func (l *Limiter) checkBudgets(now time.Duration, r Request) (reason Reason, wait time.Duration) {
+	l.eachBudget(r, func(b *Budget, state *budgetState) {
+		if !state.initialized {
+			used := initialUse(b.Requests, l.routers.current, hashFraction(l.settings.Seed, uint64(r.Tenant)))
+			state.initialized, state.requests.used, state.requests.at = true, used, now
 		}
-		p.own.count(now)
-		requests, tokens := l.shares(now, b, p, a)
-		if b.Tokens.Never(a.Tokens) {
-			why, wait = TooLarge, 0
+		state.arrivals.add(now)
+		requests, tokens := l.routerShares(now, b, state, r)
+		if b.Tokens.NeverAllows(r.Tokens) {
+			reason, wait = TooLarge, 0
 		}
-		if why == TooLarge {
+		if reason == TooLarge {
 			return
 		}
-		if d := p.requests.Wait(now, requests, 1); d > wait {
-			why, wait = Requests, d
+		if d := state.requests.Wait(now, requests, 1); d > wait {
+			reason, wait = Requests, d
 		}
-		if d := p.tokens.Wait(now, tokens, a.Tokens); d > wait {
-			why, wait = Tokens, d
+		if d := state.tokens.Wait(now, tokens, r.Tokens); d > wait {
+			reason, wait = Tokens, d
 		}
 	})
-	return why, wait
+	return reason, wait
 }
 
-// Refund gives back what Charge took for work that did not run.
-func (l *Limiter) Refund(a Request) {
-	if a.Charged {
+// Refund returns to the tenant's budgets what Charge took for a request that did not run.
+func (l *Limiter) Refund(r Request) {
+	if r.Charged {
 		return
 	}
-	l.each(a, func(_ *Budget, p *pair) {
-		p.requests.Refund(1)
-		p.tokens.Refund(a.Tokens)
+	l.eachBudget(r, func(_ *Budget, state *budgetState) {
+		state.requests.Refund(1)
+		state.tokens.Refund(r.Tokens)
 	})
 }
 
-// admit hands a request on, has it wait, or turns it away for want of room.
-func (l *Limiter) admit(now time.Duration, w *work) {
-	if l.set.Shed && !w.PartsRun && l.shed.drops(w.Class, w.Retry, unit(l.set.Seed, w.ID)) {
-		l.turn(w, Shed, l.back())
+// dispatchOrQueue dispatches or queues a request, or refuses it for lack of capacity.
+func (l *Limiter) dispatchOrQueue(now time.Duration, a *activeRequest) {
+	if l.settings.Shed && !a.PartsRun && l.shedder.sheds(a.Class, a.Retry, hashFraction(l.settings.Seed, a.ID)) {
+		l.refuse(a, Shed, l.retryAfter())
 		return
 	}
-	if l.queue.Len() == 0 && l.free() {
-		l.shed.count(false)
-		l.hand(now, w)
+	if l.queue.Len() == 0 && l.hasCapacity() {
+		l.shedder.count(false)
+		l.dispatch(now, a)
 		return
 	}
-	most, ahead := l.patience(w), l.wait(w.Tenant)
-	if ahead > most {
-		l.shed.count(true)
-		l.turn(w, Crowded, max(ahead-most, l.back()))
+	maxWait, expectedWait := l.maxWait(a), l.expectedWait(a.Tenant)
+	if expectedWait > maxWait {
+		l.shedder.count(true)
+		l.refuse(a, Overloaded, max(expectedWait-maxWait, l.retryAfter()))
 		return
 	}
-	l.works[w.ID] = w
-	out := l.queue.Add(Item{ID: w.ID, Tenant: w.Tenant, Size: max(w.Price, 1e-9), Deadline: now + most,
-		Worth: l.set.Classes[w.Class].Worth, Priority: l.set.Classes[w.Class].Priority})
-	l.shed.count(out != nil)
-	if out != nil {
-		l.turn(l.works[out.ID], Crowded, max(ahead, l.back()))
+	l.active[a.ID] = a
+	evicted := l.queue.Add(Item{ID: a.ID, Tenant: a.Tenant, Size: max(a.Price, 1e-9), Deadline: now + maxWait,
+		Worth: l.settings.Classes[a.Class].Worth, Priority: l.settings.Classes[a.Class].Priority})
+	l.shedder.count(evicted != nil)
+	if evicted != nil {
+		l.refuse(l.active[evicted.ID], Overloaded, max(expectedWait, l.retryAfter()))
 	}
 }
 
-// unit mixes two numbers into one from 0 to under 1, always the same.
-func unit(a, b uint64) float64 {
+// hashFraction hashes two numbers to a fraction in [0, 1).
+func hashFraction(a, b uint64) float64 {
 	var p rand.PCG
 	p.Seed(a, b)
 	return float64(p.Uint64()>>11) / (1 << 53)
 }
 
-// patience is how long a request may wait: what it asks, its aim less the time
-// that a first token usually takes, and its client's own.
-func (l *Limiter) patience(w *work) time.Duration {
-	part := min(l.set.WaitPart, max(1-l.room.usual*1.2, 0))
-	if w.PartsRun { // what has run of it would be lost
-		return w.TimeLeft / 2
+// maxWait returns how long a request may be queued: its target latency less the usual first-token latency, at most the
+// fraction WaitPart of the target, and at most half of the time to its client's deadline.
+func (l *Limiter) maxWait(a *activeRequest) time.Duration {
+	fraction := min(l.settings.WaitPart, max(1-l.concurrency.meanFraction*1.2, 0))
+	if a.PartsRun { // a refusal would waste the parts that have run
+		return a.TimeLeft / 2
 	}
-	return min(time.Duration(part*float64(w.aim)), w.TimeLeft/2)
+	return min(time.Duration(fraction*float64(a.target)), a.TimeLeft/2)
 }
 
-// wait is how long a tenant's work that came now would wait, at the pace of late.
-func (l *Limiter) wait(tenant int) time.Duration {
-	if l.pace <= 0 {
+// expectedWait returns how long a new request of a tenant would be queued at the measured throughput.
+func (l *Limiter) expectedWait(tenant int) time.Duration {
+	if l.throughput <= 0 {
 		return 0
 	}
-	return time.Duration(l.queue.Ahead(tenant) / l.pace * float64(time.Second))
+	return time.Duration(l.queue.Ahead(tenant) / l.throughput * float64(time.Second))
 }
 
-func (l *Limiter) back() time.Duration {
-	back := time.Duration(float64(l.set.MinRetryAfter) * (1 + l.shed.level))
-	return min(back, max(l.set.MaxRetryAfter, l.set.MinRetryAfter))
+// retryAfter returns the retry delay of refusals for lack of capacity; it grows with the level of the brown-out.
+func (l *Limiter) retryAfter() time.Duration {
+	after := time.Duration(float64(l.settings.MinRetryAfter) * (1 + l.shedder.level))
+	return min(after, max(l.settings.MaxRetryAfter, l.settings.MinRetryAfter))
 }
 
-func (l *Limiter) free() bool { return l.hands == 0 || l.inHand < l.room.now }
+// hasCapacity reports whether another request may be dispatched. One request always may, whatever its size.
+func (l *Limiter) hasCapacity() bool {
+	return l.inFlight == 0 || l.inFlightSize < l.concurrency.current
+}
 
-// turn gives the final word on work that is not handed on.
-func (l *Limiter) turn(w *work, why Reason, after time.Duration) {
-	delete(l.works, w.ID)
-	l.Refund(w.Request)
-	l.out = append(l.out, l.refuse(w.ID, why, min(after, max(l.set.MaxRetryAfter, l.set.MinRetryAfter))))
+// refuse refuses a request that was not dispatched and refunds it. The retry delay is bounded by MaxRetryAfter.
+func (l *Limiter) refuse(a *activeRequest, reason Reason, retryAfter time.Duration) {
+	delete(l.active, a.ID)
+	l.Refund(a.Request)
+	l.decided = append(l.decided, l.refusal(a.ID, reason, min(retryAfter, max(l.settings.MaxRetryAfter, l.settings.MinRetryAfter))))
 }
 
-// hand gives a request to the module.
-func (l *Limiter) hand(now time.Duration, w *work) {
-	w.hand, w.since, w.size = true, now, l.room.sized(max(w.Price, 1e-9))
-	l.works[w.ID] = w
-	l.inHand += w.size
-	l.hands++
-	l.room.top = max(l.room.top, l.inHand)
-	l.passed++
-	l.measure(now, w.Price)
-	l.out = append(l.out, Verdict{ID: w.ID, Admitted: true})
+// dispatch admits a request, to be passed to the decision module.
+func (l *Limiter) dispatch(now time.Duration, a *activeRequest) {
+	a.dispatched, a.since, a.size = true, now, l.concurrency.relativeSize(max(a.Price, 1e-9))
+	l.active[a.ID] = a
+	l.inFlightSize += a.size
+	l.inFlight++
+	l.concurrency.peak = max(l.concurrency.peak, l.inFlightSize)
+	l.admitted++
+	l.measureThroughput(now, a.Price)
+	l.decided = append(l.decided, Verdict{ID: a.ID, Admitted: true})
 }
 
-// measure learns the pace at which work goes through while some waits.
-func (l *Limiter) measure(now time.Duration, size float64) {
-	const over = time.Second
-	if l.queue.Len() == 0 || now-l.paceAt > 4*over { // nothing held it back, or it is long ago
-		l.paceAt, l.paced = now, 0
+// measureThroughput updates the throughput by a dispatched request. Only times with queued requests count.
+func (l *Limiter) measureThroughput(now time.Duration, size float64) {
+	const period = time.Second
+	if l.queue.Len() == 0 || now-l.measuredSince > 4*period { // not limited by capacity, or the measurement is out of date
+		l.measuredSince, l.measuredSize = now, 0
 		return
 	}
-	l.paced += size
-	if span := now - l.paceAt; span >= over/4 {
-		rate := l.paced / span.Seconds()
-		if l.pace == 0 {
-			l.pace = rate
+	l.measuredSize += size
+	if span := now - l.measuredSince; span >= period/4 {
+		rate := l.measuredSize / span.Seconds()
+		if l.throughput == 0 {
+			l.throughput = rate
 		}
-		l.pace += min(float64(span)/float64(over), 1) * (rate - l.pace)
-		l.queue.Credit = l.pace * creditOver.Seconds() / max(l.queue.shares, 1)
-		l.paceAt, l.paced = now, 0
+		l.throughput += min(float64(span)/float64(period), 1) * (rate - l.throughput)
+		l.queue.Credit = l.throughput * creditPeriod.Seconds() / max(l.queue.totalWeight, 1)
+		l.measuredSince, l.measuredSize = now, 0
 	}
 }
 
-// creditOver is the time in which a tenant may save up what it asks for less than its share.
-const creditOver = 5 * time.Second
+// creditPeriod bounds a tenant's credit in the queue: its unused share of this time.
+const creditPeriod = 5 * time.Second
 
-// drain turns away what is late and hands on what there is room for.
-func (l *Limiter) drain(now time.Duration) {
-	l.shed.round(now)
-	if l.fleet.tick(now) {
-		l.divide(now, l.fleet.next)
+// advance applies what is due at a time: it ends rounds of the brown-out, applies a lower router count, refuses expired
+// requests and dispatches queued requests while there is capacity.
+func (l *Limiter) advance(now time.Duration) {
+	l.shedder.update(now)
+	if l.routers.decreaseDue(now) {
+		l.setDivisor(now, l.routers.next)
 	}
-	for x := l.queue.Late(now); x != nil; x = l.queue.Late(now) {
-		l.shed.count(true)
-		l.turn(l.works[x.ID], Waited, l.back())
+	for x := l.queue.PopExpired(now); x != nil; x = l.queue.PopExpired(now) {
+		l.shedder.count(true)
+		l.refuse(l.active[x.ID], QueueTimeout, l.retryAfter())
 	}
-	for l.queue.Len() > 0 && l.free() {
-		l.hand(now, l.works[l.queue.Next().ID])
+	for l.queue.Len() > 0 && l.hasCapacity() {
+		l.dispatch(now, l.active[l.queue.Next().ID])
 	}
 }
 
-// FirstToken tells that a request's first token has come: it is out of hand.
+// FirstToken records that a request's first token has come: the request no longer counts as in flight.
 func (l *Limiter) FirstToken(now time.Duration, id uint64) []Verdict {
-	if w := l.works[id]; w != nil && w.hand && !w.begun {
-		l.begin(now, w)
-		l.room.took(now, w.since, w.Class, float64(now-w.since)/float64(max(w.aim, 1)))
+	if a := l.active[id]; a != nil && a.dispatched && !a.released {
+		l.releaseCapacity(now, a)
+		l.concurrency.firstToken(now, a.since, a.Class, float64(now-a.since)/float64(max(a.target, 1)))
 	}
-	l.drain(now)
-	return l.verdicts()
+	l.advance(now)
+	return l.takeVerdicts()
 }
 
-func (l *Limiter) begin(now time.Duration, w *work) {
-	w.begun = true
-	l.inHand -= w.size
-	if l.hands--; l.hands == 0 {
-		l.inHand = 0 // no error of sums stays
+// releaseCapacity removes a dispatched request from the amount in flight.
+func (l *Limiter) releaseCapacity(now time.Duration, a *activeRequest) {
+	a.released = true
+	l.inFlightSize -= a.size
+	if l.inFlight--; l.inFlight == 0 {
+		l.inFlightSize = 0 // drops rounding errors
 	}
 }
 
-// End tells how a request ended that was handed on.
+// End is how a dispatched request ended.
 type End int
 
 // The ends.
 const (
 	Served     End = iota + 1
-	Refused        // the module did: nothing has run
+	Refused        // by the decision module: nothing has run
 	Failed         // it may have run
-	ClientGone     // its client left
+	ClientGone     // its client disconnected
 )
 
-// Ended tells that a request is over, or that its client left while it waited.
-func (l *Limiter) Ended(now time.Duration, id uint64, how End) []Verdict {
-	w := l.works[id]
-	if w == nil {
-		l.drain(now)
-		return l.verdicts()
+// Ended records that a dispatched request ended, or that the client of a queued one disconnected.
+func (l *Limiter) Ended(now time.Duration, id uint64, end End) []Verdict {
+	a := l.active[id]
+	if a == nil {
+		l.advance(now)
+		return l.takeVerdicts()
 	}
-	delete(l.works, id)
+	delete(l.active, id)
 	switch {
-	case !w.hand:
-		l.queue.Remove(w.Tenant, id)
-		l.Refund(w.Request)
-	case !w.begun:
-		l.begin(now, w)
-		part := float64(now-w.since) / float64(max(w.aim, 1))
+	case !a.dispatched:
+		l.queue.Remove(a.Tenant, id)
+		l.Refund(a.Request)
+	case !a.released:
+		l.releaseCapacity(now, a)
+		fraction := float64(now-a.since) / float64(max(a.target, 1))
 		switch {
-		case how == Served:
-			l.room.took(now, w.since, w.Class, part)
-		case how == Refused:
-			l.room.turned(now, w.since)
-			l.Refund(w.Request)
-		case l.room.slow(w.Class, part): // no first token came: that was late as well
-			l.room.took(now, w.since, w.Class, part)
+		case end == Served:
+			l.concurrency.firstToken(now, a.since, a.Class, fraction)
+		case end == Refused:
+			l.concurrency.refused(now, a.since)
+			l.Refund(a.Request)
+		case l.concurrency.isLate(a.Class, fraction): // no first token came within that time: counts as late
+			l.concurrency.firstToken(now, a.since, a.Class, fraction)
 		}
 	}
-	l.drain(now)
-	return l.verdicts()
+	l.advance(now)
+	return l.takeVerdicts()
 }
 
-// Tick is called when Due is; it turns away what is late.
+// Tick applies what is due; it is called at the time that Due returns.
 func (l *Limiter) Tick(now time.Duration) []Verdict {
-	l.drain(now)
-	return l.verdicts()
+	l.advance(now)
+	return l.takeVerdicts()
 }
 
-// Due is when Tick has something to do.
+// Due returns when Tick has something to do, if ever.
 func (l *Limiter) Due() (time.Duration, bool) {
-	at, some := l.queue.Due()
-	if then, waits := l.fleet.due(); waits && (!some || then < at) {
-		return then, true
+	at, queued := l.queue.NextDeadline()
+	if change, pending := l.routers.nextChange(); pending && (!queued || change < at) {
+		return change, true
 	}
-	return at, some
+	return at, queued
 }
 
-// SetRouters tells how many routers the list has. More count at once, fewer once
-// that has stood for three seconds.
+// SetRouters sets the number of routers that discovery reports. An increase takes effect at once, a decrease after
+// decreaseDelay.
 func (l *Limiter) SetRouters(now time.Duration, routers int) {
-	before := l.fleet.now
-	if l.fleet.tell(now, routers) {
-		after := l.fleet.now
-		l.fleet.now = before
-		l.divide(now, after)
+	before := l.routers.current
+	if l.routers.update(now, routers) {
+		after := l.routers.current
+		l.routers.current = before
+		l.setDivisor(now, after)
 	}
 }
 
-// divide settles the meters at their old rates before the divisor changes.
-func (l *Limiter) divide(now time.Duration, routers int) {
-	l.settle(now)
-	l.fleet.now = routers
+// setDivisor settles the meters at their old rates, then changes the number that quotas are divided by.
+func (l *Limiter) setDivisor(now time.Duration, routers int) {
+	l.settleBudgets(now)
+	l.routers.current = routers
 }
 
-func (l *Limiter) settle(now time.Duration) {
-	for key, p := range l.meters {
-		b := &l.set.Tenants[key[0]].Budgets[key[1]]
-		requests, tokens := l.shares(now, b, p, Request{})
-		p.requests.Settle(now, requests)
-		p.tokens.Settle(now, tokens)
+// settleBudgets drains all meters up to now at their current rates.
+func (l *Limiter) settleBudgets(now time.Duration) {
+	for key, state := range l.budgetStates {
+		b := &l.settings.Tenants[key[0]].Budgets[key[1]]
+		requests, tokens := l.routerShares(now, b, state, Request{})
+		state.requests.Settle(now, requests)
+		state.tokens.Settle(now, tokens)
 	}
 }
 
-// Reload takes new settings while requests wait: they keep their places, by the
-// new weights, but those that are too many now. Budgets keep what they owe where
-// a tenant's list of them has as many as before; classes stay as many.
-func (l *Limiter) Reload(now time.Duration, set Settings) []Verdict {
-	l.settle(now)
-	before := l.set
-	l.set = set
-	for key := range l.meters {
+// Reload applies new settings. Queued requests stay queued, by the new weights, except those beyond the new bound of the
+// queue, which are refused. Budgets keep their state if the tenant has as many of them as before. The number of classes
+// must not change.
+func (l *Limiter) Reload(now time.Duration, settings Settings) []Verdict {
+	l.settleBudgets(now)
+	before := l.settings
+	l.settings = settings
+	for key := range l.budgetStates {
 		t := key[0]
-		if t >= len(set.Tenants) || len(set.Tenants[t].Budgets) != len(before.Tenants[t].Budgets) {
-			delete(l.meters, key)
+		if t >= len(settings.Tenants) || len(settings.Tenants[t].Budgets) != len(before.Tenants[t].Budgets) {
+			delete(l.budgetStates, key)
 		}
 	}
-	if set.Routers != before.Routers { // by the budgets that are left
-		l.SetRouters(now, set.Routers)
+	if settings.Routers != before.Routers { // after removed budgets were deleted: it settles the remaining ones
+		l.SetRouters(now, settings.Routers)
 	}
-	level := l.shed.level
-	l.shed = newShed(set.Classes)
-	l.shed.level, l.shed.since = min(level, l.shed.top), now
-	l.room.least, l.room.most = float64(set.MinInFlight), float64(set.MaxInFlight)
-	l.room.now = min(max(l.room.now, l.room.least), l.room.most)
-	for _, x := range l.queue.Limit(set.MaxWaiting) {
-		l.turn(l.works[x.ID], Crowded, l.back())
+	level := l.shedder.level
+	l.shedder = newShedder(settings.Classes)
+	l.shedder.level, l.shedder.roundStart = min(level, l.shedder.maxLevel), now
+	l.concurrency.lower, l.concurrency.upper = float64(settings.MinInFlight), float64(settings.MaxInFlight)
+	l.concurrency.current = min(max(l.concurrency.current, l.concurrency.lower), l.concurrency.upper)
+	for _, x := range l.queue.SetMaxItems(settings.MaxWaiting) {
+		l.refuse(l.active[x.ID], Overloaded, l.retryAfter())
 	}
-	l.drain(now)
-	return l.verdicts()
+	l.advance(now)
+	return l.takeVerdicts()
 }
 
-// Revoke turns away what waits for a client whose key was taken back. What is in
-// hand goes on to its one answer.
+// Revoke refuses the queued requests of a client whose API key was revoked. Dispatched requests continue to their
+// answer.
 func (l *Limiter) Revoke(now time.Duration, client uint64) []Verdict {
-	for _, x := range l.queue.Select(func(id uint64) bool { return l.works[id].Client == client }) {
+	for _, x := range l.queue.Select(func(id uint64) bool { return l.active[id].Client == client }) {
 		l.queue.Remove(x.Tenant, x.ID)
-		l.turn(l.works[x.ID], Revoked, 0)
+		l.refuse(l.active[x.ID], Revoked, 0)
 	}
-	l.drain(now)
-	return l.verdicts()
+	l.advance(now)
+	return l.takeVerdicts()
 }
 
-// Allowance is what a tenant may still ask for, of the fleet's budgets as this router
-// sees its part of them.
+// Allowance is what remains of a tenant's budget: the fleet's budget, estimated from this router's share.
 type Allowance struct {
 	Limit, Remaining float64
-	Reset            time.Duration // until all of it may come again
-	Limited          bool
+	Reset            time.Duration // until the whole burst is available again
+	Limited          bool          // false: no budget applies
 }
 
-// Remaining tells the tightest budgets of requests and of tokens.
+// Remaining returns the tightest of the budgets of requests and of tokens that apply to a tenant and class.
 func (l *Limiter) Remaining(now time.Duration, tenant, class int) (requests, tokens Allowance) {
-	tighter := func(was Allowance, whole, part Rate, m *Meter) Allowance {
+	tighter := func(least Allowance, whole, part Rate, m *Meter) Allowance {
 		if whole.PerSecond <= 0 {
-			return was
+			return least
 		}
-		left := Allowance{Limit: whole.Burst, Reset: m.Full(now, part), Limited: true}
-		left.Remaining = whole.Burst * m.Left(now, part) / max(part.Burst, 1e-9)
-		if was.Limited && was.Remaining <= left.Remaining {
-			return was
+		own := Allowance{Limit: whole.Burst, Reset: m.TimeToFull(now, part), Limited: true}
+		own.Remaining = whole.Burst * m.Available(now, part) / max(part.Burst, 1e-9)
+		if least.Limited && least.Remaining <= own.Remaining {
+			return least
 		}
-		return left
+		return own
 	}
-	a := Request{Tenant: tenant, Class: class}
-	l.each(a, func(b *Budget, p *pair) {
-		r, t := l.shares(now, b, p, a)
-		requests = tighter(requests, b.Requests, r, &p.requests)
-		tokens = tighter(tokens, b.Tokens, t, &p.tokens)
+	request := Request{Tenant: tenant, Class: class}
+	l.eachBudget(request, func(b *Budget, state *budgetState) {
+		r, t := l.routerShares(now, b, state, request)
+		requests = tighter(requests, b.Requests, r, &state.requests)
+		tokens = tighter(tokens, b.Tokens, t, &state.tokens)
 	})
 	return requests, tokens
 }
 
-// View is the limiter as operators see it.
+// View is the state of a limiter for operators.
 type View struct {
-	Waiting int
-	Hands   int
-	InHand  float64 // in requests of mean size
-	Room    float64
-	Level   float64 // of the brown-out
-	Passed  uint64
-	Turned  map[Reason]uint64
-	Routers int
+	Waiting int               // queued requests
+	Hands   int               // requests in flight
+	InHand  float64           // size in flight, in requests of mean size
+	Room    float64           // concurrency limit, in requests of mean size
+	Level   float64           // of the brown-out
+	Passed  uint64            // requests admitted since the start
+	Turned  map[Reason]uint64 // requests refused since the start
+	Routers int               // that quotas are divided by
 }
 
-// View shows the limiter; it changes nothing.
+// View returns the current state and changes nothing.
 func (l *Limiter) View() View {
-	v := View{Waiting: l.queue.Len(), Hands: l.hands, InHand: l.inHand, Room: l.room.now, Level: l.shed.level,
-		Passed: l.passed, Turned: map[Reason]uint64{}, Routers: l.fleet.now}
-	for why, n := range l.turned {
-		v.Turned[why] = n
+	v := View{Waiting: l.queue.Len(), Hands: l.inFlight, InHand: l.inFlightSize, Room: l.concurrency.current, Level: l.shedder.level,
+		Passed: l.admitted, Turned: map[Reason]uint64{}, Routers: l.routers.current}
+	for reason, n := range l.refusals {
+		v.Turned[reason] = n
 	}
 	return v
 }
--- a/internal/limits/queue.go
+++ b/internal/limits/queue.go
@@ -6,63 +6,74 @@
 	"time"
 )
 
-// Item is work that waits.
+// Item is a queued request.
 type Item struct {
-	ID       uint64
-	Tenant   int
-	Size     float64       // cost, in any unit above 0
-	Worth    float64       // what is worth least is pushed out first
-	Priority int           // within its tenant: the higher first
-	Deadline time.Duration // it is of no use after it
-	due      int           // place in the heap of deadlines
+	ID            uint64
+	Tenant        int
+	Size          float64       // cost, in any unit above 0
+	Worth         float64       // the item of lowest worth is evicted first
+	Priority      int           // order within the tenant: higher first
+	Deadline      time.Duration // the item expires at this time
+	deadlineIndex int           // index in Queue.byDeadline
 }
 
-// lane is one tenant's items: by priority, then in order of coming.
-type lane struct {
-	tenant  int
-	weight  float64
-	items   []*Item
-	start   float64 // virtual time at which the first item begins
-	waiting float64 // size of the items, for its weight
-	turn    int     // place in the heap of turns
-	load    int     // and in that of loads
+// flow is the items of one tenant, ordered by priority, then by arrival.
+type flow struct {
+	tenant       int
+	weight       float64
+	items        []*Item
+	virtualStart float64 // virtual start time of the first item
+	backlog      float64 // total size of the items divided by the weight
+	finishIndex  int     // index in Queue.byFinish
+	backlogIndex int     // index in Queue.byBacklog
 }
 
-func (l *lane) finish() float64 { return l.start + l.items[0].Size/l.weight }
+// virtualFinish returns the virtual finish time of the first item.
+func (f *flow) virtualFinish() float64 { return f.virtualStart + f.items[0].Size/f.weight }
 
-// turns has the lane whose first item ends first on top; equals by tenant.
-type turns []*lane
+// byFinish is a heap of flows with the earliest virtual finish time on top, ties by tenant.
+type byFinish []*flow
 
-func (h turns) Len() int { return len(h) }
-func (h turns) Less(i, j int) bool {
-	a, b := h[i].finish(), h[j].finish()
+func (h byFinish) Len() int { return len(h) }
+func (h byFinish) Less(i, j int) bool {
+	a, b := h[i].virtualFinish(), h[j].virtualFinish()
 	return a < b || a == b && h[i].tenant < h[j].tenant
 }
-func (h turns) Swap(i, j int) { h[i], h[j] = h[j], h[i]; h[i].turn, h[j].turn = i, j }
-func (h *turns) Push(x any)   { l := x.(*lane); l.turn = len(*h); *h = append(*h, l) }
-func (h *turns) Pop() any     { return pop((*[]*lane)(h)) }
+func (h byFinish) Swap(i, j int) { h[i], h[j] = h[j], h[i]; h[i].finishIndex, h[j].finishIndex = i, j }
+func (h *byFinish) Push(x any)   { f := x.(*flow); f.finishIndex = len(*h); *h = append(*h, f) }
+func (h *byFinish) Pop() any     { return pop((*[]*flow)(h)) }
 
-// loads has the lane that waits with most work for its weight on top.
-type loads []*lane
+// byBacklog is a heap of flows with the largest backlog on top, ties by tenant.
+type byBacklog []*flow
 
-func (h loads) Len() int { return len(h) }
-func (h loads) Less(i, j int) bool {
-	return h[i].waiting > h[j].waiting || h[i].waiting == h[j].waiting && h[i].tenant < h[j].tenant
+func (h byBacklog) Len() int { return len(h) }
+func (h byBacklog) Less(i, j int) bool {
+	return h[i].backlog > h[j].backlog || h[i].backlog == h[j].backlog && h[i].tenant < h[j].tenant
 }
-func (h loads) Swap(i, j int) { h[i], h[j] = h[j], h[i]; h[i].load, h[j].load = i, j }
-func (h *loads) Push(x any)   { l := x.(*lane); l.load = len(*h); *h = append(*h, l) }
-func (h *loads) Pop() any     { return pop((*[]*lane)(h)) }
+func (h byBacklog) Swap(i, j int) {
+	h[i], h[j] = h[j], h[i]
+	h[i].backlogIndex, h[j].backlogIndex = i, j
+}
+func (h *byBacklog) Push(x any) { f := x.(*flow); f.backlogIndex = len(*h); *h = append(*h, f) }
+func (h *byBacklog) Pop() any   { return pop((*[]*flow)(h)) }
 
-// dues has the item whose deadline is first on top; equals by id.
-type dues []*Item
+// byDeadline is a heap of items with the earliest deadline on top, ties by id.
+type byDeadline []*Item
 
-func (h dues) Len() int { return len(h) }
-func (h dues) Less(i, j int) bool {
+func (h byDeadline) Len() int { return len(h) }
+func (h byDeadline) Less(i, j int) bool {
 	return h[i].Deadline < h[j].Deadline || h[i].Deadline == h[j].Deadline && h[i].ID < h[j].ID
 }
-func (h dues) Swap(i, j int) { h[i], h[j] = h[j], h[i]; h[i].due, h[j].due = i, j }
-func (h *dues) Push(x any)   { it := x.(*Item); it.due = len(*h); *h = append(*h, it) }
-func (h *dues) Pop() any     { return pop((*[]*Item)(h)) }
+func (h byDeadline) Swap(i, j int) {
+	h[i], h[j] = h[j], h[i]
+	h[i].deadlineIndex, h[j].deadlineIndex = i, j
+}
+func (h *byDeadline) Push(x any) {
+	item := x.(*Item)
+	item.deadlineIndex = len(*h)
+	*h = append(*h, item)
+}
+func (h *byDeadline) Pop() any { return pop((*[]*Item)(h)) }
 
 func pop[T any](h *[]*T) *T {
 	old := *h
@@ -72,36 +83,36 @@
 	return x
 }
 
-// Queue is weighted fair queueing between tenants: over any time in which two
-// wait, each gets work done in proportion to its weight, whatever either asks for.
-// Within a tenant the higher priority comes first, then the earlier. It holds so
-// many items at most. Each call takes time in the logarithm of what waits, and in
-// the items of one tenant where an item is taken out of the middle.
+// Queue is a bounded weighted fair queue between tenants: while two tenants are backlogged, the work done for each is
+// in proportion to its weight, regardless of how much each requests. Within a tenant higher priority comes first, then
+// earlier arrival. Each call takes time logarithmic in the queue length, and linear in the items of one tenant where
+// an item is removed from the middle.
 type Queue struct {
-	most   int
-	weight func(tenant int) float64 // 1 where it gives none above 0
-	lanes  map[int]*lane            // of tenants that wait
-	turns  turns
-	loads  loads
-	dues   dues
-	last   map[int]float64 // virtual end of the last item of tenants that owe for it
-	now    float64         // virtual time: the start of what was taken last
-	size   float64         // of all items
-	shares float64         // sum of the weights of tenants that wait
+	maxItems    int
+	weight      func(tenant int) float64 // values not above 0 count as 1
+	flows       map[int]*flow            // of backlogged tenants
+	byFinish    byFinish
+	byBacklog   byBacklog
+	byDeadline  byDeadline
+	lastFinish  map[int]float64 // virtual finish time of the item dequeued last, of tenants whose flow is empty
+	virtualTime float64         // virtual start time of the item dequeued last
+	totalSize   float64         // total size of all items
+	totalWeight float64         // total weight of backlogged tenants
 
-	// Credit is how much work, for its weight, a tenant saves up that asks for less than its share: its next comes
-	// so much earlier in the turns. Guards tenants near their share, whose requests come by chance: without it each
-	// bunch of two or three waits as if its tenant had asked for too much. Harms others by so much once.
+	// Credit bounds the credit, in work divided by weight, of a tenant that requests less than its share: its next
+	// item starts at most this much earlier in virtual time. This protects tenants near their share whose requests
+	// arrive at random: without it each group of two or three arrivals waits as if its tenant exceeded its share. Other
+	// tenants are delayed by this much at most once.
 	Credit float64
 }
 
 // NewQueue returns an empty queue.
-func NewQueue(most int, weight func(tenant int) float64) *Queue {
-	return &Queue{most: most, weight: weight, lanes: map[int]*lane{}, last: map[int]float64{}}
+func NewQueue(maxItems int, weight func(tenant int) float64) *Queue {
+	return &Queue{maxItems: maxItems, weight: weight, flows: map[int]*flow{}, lastFinish: map[int]float64{}}
 }
 
-// Len is how many items wait.
-func (q *Queue) Len() int { return len(q.dues) }
+// Len returns the number of queued items.
+func (q *Queue) Len() int { return len(q.byDeadline) }
 
 func (q *Queue) weightOf(tenant int) float64 {
 	if w := q.weight(tenant); w > 0 {
@@ -110,190 +121,187 @@
 	return 1
 }
 
-// Add has an item wait. When the queue is full it pushes one out, which may be
-// the item itself, and returns it: work of a tenant that waits with most for
-// its weight, of the least worth there, the last to come of equals.
-func (q *Queue) Add(it Item) (out *Item) {
-	q.push(&it)
-	return q.surplus()
+// Add queues an item. If the queue then exceeds its bound, Add evicts and returns an item, possibly the one added: of
+// the tenant with the largest backlog for its weight the item of lowest worth, the last one of equals.
+func (q *Queue) Add(item Item) (evicted *Item) {
+	q.push(&item)
+	return q.evictOverflow()
 }
 
-// surplus takes one item out if there are too many.
-func (q *Queue) surplus() *Item {
-	if q.Len() <= q.most {
+// evictOverflow removes and returns one item if there are too many.
+func (q *Queue) evictOverflow() *Item {
+	if q.Len() <= q.maxItems {
 		return nil
 	}
-	l := q.loads[0]
-	i := l.cheapest()
-	x := l.items[i]
-	q.take(l, i)
+	f := q.byBacklog[0]
+	i := f.leastWorth()
+	x := f.items[i]
+	q.remove(f, i)
 	return x
 }
 
 func (q *Queue) push(x *Item) {
-	heap.Push(&q.dues, x)
-	q.size += x.Size
-	if l := q.lanes[x.Tenant]; l != nil {
-		l.insert(x)
-		l.waiting += x.Size / l.weight
-		heap.Fix(&q.loads, l.load)
-		heap.Fix(&q.turns, l.turn)
+	heap.Push(&q.byDeadline, x)
+	q.totalSize += x.Size
+	if f := q.flows[x.Tenant]; f != nil {
+		f.insert(x)
+		f.backlog += x.Size / f.weight
+		heap.Fix(&q.byBacklog, f.backlogIndex)
+		heap.Fix(&q.byFinish, f.finishIndex)
 		return
 	}
-	l := &lane{tenant: x.Tenant, weight: q.weightOf(x.Tenant), items: []*Item{x}, start: q.begins(x.Tenant)}
-	l.waiting = x.Size / l.weight
-	q.shares += l.weight
-	q.lanes[x.Tenant] = l
-	heap.Push(&q.turns, l)
-	heap.Push(&q.loads, l)
+	f := &flow{tenant: x.Tenant, weight: q.weightOf(x.Tenant), items: []*Item{x}, virtualStart: q.nextStart(x.Tenant)}
+	f.backlog = x.Size / f.weight
+	q.totalWeight += f.weight
+	q.flows[x.Tenant] = f
+	heap.Push(&q.byFinish, f)
+	heap.Push(&q.byBacklog, f)
 }
 
-// begins is when a tenant's next item begins, if none of it waits.
-func (q *Queue) begins(tenant int) float64 {
-	last, owes := q.last[tenant]
-	if !owes {
-		return q.now - q.Credit
+// nextStart returns the virtual start time of the next item of a tenant without queued items.
+func (q *Queue) nextStart(tenant int) float64 {
+	finish, known := q.lastFinish[tenant]
+	if !known {
+		return q.virtualTime - q.Credit
 	}
-	return max(q.now-q.Credit, last)
+	return max(q.virtualTime-q.Credit, finish)
 }
 
-func (l *lane) insert(x *Item) {
-	i := len(l.items)
-	for i > 0 && l.items[i-1].Priority < x.Priority {
+func (f *flow) insert(x *Item) {
+	i := len(f.items)
+	for i > 0 && f.items[i-1].Priority < x.Priority {
 		i--
 	}
-	l.items = slices.Insert(l.items, i, x)
+	f.items = slices.Insert(f.items, i, x)
 }
 
-func (l *lane) cheapest() int {
-	worst := len(l.items) - 1
-	for i, x := range l.items {
-		if x.Worth < l.items[worst].Worth {
-			worst = i
+func (f *flow) leastWorth() int {
+	least := len(f.items) - 1
+	for i, x := range f.items {
+		if x.Worth < f.items[least].Worth {
+			least = i
 		}
 	}
-	return worst
+	return least
 }
 
-// Remove takes an item out that waits no longer, as when its client left.
+// Remove removes an item, for instance because its client disconnected, and reports whether it was queued.
 func (q *Queue) Remove(tenant int, id uint64) bool {
-	l := q.lanes[tenant]
-	if l == nil {
+	f := q.flows[tenant]
+	if f == nil {
 		return false
 	}
-	i := slices.IndexFunc(l.items, func(x *Item) bool { return x.ID == id })
+	i := slices.IndexFunc(f.items, func(x *Item) bool { return x.ID == id })
 	if i >= 0 {
-		q.take(l, i)
+		q.remove(f, i)
 	}
 	return i >= 0
 }
 
-// take takes an item out as if it had never come: its tenant's next begins no later.
-func (q *Queue) take(l *lane, i int) {
-	x := l.items[i]
-	heap.Remove(&q.dues, x.due)
-	q.size -= x.Size
-	l.waiting -= x.Size / l.weight
-	if len(l.items) > 1 {
-		l.items = slices.Delete(l.items, i, i+1)
-		heap.Fix(&q.turns, l.turn)
-		heap.Fix(&q.loads, l.load)
+// remove removes an item without charging its tenant: the tenant's next item starts no later because of it.
+func (q *Queue) remove(f *flow, i int) {
+	x := f.items[i]
+	heap.Remove(&q.byDeadline, x.deadlineIndex)
+	q.totalSize -= x.Size
+	f.backlog -= x.Size / f.weight
+	if len(f.items) > 1 {
+		f.items = slices.Delete(f.items, i, i+1)
+		heap.Fix(&q.byFinish, f.finishIndex)
+		heap.Fix(&q.byBacklog, f.backlogIndex)
 		return
 	}
-	heap.Remove(&q.turns, l.turn)
-	heap.Remove(&q.loads, l.load)
-	delete(q.lanes, l.tenant)
-	q.shares -= l.weight
-	if q.last[l.tenant] = l.start; len(q.last) > 64+2*len(q.lanes) {
-		q.forget()
+	heap.Remove(&q.byFinish, f.finishIndex)
+	heap.Remove(&q.byBacklog, f.backlogIndex)
+	delete(q.flows, f.tenant)
+	q.totalWeight -= f.weight
+	if q.lastFinish[f.tenant] = f.virtualStart; len(q.lastFinish) > 64+2*len(q.flows) {
+		q.pruneFinishes()
 	}
 }
 
-// forget drops what is owed no longer.
-func (q *Queue) forget() {
-	for tenant, at := range q.last {
-		if at <= q.now-q.Credit {
-			delete(q.last, tenant)
+// pruneFinishes drops the finish times that no longer delay their tenants.
+func (q *Queue) pruneFinishes() {
+	for tenant, finish := range q.lastFinish {
+		if finish <= q.virtualTime-q.Credit {
+			delete(q.lastFinish, tenant)
 		}
 	}
 }
 
-// Next takes the item whose turn it is; nil where none waits.
+// Next dequeues the next item in fair-queue order, nil if the queue is empty.
 func (q *Queue) Next() *Item {
 	if q.Len() == 0 {
 		return nil
 	}
-	l := q.turns[0]
-	x := l.items[0]
-	q.now = max(q.now, l.start)
-	l.start += x.Size / l.weight
-	q.take(l, 0)
-	if q.Len() == 0 { // nobody is owed anything
-		q.now, q.size, q.shares = 0, 0, 0
-		clear(q.last)
+	f := q.byFinish[0]
+	x := f.items[0]
+	q.virtualTime = max(q.virtualTime, f.virtualStart)
+	f.virtualStart += x.Size / f.weight
+	q.remove(f, 0)
+	if q.Len() == 0 { // an empty queue keeps no history
+		q.virtualTime, q.totalSize, q.totalWeight = 0, 0, 0
+		clear(q.lastFinish)
 	}
 	return x
 }
 
-// Ahead is the most work that is done before an item of a tenant that came now:
-// all that waits, or as much for each other as for the tenant itself, but for what
-// the tenant has saved up.
+// Ahead returns an upper bound of the work that is done before a new item of a tenant: all queued work, or as much for
+// each other tenant, by weight, as for the tenant itself, less the tenant's credit.
 func (q *Queue) Ahead(tenant int) float64 {
-	l := q.lanes[tenant]
-	if l == nil {
-		return min(q.size, max(q.begins(tenant)-q.now, 0)*(q.shares+q.weightOf(tenant)))
+	f := q.flows[tenant]
+	if f == nil {
+		return min(q.totalSize, max(q.nextStart(tenant)-q.virtualTime, 0)*(q.totalWeight+q.weightOf(tenant)))
 	}
-	return min(q.size, max(l.waiting*l.weight, (l.start+l.waiting-q.now)*q.shares))
+	return min(q.totalSize, max(f.backlog*f.weight, (f.virtualStart+f.backlog-q.virtualTime)*q.totalWeight))
 }
 
-// Due is when the next item is late.
-func (q *Queue) Due() (time.Duration, bool) {
+// NextDeadline returns the earliest deadline, if an item is queued.
+func (q *Queue) NextDeadline() (time.Duration, bool) {
 	if q.Len() == 0 {
 		return 0, false
 	}
-	return q.dues[0].Deadline, true
+	return q.byDeadline[0].Deadline, true
 }
 
-// Late takes an item out that is past its deadline, the first one first; nil where there is none.
-func (q *Queue) Late(now time.Duration) *Item {
-	if at, some := q.Due(); !some || at > now {
+// PopExpired removes and returns the expired item with the earliest deadline, nil if none has expired.
+func (q *Queue) PopExpired(now time.Duration) *Item {
+	if at, ok := q.NextDeadline(); !ok || at > now {
 		return nil
 	}
-	x := q.dues[0]
+	x := q.byDeadline[0]
 	q.Remove(x.Tenant, x.ID)
 	return x
 }
 
-// Limit changes how many items may wait and takes out those that are too many;
-// weights are looked up anew.
-func (q *Queue) Limit(most int) (out []*Item) {
-	q.most, q.shares = most, 0
-	for _, l := range q.lanes {
-		was := l.weight
-		l.weight = q.weightOf(l.tenant)
-		l.waiting *= was / l.weight
-		q.shares += l.weight
+// SetMaxItems changes the bound of the queue, evicts and returns the items in excess, and reads the weights again.
+func (q *Queue) SetMaxItems(maxItems int) (evicted []*Item) {
+	q.maxItems, q.totalWeight = maxItems, 0
+	for _, f := range q.flows {
+		before := f.weight
+		f.weight = q.weightOf(f.tenant)
+		f.backlog *= before / f.weight
+		q.totalWeight += f.weight
 	}
-	heap.Init(&q.turns)
-	heap.Init(&q.loads)
-	for x := q.surplus(); x != nil; x = q.surplus() {
-		out = append(out, x)
+	heap.Init(&q.byFinish)
+	heap.Init(&q.byBacklog)
+	for x := q.evictOverflow(); x != nil; x = q.evictOverflow() {
+		evicted = append(evicted, x)
 	}
-	return out
+	return evicted
 }
 
-// Select lists the items that a test picks, by deadline; they wait on.
-func (q *Queue) Select(pick func(id uint64) bool) (list []*Item) {
-	for _, x := range q.dues {
-		if pick(x.ID) {
-			list = append(list, x)
+// Select lists the items whose ids match, ordered by deadline; they stay queued.
+func (q *Queue) Select(match func(id uint64) bool) (items []*Item) {
+	for _, x := range q.byDeadline {
+		if match(x.ID) {
+			items = append(items, x)
 		}
 	}
-	slices.SortFunc(list, func(a, b *Item) int {
+	slices.SortFunc(items, func(a, b *Item) int {
 		if a.Deadline != b.Deadline {
 			return int(a.Deadline - b.Deadline)
 		}
 		return int(a.ID) - int(b.ID)
 	})
-	return list
+	return items
 }
--- a/internal/limits/queue_test.go
+++ b/internal/limits/queue_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func alike(int) float64 { return 1 }
+func equalWeights(int) float64 { return 1 }
 
 // While two tenants wait, each gets work done by its weight, to within one item
 // of each, whatever the sizes.
@@ -24,7 +24,7 @@
 			q.Add(Item{ID: uint64(i), Tenant: tenant, Size: size, Deadline: time.Hour})
 		}
 		done := map[int]float64{}
-		for q.lanes[1] != nil && q.lanes[2] != nil {
+		for q.flows[1] != nil && q.flows[2] != nil {
 			x := q.Next()
 			done[x.Tenant] += x.Size / weights[x.Tenant]
 			if gap := done[1] - done[2]; gap > largest[1]/weights[1]+largest[2] || -gap > largest[1]/weights[1]+largest[2] {
@@ -37,7 +37,7 @@
 // One who asks for twenty times as much pushes out its own, and keeps nobody
 // waiting who asks for little.
 func TestFlood(t *testing.T) {
-	q := NewQueue(10, alike)
+	q := NewQueue(10, equalWeights)
 	for i := range 200 {
 		q.Add(Item{ID: uint64(i), Tenant: 1, Size: 1, Deadline: time.Hour})
 	}
@@ -55,15 +55,15 @@
 
 // Nothing is lost and nothing comes twice, whatever is added, taken, removed,
 // late or pushed out; each tenant's come in order; the bound holds.
-func TestQueueKeepsAll(t *testing.T) {
+func TestQueueInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := NewQueue(8, func(t int) float64 { return float64(2 - t) })
-		in, lastOf := map[uint64]int{}, map[int]uint64{}
-		out := func(x *Item, what string) {
-			if tenant, known := in[x.ID]; !known || tenant != x.Tenant {
+		waiting, lastOf := map[uint64]int{}, map[int]uint64{}
+		removed := func(x *Item, what string) {
+			if tenant, known := waiting[x.ID]; !known || tenant != x.Tenant {
 				t.Fatalf("%s: %+v does not wait", what, x)
 			}
-			delete(in, x.ID)
+			delete(waiting, x.ID)
 		}
 		now := time.Duration(0)
 		for i := range rapid.IntRange(1, 100).Draw(t, "steps") {
@@ -72,20 +72,20 @@
 			switch rapid.IntRange(0, 6).Draw(t, "what") {
 			case 0:
 				if x := q.Next(); x != nil {
-					out(x, "next")
+					removed(x, "next")
 					if x.ID < lastOf[x.Tenant] {
 						t.Fatalf("tenant %d: %d after %d", x.Tenant, x.ID, lastOf[x.Tenant])
 					}
 					lastOf[x.Tenant] = x.ID
 				}
 			case 1:
-				for x := q.Late(now); x != nil; x = q.Late(now) {
-					if out(x, "late"); x.Deadline > now {
+				for x := q.PopExpired(now); x != nil; x = q.PopExpired(now) {
+					if removed(x, "late"); x.Deadline > now {
 						t.Fatal("it was not late")
 					}
 				}
-				for _, lane := range q.lanes {
-					for _, x := range lane.items {
+				for _, flow := range q.flows {
+					for _, x := range flow.items {
 						if x.Deadline <= now {
 							t.Fatalf("%+v is late and waits on", x)
 						}
@@ -93,27 +93,27 @@
 				}
 			case 2:
 				of := uint64(rapid.IntRange(1, i+1).Draw(t, "id"))
-				tenant, known := in[of]
+				tenant, known := waiting[of]
 				if q.Remove(tenant, of) != known {
 					t.Fatalf("remove %d: %v", of, !known)
 				}
-				delete(in, of)
+				delete(waiting, of)
 			default:
-				in[id] = tenant
+				waiting[id] = tenant
 				if x := q.Add(Item{ID: id, Tenant: tenant, Size: rapid.Float64Range(0.1, 9).Draw(t, "size"),
 					Worth: float64(rapid.IntRange(0, 2).Draw(t, "worth")), Deadline: now + time.Duration(rapid.IntRange(0, 20).Draw(t, "for"))*time.Second}); x != nil {
-					out(x, "pushed out")
+					removed(x, "pushed out")
 				}
 			}
-			if q.Len() != len(in) || q.Len() > 8 {
-				t.Fatalf("%d wait, %d should", q.Len(), len(in))
+			if q.Len() != len(waiting) || q.Len() > 8 {
+				t.Fatalf("%d wait, %d should", q.Len(), len(waiting))
 			}
 		}
 	})
 }
 
-// ones adds items of two tenants and tells how many of the first ten taken are tenant 1's.
-func ones(q *Queue, each int) (n int) {
+// countTenantOne adds items of two tenants and tells how many of the first ten taken are tenant 1's.
+func countTenantOne(q *Queue, each int) (n int) {
 	for i := range 2 * each {
 		q.Add(Item{ID: uint64(10000 + i), Tenant: 1 + i%2, Size: 1, Deadline: time.Hour})
 	}
@@ -127,21 +127,21 @@
 
 // One who was alone for long owes nothing for it, and one who was away has
 // saved nothing up.
-func TestNoCredit(t *testing.T) {
-	q := NewQueue(1000, alike)
+func TestNoCreditByDefault(t *testing.T) {
+	q := NewQueue(1000, equalWeights)
 	q.Add(Item{Tenant: 1, Size: 1})
 	for range 100 {
 		q.Add(Item{Tenant: 1, Size: 1})
 		q.Next() // one waits all along
 	}
-	if got := ones(q, 10); got < 4 || got > 6 {
+	if got := countTenantOne(q, 10); got < 4 || got > 6 {
 		t.Errorf("%d of 10 for the one that was there", got)
 	}
 }
 
 // One that asks for less than its share has saved something up, and no more than the credit.
 func TestCredit(t *testing.T) {
-	q := NewQueue(1000, alike)
+	q := NewQueue(1000, equalWeights)
 	q.Credit = 3
 	q.Add(Item{ID: 1000, Tenant: 2, Size: 1, Deadline: time.Hour})
 	for i := range 100 {
@@ -160,14 +160,14 @@
 	if first < 2 || first > 4 {
 		t.Errorf("%d at once of the one that was away, 3 are due", first)
 	}
-	if got := ones(q, 10); got < 4 || got > 6 {
+	if got := countTenantOne(q, 10); got < 4 || got > 6 {
 		t.Errorf("%d of 10 after that", got)
 	}
 }
 
 // What was taken out does not count against its tenant.
-func TestRemoveCountsNothing(t *testing.T) {
-	q := NewQueue(1000, alike)
+func TestRemoveIsNotCharged(t *testing.T) {
+	q := NewQueue(1000, equalWeights)
 	q.Add(Item{ID: 1, Tenant: 1, Size: 1})
 	for i := range 50 {
 		q.Add(Item{ID: uint64(2 + i), Tenant: 1, Size: 1})
@@ -175,7 +175,7 @@
 	for i := range 50 {
 		q.Remove(1, uint64(2+i))
 	}
-	if got := ones(q, 10); got < 4 || got > 6 {
+	if got := countTenantOne(q, 10); got < 4 || got > 6 {
 		t.Errorf("%d of 10 for the one whose work was taken out", got)
 	}
 }
@@ -185,7 +185,7 @@
 func BenchmarkQueue(b *testing.B) {
 	for _, tenants := range []int{10, 1000, 100000} {
 		b.Run(fmt.Sprint(tenants), func(b *testing.B) {
-			q := NewQueue(2*tenants, alike)
+			q := NewQueue(2*tenants, equalWeights)
 			for i := range 2 * tenants {
 				q.Add(Item{ID: uint64(i), Tenant: i % tenants, Size: 1, Deadline: time.Hour})
 			}
@@ -204,20 +204,20 @@
 
 // Within a tenant the higher priority comes first, then the earlier; it moves nothing between tenants.
 func TestPriority(t *testing.T) {
-	q := NewQueue(100, alike)
+	q := NewQueue(100, equalWeights)
 	for i, priority := range []int{0, 0, 2, 1, 2} {
 		q.Add(Item{ID: uint64(i), Tenant: 1, Size: 1, Priority: priority, Deadline: time.Hour})
 		q.Add(Item{ID: uint64(10 + i), Tenant: 2, Size: 1, Deadline: time.Hour})
 	}
-	var ones []uint64
+	var order []uint64
 	for range 10 {
 		if x := q.Next(); x.Tenant == 1 {
-			ones = append(ones, x.ID)
-		} else if gap := len(ones)*2 - int(x.ID-9)*2; gap < -2 || gap > 2 {
-			t.Errorf("%d of the first tenant before the %d. of the other", len(ones), x.ID-9)
+			order = append(order, x.ID)
+		} else if gap := len(order)*2 - int(x.ID-9)*2; gap < -2 || gap > 2 {
+			t.Errorf("%d of the first tenant before the %d. of the other", len(order), x.ID-9)
 		}
 	}
-	if fmt.Sprint(ones) != "[2 4 3 0 1]" {
-		t.Errorf("order %v", ones)
+	if fmt.Sprint(order) != "[2 4 3 0 1]" {
+		t.Errorf("order %v", order)
 	}
 }
--- a/internal/limits/quota.go
+++ b/internal/limits/quota.go
@@ -5,126 +5,124 @@
 	"time"
 )
 
-// Figures of the division of quotas among routers that share nothing.
+// Parameters of the division of quotas among routers that share no state.
 const (
-	settle       = 3 * time.Second  // a smaller number of routers counts once it has stood for so long
-	countOver    = 10 * time.Second // own arrivals are counted over it
-	chanceMost   = 0.5              // most that chance adds to a share
-	deviations   = 1.0              // of own arrivals that a share makes up for
-	togetherMost = 3.0              // requests of a small share that may come at once
+	decreaseDelay        = 3 * time.Second  // a lower number of routers takes effect after this time
+	arrivalsPeriod       = 10 * time.Second // time constant of the decaying count of own arrivals
+	maxVarianceAllowance = 0.5              // upper bound of varianceAllowance, as a fraction of the share
+	allowedDeviations    = 1.0              // standard deviations of own arrivals that a share allows for
+	maxSmallShareBurst   = 3.0              // upper bound of smallShareBurst, in requests
 )
 
-// routers is how many routers quotas are divided by: the most that the list had
-// of late. One that starts again is not taken for gone, and a list that flaps
-// does not enlarge quotas; one that died is missed for settle.
-type routers struct {
-	now, next int
-	nextAt    time.Duration
+// routerCount is the number of routers that quotas are divided by: the highest that discovery reported recently. A
+// router that restarts thus isn't taken for removed, and a flapping list doesn't enlarge quotas; a failed router still
+// counts for decreaseDelay.
+type routerCount struct {
+	current, next int
+	nextAt        time.Duration
 }
 
-// tell takes a number of routers; it tells whether the divisor changed.
-func (r *routers) tell(now time.Duration, n int) bool {
-	if n = max(n, 1); n >= r.now {
-		changed := n != r.now
-		r.now, r.next = n, n
+// update records the number of routers and reports whether the divisor increased. A decrease is only scheduled.
+func (r *routerCount) update(now time.Duration, n int) bool {
+	if n = max(n, 1); n >= r.current {
+		changed := n != r.current
+		r.current, r.next = n, n
 		return changed
 	}
 	if n != r.next {
-		r.next, r.nextAt = n, now+settle
+		r.next, r.nextAt = n, now+decreaseDelay
 	}
 	return false
 }
 
-// due tells when tick changes the divisor.
-func (r *routers) due() (time.Duration, bool) { return r.nextAt, r.next < r.now }
+// nextChange returns the time of the scheduled decrease, if there is one.
+func (r *routerCount) nextChange() (time.Duration, bool) { return r.nextAt, r.next < r.current }
 
-// tick tells whether the smaller number counts now.
-func (r *routers) tick(now time.Duration) bool {
-	return r.next < r.now && now >= r.nextAt
+// decreaseDue reports whether the scheduled decrease takes effect now.
+func (r *routerCount) decreaseDue(now time.Duration) bool {
+	return r.next < r.current && now >= r.nextAt
 }
 
-// arrivals counts a tenant's own requests at this router, older ones fading.
+// arrivals is an exponentially decaying count of a tenant's requests at this router.
 type arrivals struct {
-	n  float64
-	at time.Duration
+	sum float64
+	at  time.Duration
 }
 
-func (a *arrivals) left(now time.Duration) float64 {
-	return a.n * math.Exp(-float64(now-a.at)/float64(countOver))
+func (a *arrivals) decayed(now time.Duration) float64 {
+	return a.sum * math.Exp(-float64(now-a.at)/float64(arrivalsPeriod))
 }
 
-func (a *arrivals) count(now time.Duration) { a.n, a.at = a.left(now)+1, now }
+func (a *arrivals) add(now time.Duration) { a.sum, a.at = a.decayed(now)+1, now }
 
-// chance is what a tenant's share is enlarged by: where a front spreads requests
-// at random, the n that come to one router in a time differ from their mean by
-// the root of n. A static share alone would turn a tenant away that keeps to its
-// quota, at whichever router has more than its part. All routers together let
-// pass at most 1+chance of the quota, over a time that is long against the
-// bursts; with n own arrivals in countOver that is 1+1/√n, and 1.5 at the most.
-func chance(own float64) float64 {
-	return min(deviations/math.Sqrt(max(own, 1)), chanceMost)
+// varianceAllowance is the fraction by which a tenant's share is enlarged. Where a load balancer spreads requests at
+// random, the number n that one router receives has a standard deviation of √n. A plain share would refuse requests of
+// a tenant within its quota at every router that receives more than the mean. Over a time that is long compared with
+// the bursts, all routers together admit at most 1+varianceAllowance times the quota; with n own arrivals in
+// arrivalsPeriod that is 1+1/√n, and at most 1.5.
+func varianceAllowance(arrivals float64) float64 {
+	return min(allowedDeviations/math.Sqrt(max(arrivals, 1)), maxVarianceAllowance)
 }
 
-// share divides a fleet's rate. Each router lets one request pass at the least,
-// and as many more at once as chance brings together where few come: see first.
-func share(r Rate, routers int, own, least float64) Rate {
+// routerShare returns one router's share of a fleet-wide rate. The burst is at least minBurst, so that each router can
+// admit one request, and as many at once as random arrivals bring together at a low rate: see initialUse.
+func routerShare(r Rate, routers int, arrivals, minBurst float64) Rate {
 	if routers <= 1 || r.PerSecond <= 0 {
 		return r
 	}
 	n := float64(routers)
-	return Rate{PerSecond: r.PerSecond / n * (1 + chance(own)), Burst: max(r.Burst/n, least)}
+	return Rate{PerSecond: r.PerSecond / n * (1 + varianceAllowance(arrivals)), Burst: max(r.Burst/n, minBurst)}
 }
 
-// together is how many requests of a small share may come at once.
-func together(r Rate, routers int) float64 {
-	return min(1+2*math.Sqrt(r.PerSecond/float64(routers)*countOver.Seconds()), togetherMost)
+// smallShareBurst returns how many requests a router admits at once where its share of the burst is small.
+func smallShareBurst(r Rate, routers int) float64 {
+	return min(1+2*math.Sqrt(r.PerSecond/float64(routers)*arrivalsPeriod.Seconds()), maxSmallShareBurst)
 }
 
-// first is what a new meter has used already, so that all routers together let
-// pass no more than the fleet's burst at once, though each must let one request
-// pass in time: x from 0 to under 1 differs from router to router.
-func first(r Rate, routers int, x float64) float64 {
-	each := r.Burst / float64(routers)
-	if r.PerSecond <= 0 || routers <= 1 || each >= 1 || x < each {
+// initialUse returns the amount that a new meter starts with. All routers together must not admit more than the
+// fleet's burst at once, though each must be able to admit one request eventually: draw, in [0, 1), differs between
+// routers and selects those that start with a full burst.
+func initialUse(r Rate, routers int, draw float64) float64 {
+	perRouter := r.Burst / float64(routers)
+	if r.PerSecond <= 0 || routers <= 1 || perRouter >= 1 || draw < perRouter {
 		return 0
 	}
-	return together(r, routers) - 1 + x
+	return smallShareBurst(r, routers) - 1 + draw
 }
 
-// retries is a client's budget of tries again (as Finagle's and gRPC's): each
-// first try adds a part of one, each try again takes one. What is saved up is
-// bounded by the client's first tries of late: when half the routers die, all
-// that they had open comes again at once, and is let in; a storm is not.
-type retries struct {
-	left   float64
-	at     time.Duration
-	firsts arrivals
+// retryBudget is a client's retry budget, as in Finagle and gRPC: each first attempt adds a fraction of a retry, each
+// retry takes one. The budget is bounded by the client's recent first attempts: when half of the routers fail, all
+// requests that they had open are retried at once and are admitted; a retry storm is not.
+type retryBudget struct {
+	available     float64
+	at            time.Duration
+	firstAttempts arrivals
 }
 
 const (
-	retriesMost = 10.0 // saved up at the least bound, and had at the start
-	retriesPart = 0.2  // of the first tries in countOver, which may be saved up: what two seconds brought
-	retriesIdle = 0.1  // a second, so that a client with few requests may try again
+	minRetryBurst      = 10.0 // retries: lowest bound of the budget, and its initial value
+	retryBurstFraction = 0.2  // bound of the budget as a fraction of the first attempts in arrivalsPeriod: those of two seconds
+	idleRetryRate      = 0.1  // retries a second that are always added, so that a client with few requests may retry
 )
 
-func (b *retries) settle(now time.Duration) {
-	b.left = min(b.left+retriesIdle*(now-b.at).Seconds(), max(retriesMost, retriesPart*b.firsts.left(now)))
+func (b *retryBudget) refill(now time.Duration) {
+	b.available = min(b.available+idleRetryRate*(now-b.at).Seconds(), max(minRetryBurst, retryBurstFraction*b.firstAttempts.decayed(now)))
 	b.at = now
 }
 
-func (b *retries) first(now time.Duration, part float64) {
-	b.firsts.count(now)
-	b.left += part
-	b.settle(now)
+func (b *retryBudget) firstAttempt(now time.Duration, ratio float64) {
+	b.firstAttempts.add(now)
+	b.available += ratio
+	b.refill(now)
 }
 
-// again takes one; it tells how long the next one is away where there is none.
-func (b *retries) again(now time.Duration, part float64) time.Duration {
-	b.settle(now)
-	if b.left >= 1 {
-		b.left--
+// take takes one retry, or returns how long until the next one is available.
+func (b *retryBudget) take(now time.Duration, ratio float64) time.Duration {
+	b.refill(now)
+	if b.available >= 1 {
+		b.available--
 		return 0
 	}
-	perSecond := retriesIdle + part*b.firsts.left(now)/countOver.Seconds()
-	return time.Duration((1 - b.left) / perSecond * float64(time.Second))
+	perSecond := idleRetryRate + ratio*b.firstAttempts.decayed(now)/arrivalsPeriod.Seconds()
+	return time.Duration((1 - b.available) / perSecond * float64(time.Second))
 }
--- a/internal/limits/rate.go
+++ b/internal/limits/rate.go
@@ -1,7 +1,7 @@
-// Package limits decides what of the work that tenants ask for is handed to the
-// decision module, when, and what is turned away for which reason. It has no
-// I/O and no clock: times only increase and are given with each call.
-// docs/limits.md weighs its parts.
+// Package limits is the admission control of one router. It decides which requests are dispatched to the decision
+// module and when, which wait in a fair queue, and which are refused for what reason: rate limits per tenant, retry
+// budgets per client, an adaptive concurrency limit, weighted fair queueing and a brown-out. It does no I/O and has no
+// clock: each call passes the time, which never decreases. docs/limits.md explains the design.
 package limits
 
 import (
@@ -9,24 +9,24 @@
 	"time"
 )
 
-// Rate allows work of a size at so much a second, with bursts: the generic
-// cell rate algorithm in its continuous-state form (ITU-T I.371).
+// Rate is a rate limit with bursts, enforced by the generic cell rate algorithm in its continuous-state form
+// (ITU-T I.371).
 type Rate struct {
-	PerSecond float64 // 0: nothing is limited
-	Burst     float64 // most that may come at once
+	PerSecond float64 // 0: unlimited
+	Burst     float64 // the most that is admitted at once
 }
 
-// Meter is the state of one Rate for one tenant: what was taken and is not
-// forgiven yet. Unlike a time of arrival it stays right when the rate changes.
+// Meter is the state of one Rate for one tenant: the amount in use, which drains at the rate (a leaky bucket). Unlike
+// a theoretical arrival time it stays valid when the rate changes.
 type Meter struct {
 	used float64
 	at   time.Duration
 }
 
-// Never tells whether work is too large to pass at any time.
-func (r Rate) Never(size float64) bool { return r.PerSecond > 0 && size > r.Burst }
+// NeverAllows reports whether work of this size exceeds the burst, so that waiting can't help.
+func (r Rate) NeverAllows(size float64) bool { return r.PerSecond > 0 && size > r.Burst }
 
-// Settle forgives what time has forgiven at a rate, as before the rate changes.
+// Settle drains the meter up to now at the rate; it is called before the rate changes.
 func (m *Meter) Settle(now time.Duration, r Rate) {
 	m.used, m.at = m.usedAt(now, r), max(m.at, now)
 }
@@ -35,20 +35,20 @@
 	return max(m.used-r.PerSecond*max(now-m.at, 0).Seconds(), 0)
 }
 
-// Wait is how long work of a size has to wait; 0 lets it pass now. It takes
-// nothing. Work larger than the burst waits until nothing is owed.
+// Wait returns how long work of this size has to wait; 0 admits it now. It takes nothing from the budget. Work larger
+// than the burst waits until the meter is empty.
 func (m *Meter) Wait(now time.Duration, r Rate, size float64) time.Duration {
 	if r.PerSecond <= 0 {
 		return 0
 	}
-	over := m.usedAt(now, r) + size - max(r.Burst, size)
-	if over <= size*1e-9 { // what a wait was told for passes after it
+	excess := m.usedAt(now, r) + size - max(r.Burst, size)
+	if excess <= size*1e-9 { // rounding: work is admitted after the wait that was returned for it
 		return 0
 	}
-	return max(time.Duration(math.Ceil(over/r.PerSecond*float64(time.Second))), 1)
+	return max(time.Duration(math.Ceil(excess/r.PerSecond*float64(time.Second))), 1)
 }
 
-// Take takes work that passes.
+// Take charges the meter for admitted work.
 func (m *Meter) Take(now time.Duration, r Rate, size float64) {
 	if r.PerSecond > 0 {
 		m.Settle(now, r)
@@ -56,20 +56,20 @@
 	}
 }
 
-// Refund gives work back that was taken and did not run: it must not count
-// against its tenant. What time has forgiven meanwhile is not given twice.
+// Refund returns what was taken for work that did not run, so that it isn't charged to its tenant. What has drained
+// since isn't returned twice.
 func (m *Meter) Refund(size float64) { m.used = max(m.used-size, 0) }
 
-// Left is how much may come at once now.
-func (m *Meter) Left(now time.Duration, r Rate) float64 {
+// Available returns how much is admitted at once now.
+func (m *Meter) Available(now time.Duration, r Rate) float64 {
 	if r.PerSecond <= 0 {
 		return math.Inf(1)
 	}
 	return max(r.Burst-m.usedAt(now, r), 0)
 }
 
-// Full is how long it takes until all of the burst may come again.
-func (m *Meter) Full(now time.Duration, r Rate) time.Duration {
+// TimeToFull returns how long it takes until the whole burst is available again.
+func (m *Meter) TimeToFull(now time.Duration, r Rate) time.Duration {
 	if r.PerSecond <= 0 {
 		return 0
 	}
--- a/internal/limits/rate_test.go
+++ b/internal/limits/rate_test.go
@@ -56,7 +56,7 @@
 }
 
 // Work that is given back counts for nothing, and is not given twice.
-func TestGive(t *testing.T) {
+func TestRefund(t *testing.T) {
 	r := Rate{PerSecond: 10, Burst: 10}
 	var m Meter
 	m.Take(0, r, 10)
@@ -64,16 +64,16 @@
 		t.Fatal("more than the burst passes")
 	}
 	m.Refund(10)
-	if m.Left(0, r) != 10 || m.Full(0, r) != 0 {
-		t.Errorf("%g left after all was given back", m.Left(0, r))
+	if m.Available(0, r) != 10 || m.TimeToFull(0, r) != 0 {
+		t.Errorf("%g left after all was given back", m.Available(0, r))
 	}
 	m.Take(0, r, 10)
 	now := 3 * time.Second // time has forgiven it
 	m.Refund(10)
-	if m.Left(now, r) > r.Burst {
-		t.Errorf("%g left, the burst is %g", m.Left(now, r), r.Burst)
+	if m.Available(now, r) > r.Burst {
+		t.Errorf("%g left, the burst is %g", m.Available(now, r), r.Burst)
 	}
-	if !r.Never(10.5) || r.Never(10) || (Rate{}).Never(1e9) {
+	if !r.NeverAllows(10.5) || r.NeverAllows(10) || (Rate{}).NeverAllows(1e9) {
 		t.Error("what is larger than the burst never passes, and nothing else")
 	}
 }
--- a/internal/rapidseed/rapidseed.go
+++ b/internal/rapidseed/rapidseed.go
@@ -1,4 +1,5 @@
-// Package rapidseed has drawn tests draw the same cases in every run; -rapid.seed draws others.
+// Package rapidseed gives property-based tests (pgregory.net/rapid) a fixed seed, so that each run checks the same
+// cases; the flag -rapid.seed selects others.
 package rapidseed
 
 import (
@@ -6,10 +7,10 @@
 	"os"
 	"testing"
 
-	_ "pgregory.net/rapid" // its flags
+	_ "pgregory.net/rapid" // registers the flags that Main sets
 )
 
-// Main runs a package's tests; it is called from TestMain and does not return.
+// Main sets the default flags and runs a package's tests; it is called from TestMain and does not return.
 func Main(m *testing.M) {
 	flag.Set("rapid.seed", "1")
 	flag.Set("rapid.nofailfile", "true")
