--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -11,7 +11,7 @@
 	"gannethook/internal/limits"
 )
 
-// fakeDriver is a driver that serves each request after a time, or is full.
+// fakeDriver serves each request after serviceTime, or rejects all if full.
 type fakeDriver struct {
 	serviceTime time.Duration
 	full        bool
@@ -34,7 +34,7 @@
 	d.wg.Go(func() {
 		time.Sleep(d.serviceTime)
 		d.mu.Lock()
-		d.inFlight-- // its first token takes it out of hand
+		d.inFlight-- // the first token ends its use of the concurrency limit
 		d.mu.Unlock()
 		sink.Token([]byte(`"t"`))
 		sink.Final(driver.Answer{Outcome: driver.Served, Tokens: 1})
@@ -77,7 +77,7 @@
 	return Job{Job: driver.Job{Tenant: -1, PromptSize: 100, MaxTokens: 10, Timeout: 5 * time.Second}}
 }
 
-// submitAll asks for so many at once, on the test's clock, and waits for all.
+// submitAll submits n requests at once, on the test's clock, calls do and waits for all answers.
 func submitAll(t *testing.T, d *fakeDriver, concurrency, waiting, n int, do func(c *Controller, tickets []*Ticket)) (sinks []*sink) {
 	synctest.Test(t, func(t *testing.T) {
 		var mu sync.Mutex
@@ -100,13 +100,13 @@
 			t.Errorf("at the end %+v, %d tickets", v, len(c.tickets))
 		}
 		if refused+len(d.jobs) != n {
-			t.Errorf("%d of %d told of, %d came to the driver", refused, n, len(d.jobs))
+			t.Errorf("%d of %d requests ended without the driver, %d reached it", refused, n, len(d.jobs))
 		}
 	})
 	return sinks
 }
 
-// outcomes is how the requests ended.
+// outcomes checks that each request has one final answer and counts the answers by outcome.
 func outcomes(t *testing.T, sinks []*sink) map[driver.Outcome]int {
 	t.Helper()
 	counts := map[driver.Outcome]int{}
@@ -119,20 +119,20 @@
 	return counts
 }
 
-// What there is room for goes to the driver at once, the rest in its turn, with
-// the time that it has waited; nothing is lost.
+// Requests within the concurrency limit are submitted to the driver at once, the others as capacity is freed, with the
+// time that they were queued; none is lost.
 func TestQueueing(t *testing.T) {
 	d := &fakeDriver{serviceTime: 50 * time.Millisecond}
 	sinks := submitAll(t, d, 2, 100, 10, nil)
 	if m := outcomes(t, sinks); m[driver.Served] != 10 || d.peak > 2 {
-		t.Errorf("%v, %d in hand at once", m, d.peak)
+		t.Errorf("%v, at most %d in flight", m, d.peak)
 	}
 	if last := d.jobs[9]; last.QueuedFor != 200*time.Millisecond {
-		t.Errorf("the last waited %v by its job", last.QueuedFor)
+		t.Errorf("the last job was queued for %v", last.QueuedFor)
 	}
 }
 
-// What would wait too long is refused in its time, whoever is slow.
+// Requests that would be queued too long behind a slow driver are refused in time.
 func TestQueueTimeout(t *testing.T) {
 	d := &fakeDriver{serviceTime: 3 * time.Second}
 	m := outcomes(t, submitAll(t, d, 1, 100, 6, nil))
@@ -141,7 +141,7 @@
 	}
 }
 
-// A driver that is full refuses; the room is free again.
+// Requests that the driver rejects are refused, and their capacity is released.
 func TestFullDriver(t *testing.T) {
 	d := &fakeDriver{full: true}
 	if m := outcomes(t, submitAll(t, d, 2, 100, 6, nil)); m[driver.Refused] != 6 {
@@ -149,7 +149,7 @@
 	}
 }
 
-// A client that leaves while it waits, and one that left on its way, have one answer each.
+// A queued request and one that the driver has get one answer each after their clients disconnect.
 func TestClientDisconnects(t *testing.T) {
 	d := &fakeDriver{serviceTime: 50 * time.Millisecond}
 	sinks := submitAll(t, d, 1, 100, 3, func(_ *Controller, tickets []*Ticket) {
@@ -162,7 +162,7 @@
 	}
 }
 
-// A stop refuses what waits at once, and takes nothing more.
+// Stop refuses queued requests at once, and new ones.
 func TestStop(t *testing.T) {
 	d := &fakeDriver{serviceTime: time.Second}
 	var late *sink
@@ -178,11 +178,11 @@
 		t.Errorf("%v", m)
 	}
 	if sinks[3].at.Sub(stopped) != 0 {
-		t.Errorf("refused %v after the stop", sinks[3].at.Sub(stopped))
+		t.Errorf("refused %v after Stop", sinks[3].at.Sub(stopped))
 	}
 }
 
-// Many at once, from many sides, have one answer each.
+// Requests submitted concurrently with cancels, reloads and revocations get one answer each.
 func TestConcurrent(t *testing.T) {
 	d := &fakeDriver{serviceTime: time.Millisecond}
 	c := New(d, testSettings(8, 50), func(driver.Summary) {})
--- a/internal/apikeys/keys.go
+++ b/internal/apikeys/keys.go
@@ -184,7 +184,7 @@
 
 // Look reads the file again if it has changed, and lists the keys that are no longer valid. It must not be called
 // concurrently.
-func (f *File) Look(now time.Time) (gone []*Key, err error) {
+func (f *File) Look(now time.Time) (invalidated []*Key, err error) {
 	info, err := os.Stat(f.path)
 	if err != nil {
 		return nil, fmt.Errorf("keys: %w", err)
@@ -205,7 +205,7 @@
 	}
 	f.table.Store(t)
 	if before != nil {
-		gone = t.Invalidated(now, before)
+		invalidated = t.Invalidated(now, before)
 	}
-	return gone, nil
+	return invalidated, nil
 }
--- a/internal/apikeys/keys_test.go
+++ b/internal/apikeys/keys_test.go
@@ -10,14 +10,14 @@
 
 func anyTenant(string) bool { return true }
 
-// A key is found by its whole text alone, in its time, and the file has no secret.
+// A key is found only by its whole text and while it is valid, and its entry in the file doesn't contain the secret.
 func TestFind(t *testing.T) {
 	now := time.Now()
 	text, line := New("acme", time.Time{})
 	expired, expiredLine := New("acme", now.Add(-time.Hour))
 	_, secret, _ := strings.Cut(strings.TrimPrefix(text, Prefix), "_")
 	if strings.Contains(line, secret) {
-		t.Fatalf("the file has the secret: %s", line)
+		t.Fatalf("the entry contains the secret: %s", line)
 	}
 	table, err := Parse("f", line+"\n"+expiredLine, anyTenant)
 	if err != nil {
@@ -29,11 +29,12 @@
 	for _, wrong := range []string{"", "gh_", text[:len(text)-1], text + "x", strings.Replace(text, "gh_", "sk_", 1), expired,
 		"gh__" + secret, strings.Repeat("x", 1000), "gh_ffffffffffffffff_" + secret} {
 		if _, ok := table.Find(now, wrong); ok {
-			t.Errorf("%.80q is a key", wrong)
+			t.Errorf("%.80q is accepted as a key", wrong)
 		}
 	}
 }
 
+// Errors in a keys file name the position and the cause.
 func TestErrors(t *testing.T) {
 	digest := strings.Repeat("0", 64)
 	for text, want := range map[string]string{
@@ -50,7 +51,7 @@
 	}
 }
 
-// Keys come and go with the file; what makes no sense changes nothing.
+// Keys are added and revoked with the file; a malformed file changes nothing.
 func TestRotation(t *testing.T) {
 	now := time.Now()
 	path := filepath.Join(t.TempDir(), "keys")
@@ -69,32 +70,33 @@
 		t.Fatal(err)
 	}
 	write(1, oldLine, nextLine)
-	if gone, err := f.Look(now); err != nil || len(gone) != 0 || f.Table().Len() != 2 {
-		t.Fatalf("%v, %v", gone, err)
+	if invalidated, err := f.Look(now); err != nil || len(invalidated) != 0 || f.Table().Len() != 2 {
+		t.Fatalf("%v, %v", invalidated, err)
 	}
 	write(2, strings.TrimSuffix(oldLine, ")")+" (revoked yes))", nextLine)
-	gone, err := f.Look(now)
-	if err != nil || len(gone) != 1 || !strings.Contains(oldLine, gone[0].ID) {
-		t.Fatalf("%v, %v", gone, err)
+	invalidated, err := f.Look(now)
+	if err != nil || len(invalidated) != 1 || !strings.Contains(oldLine, invalidated[0].ID) {
+		t.Fatalf("%v, %v", invalidated, err)
 	}
 	if _, ok := f.Table().Find(now, old); ok {
-		t.Error("a revoked key is found")
+		t.Error("a revoked key is accepted")
 	}
 	write(3, "(key")
 	if _, err := f.Look(now); err == nil {
-		t.Error("a broken file is no error")
+		t.Error("a malformed file is not reported")
 	}
 	if _, ok := f.Table().Find(now, next); !ok {
-		t.Error("a broken file took the keys away")
+		t.Error("a malformed file invalidated a key")
 	}
 	if _, err := f.Look(now); err != nil {
-		t.Errorf("told again: %v", err)
+		t.Errorf("a malformed file is reported twice: %v", err)
 	}
 	if _, err := Open(path, anyTenant); err == nil {
-		t.Error("a router starts on a broken file")
+		t.Error("Open accepts a malformed file")
 	}
 }
 
+// FuzzFind checks that no other text is accepted as a key.
 func FuzzFind(f *testing.F) {
 	text, line := New("acme", time.Time{})
 	f.Add(text)
@@ -104,7 +106,7 @@
 	}
 	f.Fuzz(func(t *testing.T, in string) {
 		if _, ok := table.Find(time.Now(), in); ok && in != text {
-			t.Fatalf("%q is a key", in)
+			t.Fatalf("%q is accepted as a key", in)
 		}
 	})
 }
--- a/internal/batch/batch_test.go
+++ b/internal/batch/batch_test.go
@@ -11,7 +11,7 @@
 
 func TestMain(m *testing.M) { rapidseed.Main(m) }
 
-// Parts cover all texts in order, within the bounds, and are not needlessly many.
+// Parts cover all texts in order and within the bounds, and their number is at most 2 more than twice the minimum.
 func TestSplit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := Limits{Tokens: rapid.Float64Range(10, 1000).Draw(t, "tokens"), Items: rapid.IntRange(1, 50).Draw(t, "items")}
@@ -32,15 +32,15 @@
 			t.Fatalf("%d of %d texts", at, len(sizes))
 		}
 		if least := max(total/limits.Tokens, float64(len(sizes))/float64(limits.Items)); float64(len(parts)) > 2*least+2 {
-			t.Fatalf("%d parts, %g are the least", len(parts), least)
+			t.Fatalf("%d parts, the minimum is %g", len(parts), least)
 		}
 	})
 	if parts := Split([]float64{5, 5, 5}, Limits{Tokens: 6, Items: 1}, true); len(parts) != 1 || parts[0].To != 3 || parts[0].Tokens != 15 {
-		t.Errorf("%+v; it may not be split", parts)
+		t.Errorf("%+v; the batch must not be split", parts)
 	}
 }
 
-// simulate plays a batch against drawn ends and checks every promise on the way.
+// simulate runs a batch with drawn outcomes of its parts and checks each action and the final answer.
 func simulate(t *rapid.T) {
 	n := rapid.IntRange(1, 12).Draw(t, "parts")
 	limits := Limits{Out: rapid.IntRange(1, 4).Draw(t, "out"), Tries: rapid.IntRange(1, 3).Draw(t, "tries"), Margin: 100 * time.Millisecond}
@@ -60,7 +60,7 @@
 				}
 				inFlight[a.Part] = true
 				if attempts[a.Part]++; attempts[a.Part] > limits.Tries || len(inFlight) > limits.Out {
-					t.Fatalf("part %d, try %d, %d out", a.Part, attempts[a.Part], len(inFlight))
+					t.Fatalf("part %d, attempt %d, %d in flight", a.Part, attempts[a.Part], len(inFlight))
 				}
 			case Drop:
 				if final == nil || !inFlight[a.Part] {
@@ -69,7 +69,7 @@
 				delete(inFlight, a.Part)
 			case Wake:
 				if a.At >= deadline-limits.Margin {
-					t.Fatalf("a part is asked for again at %v", a.At)
+					t.Fatalf("a part is retried at %v", a.At)
 				}
 				wakes = append(wakes, a.At)
 			case Final:
@@ -89,7 +89,7 @@
 		}
 		if len(inFlight) == 0 {
 			if len(wakes) == 0 {
-				t.Fatal("nothing is out, nothing will be, and there is no answer")
+				t.Fatal("no final answer, with no part in flight or scheduled")
 			}
 			continue
 		}
@@ -107,18 +107,18 @@
 			continue
 		}
 		if final.Kind == Refused && !repeatable && mayHaveRun {
-			t.Fatal("refused though a part may have run and may not run twice")
+			t.Fatal("refused although a part may have run and must not run twice")
 		}
 		if final.Kind == Served && len(served) != n {
 			t.Fatal("served without all parts")
 		}
 	}
 	if actions := m.Ended(now, 0, End{Kind: Served}); len(actions) > 0 || len(inFlight) > 0 {
-		t.Fatalf("after the end: %v, %d parts still out", actions, len(inFlight))
+		t.Fatalf("after the end: %v, %d parts still in flight", actions, len(inFlight))
 	}
 }
 
-// Whatever becomes of the parts, the whole has one answer, and nothing follows it.
+// For any outcomes of its parts a batch has one final answer, followed only by cancels of parts.
 func TestOneAnswer(t *testing.T) { rapid.Check(t, simulate) }
 
 func started(m *Machine) *Machine {
@@ -126,10 +126,11 @@
 	return m
 }
 
-// A part that is refused is asked for again in its time; the rest goes on meanwhile.
+// A refused part is retried after its delay while the other parts continue. A batch of which nothing has run is refused
+// at once. A batch whose client disconnects is answered and its parts in flight are cancelled.
 func TestRefusedPart(t *testing.T) {
 	if acts := started(New(3, Limits{Out: 1, Tries: 2}, time.Minute, true)).Ended(1, 0, End{Kind: Refused}); len(acts) != 1 {
-		t.Fatalf("nothing has run, and its first part was refused: %v", acts)
+		t.Fatalf("the first part was refused and nothing has run: %v", acts)
 	}
 	m := New(4, Limits{Out: 1, Tries: 2}, time.Minute, true)
 	m.Start(0)
@@ -155,6 +156,6 @@
 	disconnected := New(3, Limits{Out: 2, Tries: 1}, time.Minute, true)
 	disconnected.Start(0)
 	if acts := disconnected.Left(); len(acts) != 3 {
-		t.Errorf("its client left: %v; an answer and two parts taken back are due", acts)
+		t.Errorf("the client disconnected: %v, want a final answer and two cancelled parts", acts)
 	}
 }
--- a/internal/idempotency/table_test.go
+++ b/internal/idempotency/table_test.go
@@ -21,6 +21,7 @@
 	zoneClass   = &gannethook.Class{Effect: gannethook.Keyed, Group: gannethook.GroupZone, Window: 5000}
 )
 
+// Each verdict follows from the earlier attempts with the key and from the effect of the class.
 func TestVerdicts(t *testing.T) {
 	const s = time.Second
 	begin := func(tb *Table, at time.Duration, retry bool) Verdict {
@@ -101,8 +102,8 @@
 	}
 }
 
-// Whatever clients do, an unsafe key that may have run never goes again within
-// its window, and the table keeps its bound.
+// For any order of attempts, an unsafe request that may have run never proceeds again within the retention period, and
+// the table keeps its bound.
 func TestUnsafeKeyRunsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const retention, maxKeys = 10 * time.Second, 4
@@ -125,14 +126,14 @@
 			v := tb.Begin(now, scope, unsafeClass, rapid.Bool().Draw(t, "retry"))
 			at, ran := ranAt[key]
 			if v == Proceed && (open[key] || ran && now-at < retention) {
-				t.Fatalf("%s goes again at %v: open %v, ran at %v", key, now, open[key], at)
+				t.Fatalf("%s proceeds again at %v: open %v, ran at %v", key, now, open[key], at)
 			}
 			if v == Proceed {
 				open[key] = true
 				delete(ranAt, key)
 			}
 			if tb.Len() > maxKeys {
-				t.Fatalf("%d keys are remembered", tb.Len())
+				t.Fatalf("%d keys are stored", tb.Len())
 			}
 		}
 	})
--- a/internal/limits/limiter_test.go
+++ b/internal/limits/limiter_test.go
@@ -30,17 +30,17 @@
 	return Request{ID: id, Tenant: tenant, Class: class, Prompt: 100, Tokens: 200, Price: 1, TimeLeft: 5 * s}
 }
 
-// onlyVerdict is the one verdict that a call gave.
+// onlyVerdict returns the one verdict that a call returned.
 func onlyVerdict(t *testing.T, verdicts []Verdict) Verdict {
 	t.Helper()
 	if len(verdicts) != 1 {
-		t.Fatalf("verdicts %v, one is due", verdicts)
+		t.Fatalf("verdicts %v, want one", verdicts)
 	}
 	return verdicts[0]
 }
 
-// Every request gets one verdict and no more, whatever comes in which order;
-// what is handed on stays within the room by one; the books end at nought.
+// In any order of calls every request gets exactly one verdict, unless its client disconnects first; the queue keeps its
+// bound, the counts in flight are never negative and end at zero.
 func TestOneVerdict(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := settings(func(set *Settings) {
@@ -52,7 +52,7 @@
 		check := func(list []Verdict) {
 			for _, v := range list {
 				if verdicts[v.ID]++; verdicts[v.ID] > 1 || !requested[v.ID] {
-					t.Fatalf("verdict %+v: number %d, asked %v", v, verdicts[v.ID], requested[v.ID])
+					t.Fatalf("verdict %+v: number %d, requested %v", v, verdicts[v.ID], requested[v.ID])
 				}
 				admitted[v.ID] = v.Admitted
 			}
@@ -93,7 +93,7 @@
 			}
 		}
 		now += time.Hour
-		check(l.Tick(now)) // all that waits is late
+		check(l.Tick(now)) // all queued requests expire
 		for id := range requested {
 			if verdicts[id] == 0 && !disconnected[id] {
 				t.Fatalf("request %d has no verdict", id)
@@ -101,13 +101,12 @@
 			check(l.Ended(now, id, ClientGone))
 		}
 		if v := l.View(); v.Waiting != 0 || v.Hands != 0 || v.InHand != 0 || len(l.active) != 0 {
-			t.Fatalf("at the end %+v, %d works", v, len(l.active))
+			t.Fatalf("at the end %+v, %d active requests", v, len(l.active))
 		}
 	})
 }
 
-// A budget is used by what passes alone: what is turned away costs nothing,
-// and what the module refused is given back.
+// Only admitted requests are charged to a budget: refused ones are not, and those that the module refuses are refunded.
 func TestBudgets(t *testing.T) {
 	l := New(settings(func(set *Settings) {
 		set.StartInFlight = 100
@@ -118,38 +117,38 @@
 			t.Fatalf("%+v", v)
 		}
 	}
-	for id := range uint64(10) { // turned away, again and again
+	for id := range uint64(10) { // refusals don't extend the wait
 		if v := onlyVerdict(t, l.Admit(0, request(10+id, 0, 0))); v.Admitted || v.Reason != Requests || v.RetryAfter != s {
 			t.Fatalf("%+v", v)
 		}
 	}
 	if v := onlyVerdict(t, l.Admit(s, request(20, 0, 0))); !v.Admitted {
-		t.Fatalf("the wait that was told does not pass: %+v", v)
+		t.Fatalf("refused after the advised wait: %+v", v)
 	}
 	l.Ended(s, 20, Refused)
 	if v := onlyVerdict(t, l.Admit(s, request(21, 0, 0))); !v.Admitted {
-		t.Fatalf("what the module refused was not given back: %+v", v)
+		t.Fatalf("a request that the module refused was not refunded: %+v", v)
 	}
 	large := request(30, 0, 1)
 	if large.Tokens = 600; onlyVerdict(t, l.Admit(5*s, large)).Reason != TooLarge {
-		t.Error("work larger than the burst passes")
+		t.Error("a request larger than the burst is not refused as too large")
 	}
 	if large.ID, large.Tokens = 31, 400; !onlyVerdict(t, l.Admit(5*s, large)).Admitted {
-		t.Error("work within the burst does not pass")
+		t.Error("a request within the burst is refused")
 	}
 	large.ID = 32
 	if v := onlyVerdict(t, l.Admit(5*s, large)); v.Reason != Tokens || v.RetryAfter != 3*s {
 		t.Errorf("%+v", v)
 	}
 	if v := onlyVerdict(t, l.Admit(5*s, request(33, 1, 1))); !v.Admitted {
-		t.Errorf("another tenant's budget: %+v", v)
+		t.Errorf("a tenant without a budget: %+v", v)
 	}
 	if r, tk := l.Remaining(5*s, 0, 1); r.Remaining != 1 || tk.Remaining != 100 || tk.Reset != 4*s || tk.Limit != 500 {
-		t.Errorf("left %+v %+v", r, tk)
+		t.Errorf("remaining %+v %+v", r, tk)
 	}
 }
 
-// What waits and is then turned away, pushed out or late, has its budget back.
+// A request that is evicted from the queue or expires in it is refunded.
 func TestRefusalIsRefunded(t *testing.T) {
 	l := New(settings(func(set *Settings) {
 		set.StartInFlight, set.MinInFlight, set.MaxInFlight, set.MaxWaiting = 1, 1, 1, 1
@@ -164,11 +163,11 @@
 		t.Fatalf("%+v", v)
 	}
 	if r, _ := l.Remaining(10*s, 0, 0); r.Remaining < 2 {
-		t.Errorf("%.1f of 3 left after one of three passed", r.Remaining)
+		t.Errorf("%.1f of 3 remain after one of three was admitted", r.Remaining)
 	}
 }
 
-// What is owed was forgiven at the rate of its time: a change of routers changes nothing of it.
+// A meter drains at the rate that was in force: a change of the router count doesn't apply to the past.
 func TestRouterChangeSettlesBudgets(t *testing.T) {
 	l := New(settings(func(set *Settings) {
 		set.Routers, set.StartInFlight = 2, 100
@@ -179,20 +178,20 @@
 	}
 	l.SetRouters(500*ms, 100)
 	if used := l.budgetStates[[2]int{0, 0}].requests.used; used > 25 {
-		t.Errorf("%.1f of 50 are owed after half a second at 50 a second", used)
+		t.Errorf("%.1f of 50 in use after half a second at 50 a second", used)
 	}
 	l = New(l.settings)
 	for id := range uint64(50) {
 		l.Admit(0, request(id, 0, 0))
 	}
-	l.SetRouters(0, 1) // the other has died
+	l.SetRouters(0, 1) // the other router fails
 	l.Tick(3 * s)
-	if p := l.budgetStates[[2]int{0, 0}]; p.requests.at != 3*s || p.requests.used != 0 || l.routers.current != 1 {
-		t.Errorf("%+v, %d routers", p, l.routers.current)
+	if state := l.budgetStates[[2]int{0, 0}]; state.requests.at != 3*s || state.requests.used != 0 || l.routers.current != 1 {
+		t.Errorf("%+v, %d routers", state, l.routers.current)
 	}
 }
 
-// A reload that takes a budget away and changes the routers at once looks at no budget that is gone.
+// A reload that removes a budget and changes the router count doesn't access the removed budget.
 func TestReloadRemovesBudget(t *testing.T) {
 	set := settings(func(set *Settings) {
 		set.Tenants[0].Budgets = []Budget{{Class: -1, Requests: Rate{10, 10}}, {Class: 0, Requests: Rate{5, 5}}}
@@ -206,14 +205,14 @@
 	}
 }
 
-// A batch pays once; its parts then pass, and count no try of its client.
+// A batch is charged once; its parts are then admitted and don't count as retries.
 func TestChargedParts(t *testing.T) {
 	l := New(settings(func(set *Settings) {
 		set.StartInFlight, set.Retries = 100, 0.1
 		set.Tenants[0].Budgets = []Budget{{Class: -1, Requests: Rate{1, 1}}}
 	}))
 	if !l.Charge(0, request(0, 0, 0)).Admitted {
-		t.Fatal("the batch does not pass")
+		t.Fatal("the batch is refused")
 	}
 	for id := range uint64(30) {
 		r := request(1+id, 0, 0)
@@ -224,8 +223,8 @@
 	}
 }
 
-// A client that comes again at once after each refusal is turned away itself; one
-// that seldom does is not, and others are not touched.
+// A client that retries at once after each refusal uses up its retry budget; its first attempts and other clients'
+// retries are still admitted.
 func TestRetryBudget(t *testing.T) {
 	l := New(settings(func(set *Settings) { set.Retries, set.StartInFlight, set.MaxInFlight = 0.1, 1e6, 1e6 }))
 	id, admitted := uint64(0), 0
@@ -245,16 +244,16 @@
 			}
 		}
 	}
-	if admitted < 15 || admitted > 21 { // ten saved up, a tenth of 100
-		t.Errorf("%d of 900 tries again passed, 20 are due", admitted)
+	if admitted < 15 || admitted > 21 { // the initial ten, and a tenth of 100
+		t.Errorf("%d of 900 retries admitted, want about 20", admitted)
 	}
 	if !attempt(s, 2, true).Admitted || !attempt(2*s, 1, false).Admitted {
-		t.Error("another client's try, or a first one, is turned away")
+		t.Error("another client's retry, or a first attempt, is refused")
 	}
 }
 
-// When half the routers die, the requests that they had open come again at once at
-// the others: a client with many requests has saved up enough for them.
+// When half of the routers fail, the requests that they had open are retried at once at the others: the retry budget of a
+// client with many requests suffices for them, but not for a retry storm.
 func TestRetriesAfterRouterFailures(t *testing.T) {
 	l := New(settings(func(set *Settings) { set.Retries, set.StartInFlight, set.MaxInFlight = 0.2, 1e6, 1e6 }))
 	id, refused := uint64(0), 0
@@ -269,21 +268,21 @@
 	for at := time.Duration(0); at < 30*s; at += 10 * ms {
 		attempt(at, false)
 	}
-	for range 150 { // a second and a half of all that the dead ones had
+	for range 150 { // the requests of a second and a half
 		attempt(30*s, true)
 	}
 	if refused > 0 {
-		t.Errorf("%d of 150 turned away", refused)
+		t.Errorf("%d of 150 retries refused", refused)
 	}
-	for range 1500 { // and a storm
+	for range 1500 { // a retry storm
 		attempt(30*s, true)
 	}
 	if refused < 1300 {
-		t.Errorf("%d of a storm of 1,500 turned away", refused)
+		t.Errorf("%d of a storm of 1,500 retries refused", refused)
 	}
 }
 
-// Clients are forgotten within their bound.
+// The number of clients with retry budgets keeps its bound.
 func TestClientsBounded(t *testing.T) {
 	l := New(settings(func(set *Settings) { set.Retries, set.StartInFlight, set.MaxInFlight = 0.1, 1e6, 1e6 }))
 	for id := range uint64(10000) {
@@ -296,8 +295,8 @@
 	}
 }
 
-// When half the routers die, the others' shares double within settle; when they
-// come back, at once. A list that flaps enlarges nothing.
+// When half of the routers fail, the others' shares double after decreaseDelay; when they return, the shares are reduced
+// at once. A flapping list doesn't enlarge shares.
 func TestSharesFollowRouterCount(t *testing.T) {
 	l := New(settings(func(set *Settings) {
 		set.Routers, set.StartInFlight, set.MaxInFlight = 10, 1e6, 1e6
@@ -319,14 +318,14 @@
 	l.SetRouters(20*s, 5)
 	l.Tick(22 * s)
 	if l.View().Routers != 10 {
-		t.Error("fewer routers count at once")
+		t.Error("a lower router count takes effect at once")
 	}
-	for at := 20 * s; at < 23*s; at += 100 * ms { // it flaps
+	for at := 20 * s; at < 23*s; at += 100 * ms { // the list flaps
 		l.SetRouters(at, 5+5*int(at/(100*ms)%2))
 	}
 	l.Tick(22500 * ms)
 	if l.View().Routers != 10 {
-		t.Errorf("a list that flaps made it %d routers", l.View().Routers)
+		t.Errorf("a flapping list changed the router count to %d", l.View().Routers)
 	}
 	l.SetRouters(30*s, 5)
 	l.Tick(33 * s)
@@ -334,15 +333,14 @@
 	l.SetRouters(60*s, 10)
 	restored := rate(60 * s)
 	for _, c := range []struct{ got, want float64 }{{all, 100}, {half, 200}, {restored, 100}} {
-		if c.got < c.want || c.got > c.want*1.12 { // own arrivals of 10,000 in ten seconds: chance is a hundredth; and the burst
-			t.Errorf("%.0f a second, %.0f are due", c.got, c.want)
+		if c.got < c.want || c.got > c.want*1.12 { // 10,000 own arrivals in ten seconds: varianceAllowance is 0.01; plus the burst
+			t.Errorf("%.0f a second, want %.0f", c.got, c.want)
 		}
 	}
 }
 
-// Quotas divided among routers that hear nothing of each other: where a front
-// spreads requests at random, all together pass no more than the bound, and of
-// a tenant that keeps to its quota little is turned away.
+// A quota is divided among routers that share no state. Where requests are spread at random, all routers together admit
+// no more than the bound, and few requests of a tenant within its quota are refused.
 func TestDividedQuota(t *testing.T) {
 	for _, c := range []struct {
 		quota   float64
@@ -352,29 +350,32 @@
 		for _, load := range []float64{1, 5} {
 			admitted, requested := simulateRouters(c.quota, c.routers, load, c.seconds)
 			bound := admittedBound(c.quota, c.routers, c.seconds)
-			t.Logf("quota %4.0f/s, %2d routers, asked for %.0f times: %.2f of the quota passed, bound %.2f", c.quota, c.routers, load, admitted, bound)
+			t.Logf("quota %4.0f/s, %2d routers, load %.0f times the quota: %.2f of the quota admitted, bound %.2f",
+				c.quota, c.routers, load, admitted, bound)
 			if admitted > bound {
-				t.Errorf("quota %g over %d routers: %.2f of it passed, %.2f are the bound", c.quota, c.routers, admitted, bound)
+				t.Errorf("quota %g over %d routers: %.2f of it admitted, bound %.2f", c.quota, c.routers, admitted, bound)
 			}
 			if load == 1 && admitted < 0.85*requested {
-				t.Errorf("quota %g over %d routers: %.2f passed of %.2f asked within the quota", c.quota, c.routers, admitted, requested)
+				t.Errorf("quota %g over %d routers: %.2f admitted of %.2f requested within the quota",
+					c.quota, c.routers, admitted, requested)
 			}
 			if load > 1 && admitted < 0.95 {
-				t.Errorf("quota %g over %d routers: only %.2f of it passed under load", c.quota, c.routers, admitted)
+				t.Errorf("quota %g over %d routers: only %.2f of it admitted under overload", c.quota, c.routers, admitted)
 			}
 		}
 	}
 }
 
-// admittedBound is the bound that docs/limits.md states: the rate times one plus
-// chance, and each router's burst.
+// admittedBound returns the bound that docs/limits.md states, in multiples of the quota: one plus varianceAllowance, and
+// each router's burst.
 func admittedBound(quota float64, n int, seconds float64) float64 {
 	arrivals := quota / float64(n) * arrivalsPeriod.Seconds()
 	burst := float64(n) * math.Max(smallShareBurst(Rate{PerSecond: quota}, n), quota/float64(n))
 	return 1 + varianceAllowance(arrivals) + burst/(quota*seconds)
 }
 
-// simulateRouters has requests come at random to routers, for so many times the quota.
+// simulateRouters sends requests at load times the quota to n routers at random. It returns the admitted and requested
+// amounts in multiples of the quota.
 func simulateRouters(quota float64, n int, load, seconds float64) (admitted, requested float64) {
 	rnd := rand.New(rand.NewPCG(5, uint64(n)))
 	var limiters []*Limiter
@@ -399,23 +400,23 @@
 	return admitted / (quota * seconds), requested / (quota * seconds)
 }
 
-// fifoServer is a model of what lies behind: it does so much at once and so much a
-// second, first come first served.
+// fifoServer models the capacity behind the limiter: it serves requests first come, first served, at a fixed rate.
 type fifoServer struct {
 	perSecond float64
 	busyUntil time.Duration
 }
 
+// completion accepts a request and returns when it is served.
 func (f *fifoServer) completion(now time.Duration, size float64) time.Duration {
 	f.busyUntil = max(f.busyUntil, now) + time.Duration(size/f.perSecond*float64(s))
 	return f.busyUntil
 }
 
-// result is how a tenant fared.
+// result counts the requests of one tenant, those served within their target latency, and the sum of their worth.
 type result struct{ requests, inTime, worth float64 }
 
-// simulate has tenants ask at rates for requests of a size, before one server, with
-// or without the limiter, and counts what is served in time.
+// simulate sends the tenants' requests to one server, with or without the limiter, and counts what is served within the
+// target latency. Each tenant's function returns the rate, size and class of its requests at a time in seconds.
 func simulate(set Settings, perSecond, seconds float64, limited bool, tenants []func(at float64) (rate, size float64, class int)) []result {
 	l, server := New(set), &fifoServer{perSecond: perSecond}
 	results := make([]result, len(tenants))
@@ -424,7 +425,7 @@
 		id    uint64
 		class int
 	}
-	var completions []completed // in order: the server is first come, first served
+	var completions []completed // ordered by time, since the server is first come, first served
 	tenantOf, arrived := map[uint64]int{}, map[uint64]time.Duration{}
 	prices := map[uint64]float64{}
 	finish := func(upTo time.Duration, apply func([]Verdict, time.Duration)) {
@@ -479,12 +480,13 @@
 	}
 }
 
+// constantLoad is a tenant with requests of a constant rate, size and class.
 func constantLoad(rate, size float64, class int) func(float64) (float64, float64, int) {
 	return func(float64) (float64, float64, int) { return rate, size, class }
 }
 
-// A tenant that asks for twenty times its share in one burst keeps the others
-// from nothing: they get 95 % of what they got alone. Without limits they do not.
+// While one tenant requests twenty times its share in a burst, another gets at least 95 % of what it gets alone. Without
+// limits it doesn't.
 func TestBurstOfOneTenant(t *testing.T) {
 	burst := func(at float64) (float64, float64, int) {
 		if at > 10 && at < 15 {
@@ -497,21 +499,20 @@
 	without := simulate(settings(), 100, 30, false, []func(float64) (float64, float64, int){burst, constantLoad(25, 1, 0)})
 	onTime := func(r result) float64 { return r.inTime / r.requests }
 	if onTime(with[1]) < 0.95*onTime(alone[1]) || onTime(without[1]) > 0.7 {
-		t.Errorf("in time: alone %.2f, with limits %.2f, without %.2f", onTime(alone[1]), onTime(with[1]), onTime(without[1]))
+		t.Errorf("served in time: alone %.2f, with limits %.2f, without %.2f", onTime(alone[1]), onTime(with[1]), onTime(without[1]))
 	}
 }
 
-// One whose requests are all long gets its share of the work, not of the requests.
+// A tenant whose requests are all long gets its share of the work, not of the requests.
 func TestLongRequests(t *testing.T) {
 	r := simulate(settings(), 100, 60, true, []func(float64) (float64, float64, int){constantLoad(20, 20, 0), constantLoad(200, 1, 0)})
 	long, short := r[0].inTime*20, r[1].inTime
 	if ratio := long / short; ratio < 0.6 || ratio > 1.6 {
-		t.Errorf("work done %.0f of the long, %.0f of the short", long, short)
+		t.Errorf("work done: %.0f for the long requests, %.0f for the short", long, short)
 	}
 }
 
-// Goodput stays near its peak from once to ten times what can be done, and is
-// back soon after a burst; without limits it falls to nearly nothing.
+// Goodput stays near its peak at loads from one to ten times the capacity; without limits it collapses.
 func TestOverload(t *testing.T) {
 	at := func(load float64, limited bool) float64 {
 		r := simulate(settings(), 100, 30, limited, []func(float64) (float64, float64, int){
@@ -526,28 +527,28 @@
 	}
 	for i, g := range goodput {
 		if g < 0.9*peak {
-			t.Errorf("goodput %v: number %d is under 0.9 of the peak", goodput, i)
+			t.Errorf("goodput %v: entry %d is less than 0.9 of the peak", goodput, i)
 		}
 	}
 	if unlimited := at(5, false); unlimited > 0.3*peak {
-		t.Errorf("without limits %.0f a second at 5 times: the case shows nothing", unlimited)
+		t.Errorf("without limits %.0f a second at 5 times the capacity: the case doesn't test the limits", unlimited)
 	}
 }
 
-// Under overload what is worth least is shed first, and nothing is once there is room.
+// Under overload the class of lowest worth is shed first; below capacity nothing is shed.
 func TestShed(t *testing.T) {
 	set := settings()
 	r := simulate(set, 100, 60, true, []func(float64) (float64, float64, int){constantLoad(80, 1, 0), constantLoad(200, 1, 1)})
 	if r[0].inTime < 0.85*r[0].requests {
-		t.Errorf("of the worthy %.2f were in time, beside twice the capacity of the least worth", r[0].inTime/r[0].requests)
+		t.Errorf("%.2f of the class of high worth in time, concurrent with twice the capacity of low worth", r[0].inTime/r[0].requests)
 	}
 	underCapacity := simulate(set, 100, 60, true, []func(float64) (float64, float64, int){constantLoad(40, 1, 0), constantLoad(30, 1, 1)})
 	if underCapacity[1].inTime < 0.97*underCapacity[1].requests {
-		t.Errorf("with room %.2f of the least worth were in time", underCapacity[1].inTime/underCapacity[1].requests)
+		t.Errorf("below capacity %.2f of the class of low worth in time", underCapacity[1].inTime/underCapacity[1].requests)
 	}
 }
 
-// A reload while requests wait keeps them, in the turns of the new weights.
+// A reload keeps queued requests, scheduled by the new weights; a lower bound of the queue evicts the excess.
 func TestReloadWhileWaiting(t *testing.T) {
 	set := settings(func(set *Settings) { set.StartInFlight, set.MinInFlight, set.MaxInFlight = 1, 1, 1 })
 	l := New(set)
@@ -560,7 +561,7 @@
 	next := set
 	next.Tenants = []Tenant{{Weight: 9}, {Weight: 1}, {}}
 	if list := l.Reload(ms, next); len(list) > 0 {
-		t.Fatalf("the reload itself gave %v", list)
+		t.Fatalf("the reload returned %v", list)
 	}
 	dispatched := [2]int{}
 	last := uint64(0)
@@ -570,16 +571,16 @@
 		dispatched[(v.ID-1)%2]++
 	}
 	if dispatched[0] < 8 {
-		t.Errorf("turns %v after the first's weight became nine times the second's", dispatched)
+		t.Errorf("dispatched %v after the first weight became nine times the second", dispatched)
 	}
 	next.MaxWaiting = 3
 	list := l.Reload(3*ms, next)
 	if len(list) != 7 || list[0].Admitted || list[0].Reason != Overloaded {
-		t.Errorf("%v; three may wait on", list)
+		t.Errorf("evicted %v, want 7 with 3 left in the queue", list)
 	}
 }
 
-// A key that is revoked takes back what waits; what is in hand ends as usual.
+// Revoking a key refuses the client's queued requests; dispatched ones end as usual.
 func TestRevoke(t *testing.T) {
 	l := New(settings(func(set *Settings) { set.StartInFlight, set.MinInFlight, set.MaxInFlight = 1, 1, 1 }))
 	for id := range uint64(4) {
@@ -595,8 +596,7 @@
 	}
 }
 
-// BenchmarkLimiter asks, begins and ends a request at many tenants, each with a
-// budget, while as many requests wait as may.
+// BenchmarkLimiter admits, starts and ends a request with many tenants, each with a budget, while the queue is full.
 func BenchmarkLimiter(b *testing.B) {
 	for _, tenants := range []int{10, 1000, 100000} {
 		b.Run(fmt.Sprint(tenants), func(b *testing.B) {
--- a/internal/limits/queue_test.go
+++ b/internal/limits/queue_test.go
@@ -10,8 +10,8 @@
 
 func equalWeights(int) float64 { return 1 }
 
-// While two tenants wait, each gets work done by its weight, to within one item
-// of each, whatever the sizes.
+// While two tenants are backlogged, the work done for each is in proportion to its weight, to within one item of each,
+// for items of any size.
 func TestFairness(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := map[int]float64{1: rapid.Float64Range(0.5, 4).Draw(t, "weight"), 2: 1}
@@ -28,21 +28,20 @@
 			x := q.Next()
 			done[x.Tenant] += x.Size / weights[x.Tenant]
 			if gap := done[1] - done[2]; gap > largest[1]/weights[1]+largest[2] || -gap > largest[1]/weights[1]+largest[2] {
-				t.Fatalf("for their weights %g and %g were done", done[1], done[2])
+				t.Fatalf("work done by weight: %g and %g", done[1], done[2])
 			}
 		}
 	})
 }
 
-// One who asks for twenty times as much pushes out its own, and keeps nobody
-// waiting who asks for little.
+// A tenant that floods the queue evicts its own items, and doesn't delay a tenant with one request.
 func TestFlood(t *testing.T) {
 	q := NewQueue(10, equalWeights)
 	for i := range 200 {
 		q.Add(Item{ID: uint64(i), Tenant: 1, Size: 1, Deadline: time.Hour})
 	}
-	if out := q.Add(Item{ID: 1000, Tenant: 2, Size: 1, Worth: 1, Deadline: time.Hour}); out == nil || out.Tenant != 1 || q.Len() != 10 {
-		t.Fatalf("%+v was pushed out, %d wait", out, q.Len())
+	if evicted := q.Add(Item{ID: 1000, Tenant: 2, Size: 1, Worth: 1, Deadline: time.Hour}); evicted == nil || evicted.Tenant != 1 || q.Len() != 10 {
+		t.Fatalf("%+v was evicted, %d queued", evicted, q.Len())
 	}
 	for i := range 2 {
 		if x := q.Next(); x.Tenant == 2 {
@@ -53,15 +52,15 @@
 	}
 }
 
-// Nothing is lost and nothing comes twice, whatever is added, taken, removed,
-// late or pushed out; each tenant's come in order; the bound holds.
+// In any order of calls no item is lost or returned twice, each tenant's items are dequeued in order, and the queue keeps
+// its bound.
 func TestQueueInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := NewQueue(8, func(t int) float64 { return float64(2 - t) })
 		waiting, lastOf := map[uint64]int{}, map[int]uint64{}
 		removed := func(x *Item, what string) {
 			if tenant, known := waiting[x.ID]; !known || tenant != x.Tenant {
-				t.Fatalf("%s: %+v does not wait", what, x)
+				t.Fatalf("%s: %+v is not queued", what, x)
 			}
 			delete(waiting, x.ID)
 		}
@@ -81,13 +80,13 @@
 			case 1:
 				for x := q.PopExpired(now); x != nil; x = q.PopExpired(now) {
 					if removed(x, "late"); x.Deadline > now {
-						t.Fatal("it was not late")
+						t.Fatal("the item has not expired")
 					}
 				}
 				for _, flow := range q.flows {
 					for _, x := range flow.items {
 						if x.Deadline <= now {
-							t.Fatalf("%+v is late and waits on", x)
+							t.Fatalf("%+v has expired and is still queued", x)
 						}
 					}
 				}
@@ -102,17 +101,17 @@
 				waiting[id] = tenant
 				if x := q.Add(Item{ID: id, Tenant: tenant, Size: rapid.Float64Range(0.1, 9).Draw(t, "size"),
 					Worth: float64(rapid.IntRange(0, 2).Draw(t, "worth")), Deadline: now + time.Duration(rapid.IntRange(0, 20).Draw(t, "for"))*time.Second}); x != nil {
-					removed(x, "pushed out")
+					removed(x, "evicted by Add")
 				}
 			}
 			if q.Len() != len(waiting) || q.Len() > 8 {
-				t.Fatalf("%d wait, %d should", q.Len(), len(waiting))
+				t.Fatalf("%d queued, want %d", q.Len(), len(waiting))
 			}
 		}
 	})
 }
 
-// countTenantOne adds items of two tenants and tells how many of the first ten taken are tenant 1's.
+// countTenantOne adds items of two tenants and returns how many of the first ten dequeued are tenant 1's.
 func countTenantOne(q *Queue, each int) (n int) {
 	for i := range 2 * each {
 		q.Add(Item{ID: uint64(10000 + i), Tenant: 1 + i%2, Size: 1, Deadline: time.Hour})
@@ -125,21 +124,20 @@
 	return n
 }
 
-// One who was alone for long owes nothing for it, and one who was away has
-// saved nothing up.
+// A tenant that used the queue alone for long isn't penalized later, and a tenant that was idle has no credit.
 func TestNoCreditByDefault(t *testing.T) {
 	q := NewQueue(1000, equalWeights)
 	q.Add(Item{Tenant: 1, Size: 1})
 	for range 100 {
 		q.Add(Item{Tenant: 1, Size: 1})
-		q.Next() // one waits all along
+		q.Next() // one item stays queued throughout
 	}
 	if got := countTenantOne(q, 10); got < 4 || got > 6 {
-		t.Errorf("%d of 10 for the one that was there", got)
+		t.Errorf("%d of 10 for the tenant that was alone", got)
 	}
 }
 
-// One that asks for less than its share has saved something up, and no more than the credit.
+// A tenant that requested less than its share has a credit of at most Queue.Credit.
 func TestCredit(t *testing.T) {
 	q := NewQueue(1000, equalWeights)
 	q.Credit = 3
@@ -153,19 +151,19 @@
 	for i := range 20 {
 		q.Add(Item{ID: uint64(200 + i), Tenant: 2, Size: 1, Deadline: time.Hour})
 	}
-	first := 0
+	served := 0
 	for q.Next().Tenant == 2 {
-		first++
+		served++
 	}
-	if first < 2 || first > 4 {
-		t.Errorf("%d at once of the one that was away, 3 are due", first)
+	if served < 2 || served > 4 {
+		t.Errorf("%d at once for the tenant that was idle, want 3", served)
 	}
 	if got := countTenantOne(q, 10); got < 4 || got > 6 {
 		t.Errorf("%d of 10 after that", got)
 	}
 }
 
-// What was taken out does not count against its tenant.
+// A removed item is not charged to its tenant.
 func TestRemoveIsNotCharged(t *testing.T) {
 	q := NewQueue(1000, equalWeights)
 	q.Add(Item{ID: 1, Tenant: 1, Size: 1})
@@ -176,12 +174,11 @@
 		q.Remove(1, uint64(2+i))
 	}
 	if got := countTenantOne(q, 10); got < 4 || got > 6 {
-		t.Errorf("%d of 10 for the one whose work was taken out", got)
+		t.Errorf("%d of 10 for the tenant whose items were removed", got)
 	}
 }
 
-// BenchmarkQueue adds and takes at many tenants, with the queue always full:
-// each addition pushes one out.
+// BenchmarkQueue adds and dequeues items of many tenants at a full queue: Add evicts an item.
 func BenchmarkQueue(b *testing.B) {
 	for _, tenants := range []int{10, 1000, 100000} {
 		b.Run(fmt.Sprint(tenants), func(b *testing.B) {
@@ -202,7 +199,7 @@
 	}
 }
 
-// Within a tenant the higher priority comes first, then the earlier; it moves nothing between tenants.
+// Within a tenant items are ordered by priority, then by arrival; priority doesn't affect other tenants.
 func TestPriority(t *testing.T) {
 	q := NewQueue(100, equalWeights)
 	for i, priority := range []int{0, 0, 2, 1, 2} {
@@ -214,7 +211,7 @@
 		if x := q.Next(); x.Tenant == 1 {
 			order = append(order, x.ID)
 		} else if gap := len(order)*2 - int(x.ID-9)*2; gap < -2 || gap > 2 {
-			t.Errorf("%d of the first tenant before the %d. of the other", len(order), x.ID-9)
+			t.Errorf("%d items of the first tenant before item %d of the other", len(order), x.ID-9)
 		}
 	}
 	if fmt.Sprint(order) != "[2 4 3 0 1]" {
--- a/internal/limits/quota.go
+++ b/internal/limits/quota.go
@@ -18,8 +18,8 @@
 // router that restarts thus isn't taken for removed, and a flapping list doesn't enlarge quotas; a failed router still
 // counts for decreaseDelay.
 type routerCount struct {
-	current, next int
-	nextAt        time.Duration
+	current, next int           // the divisor now, and after a scheduled decrease
+	nextAt        time.Duration // when the decrease takes effect
 }
 
 // update records the number of routers and reports whether the divisor increased. A decrease is only scheduled.
@@ -46,7 +46,7 @@
 // arrivals is an exponentially decaying count of a tenant's requests at this router.
 type arrivals struct {
 	sum float64
-	at  time.Duration
+	at  time.Duration // time of the last arrival, to which sum refers
 }
 
 func (a *arrivals) decayed(now time.Duration) float64 {
@@ -94,8 +94,8 @@
 // retry takes one. The budget is bounded by the client's recent first attempts: when half of the routers fail, all
 // requests that they had open are retried at once and are admitted; a retry storm is not.
 type retryBudget struct {
-	available     float64
-	at            time.Duration
+	available     float64       // retries
+	at            time.Duration // time of the last refill
 	firstAttempts arrivals
 }
 
@@ -105,11 +105,13 @@
 	idleRetryRate      = 0.1  // retries a second that are always added, so that a client with few requests may retry
 )
 
+// refill adds the retries of the time since the last refill and applies the bound.
 func (b *retryBudget) refill(now time.Duration) {
 	b.available = min(b.available+idleRetryRate*(now-b.at).Seconds(), max(minRetryBurst, retryBurstFraction*b.firstAttempts.decayed(now)))
 	b.at = now
 }
 
+// firstAttempt counts a first attempt, which adds ratio retries.
 func (b *retryBudget) firstAttempt(now time.Duration, ratio float64) {
 	b.firstAttempts.add(now)
 	b.available += ratio
--- a/internal/limits/rate.go
+++ b/internal/limits/rate.go
@@ -20,7 +20,7 @@
 // a theoretical arrival time it stays valid when the rate changes.
 type Meter struct {
 	used float64
-	at   time.Duration
+	at   time.Duration // time to which used refers
 }
 
 // NeverAllows reports whether work of this size exceeds the burst, so that waiting can't help.
