--- a/internal/control/dial.go
+++ b/internal/control/dial.go
@@ -19,17 +19,17 @@
 	pb "gannethook/internal/control/controlpb"
 )
 
-// Dial returns a client of a router's control plane and what closes it. at is
-// unix:PATH or host:port; a port needs certificates and accepts only a
-// certificate made for the router of that name. No connection is made before
-// the first call; a lost one is made again.
-func Dial(at, name string, files *certs.Files) (pb.ControlClient, func() error, error) {
+// Dial returns a client of a router's control plane and a function that closes it.
+// addr is unix:PATH or host:port. A TCP connection needs the certificate files and
+// accepts only a server certificate issued for the router of that name. The
+// connection is made at the first call and made again after a loss.
+func Dial(addr, name string, files *certs.Files) (pb.ControlClient, func() error, error) {
 	opts := []grpc.DialOption{grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(16 * maxMessage)),
 		grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: 2 * time.Second,
 			Backoff: backoff.Config{BaseDelay: 50 * time.Millisecond, Multiplier: 1.6, Jitter: 0.2, MaxDelay: time.Second}}),
 		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: 20 * time.Second, Timeout: 5 * time.Second}),
 		grpc.WithDisableServiceConfig(), grpc.WithNoProxy()}
-	path, unix := strings.CutPrefix(at, "unix:")
+	path, unix := strings.CutPrefix(addr, "unix:")
 	switch {
 	case unix:
 		opts = append(opts, grpc.WithTransportCredentials(insecure.NewCredentials()),
@@ -37,9 +37,9 @@
 				var d net.Dialer
 				return d.DialContext(ctx, "unix", path)
 			}))
-		at = "passthrough:///" + name
+		addr = "passthrough:///" + name
 	case files == nil:
-		return nil, nil, fmt.Errorf("%s: a port needs a certificate, a key and an authority", at)
+		return nil, nil, fmt.Errorf("%s: a port needs a certificate, a key and an authority", addr)
 	default:
 		id, err := spiffeid.FromSegments(files.Domain(), string(AsRouter), name)
 		if err != nil {
@@ -47,9 +47,9 @@
 		}
 		tls := tlsconfig.MTLSClientConfig(files, files, tlsconfig.AuthorizeID(id))
 		opts = append(opts, grpc.WithTransportCredentials(credentials.NewTLS(tls)))
-		at = "passthrough:///" + at
+		addr = "passthrough:///" + addr
 	}
-	conn, err := grpc.NewClient(at, opts...)
+	conn, err := grpc.NewClient(addr, opts...)
 	if err != nil {
 		return nil, nil, fmt.Errorf("control: %w", err)
 	}
--- a/internal/control/roles.go
+++ b/internal/control/roles.go
@@ -15,19 +15,19 @@
 	pb "gannethook/internal/control/controlpb"
 )
 
-// Role is what a caller may do.
+// Role is a set of permissions of a caller.
 type Role string
 
-// The roles. A certificate's id has its role as the first part of its path:
-// spiffe://fleet.example/operator/night-shift.
+// The roles. A certificate's SPIFFE ID has the role as the first segment of its
+// path: spiffe://fleet.example/operator/night-shift.
 const (
-	ReadOnly Role = "read-only"
-	Operator Role = "operator"
-	AsRouter Role = "router" // a router's own certificate; it may call nothing
+	ReadOnly Role = "read-only" // may make the calls that change nothing
+	Operator Role = "operator"  // may make all calls
+	AsRouter Role = "router"    // of a router's own certificate; may make no calls
 )
 
-// needs is the role that a call takes.
-func needs(method string) Role {
+// requiredRole returns the least role that may call a method.
+func requiredRole(method string) Role {
 	switch method {
 	case pb.Control_Do_FullMethodName, pb.Control_SetLogLevel_FullMethodName:
 		return Operator
@@ -35,7 +35,7 @@
 	return ReadOnly
 }
 
-// RoleOf reads the role from an id.
+// RoleOf returns the role in an ID, or "" if it has none.
 func RoleOf(id spiffeid.ID) Role {
 	path := id.Path()
 	for _, r := range []Role{ReadOnly, Operator, AsRouter} {
@@ -46,9 +46,9 @@
 	return ""
 }
 
-// allow decides whether the caller may make a call. On the unix socket the
-// file's permissions have decided: whoever may open it is an operator.
-func allow(ctx context.Context, method string, now time.Time) error {
+// authorize returns an error if the caller may not call the method. On the unix
+// socket the permissions of the file decide: a caller that can open it is an operator.
+func authorize(ctx context.Context, method string, now time.Time) error {
 	p, ok := peer.FromContext(ctx)
 	if !ok {
 		return status.Error(codes.Unauthenticated, "no peer")
@@ -61,8 +61,8 @@
 		return status.Error(codes.Unauthenticated, "no certificate")
 	}
 	cert := info.State.PeerCertificates[0]
-	// Guards against a connection that outlives its certificate: TLS looks at it once. Harms a call under way
-	// of an operator whose rotation is late: the next call fails, its command goes on.
+	// TLS checks the certificate only at the handshake, and the connection may outlive it. If a caller renews its
+	// certificate too late, its next call fails; a command that it gave before continues.
 	if now.After(cert.NotAfter) {
 		return status.Errorf(codes.Unauthenticated, "the certificate ended %v ago", now.Sub(cert.NotAfter).Round(time.Second))
 	}
@@ -70,21 +70,21 @@
 	if err != nil {
 		return status.Error(codes.Unauthenticated, err.Error())
 	}
-	if r := RoleOf(id); r != Operator && !(r == ReadOnly && needs(method) == ReadOnly) {
+	if r := RoleOf(id); r != Operator && !(r == ReadOnly && requiredRole(method) == ReadOnly) {
 		return status.Errorf(codes.PermissionDenied, "%s may not call %s", id, method)
 	}
 	return nil
 }
 
-func guardUnary(ctx context.Context, req any, info *grpc.UnaryServerInfo, next grpc.UnaryHandler) (any, error) {
-	if err := allow(ctx, info.FullMethod, time.Now()); err != nil {
+func authorizeUnary(ctx context.Context, req any, info *grpc.UnaryServerInfo, next grpc.UnaryHandler) (any, error) {
+	if err := authorize(ctx, info.FullMethod, time.Now()); err != nil {
 		return nil, err
 	}
 	return next(ctx, req)
 }
 
-func guardStream(srv any, ss grpc.ServerStream, info *grpc.StreamServerInfo, next grpc.StreamHandler) error {
-	if err := allow(ss.Context(), info.FullMethod, time.Now()); err != nil {
+func authorizeStream(srv any, ss grpc.ServerStream, info *grpc.StreamServerInfo, next grpc.StreamHandler) error {
+	if err := authorize(ss.Context(), info.FullMethod, time.Now()); err != nil {
 		return err
 	}
 	return next(srv, ss)
--- a/internal/daemon/apis_test.go
+++ b/internal/daemon/apis_test.go
@@ -26,15 +26,15 @@
 	"gannethook/internal/standin"
 )
 
-// official is OpenAI's client of the router.
-func (w *world) official(more ...option.RequestOption) openai.Client {
+// openAIClient is OpenAI's client of the router.
+func (w *testbed) openAIClient(more ...option.RequestOption) openai.Client {
 	hc := &http.Client{Transport: &http.Transport{}}
 	w.t.Cleanup(hc.CloseIdleConnections)
 	return openai.NewClient(append([]option.RequestOption{option.WithBaseURL("http://" + w.d.Addr() + "/v1"), option.WithAPIKey("none"),
 		option.WithHTTPClient(hc)}, more...)...)
 }
 
-func many(n int) []string {
+func texts(n int) []string {
 	list := make([]string, n)
 	for i := range list {
 		list[i] = fmt.Sprintf("text %d %s", i, strings.Repeat("x", i%200))
@@ -42,7 +42,7 @@
 	return list
 }
 
-func same(t *testing.T, got []float64, text string) {
+func checkEmbedding(t *testing.T, got []float64, text string) {
 	t.Helper()
 	want := standin.Embedding(text, len(got))
 	for i := range got {
@@ -55,16 +55,16 @@
 // OpenAI's own client embeds: one text, 2,048 of them over several parts in
 // order, tokens, base64, and gets its errors as such.
 func TestOpenAIEmbeddings(t *testing.T) {
-	w := newWorld(t, nil)
-	c := w.official()
+	w := newTestbed(t, nil)
+	c := w.openAIClient()
 	ctx := context.Background()
 	one, err := c.Embeddings.New(ctx, openai.EmbeddingNewParams{Model: "m", Dimensions: openai.Int(5),
 		Input: openai.EmbeddingNewParamsInputUnion{OfString: openai.String("hello")}})
 	if err != nil || len(one.Data) != 1 || len(one.Data[0].Embedding) != 5 || one.Model != "m" || one.Usage.PromptTokens < 1 {
 		t.Fatalf("%+v, %v", one, err)
 	}
-	same(t, one.Data[0].Embedding, "hello")
-	list := many(2048)
+	checkEmbedding(t, one.Data[0].Embedding, "hello")
+	list := texts(2048)
 	whole, err := c.Embeddings.New(ctx, openai.EmbeddingNewParams{Model: "m", Input: openai.EmbeddingNewParamsInputUnion{OfArrayOfStrings: list}})
 	if err != nil || len(whole.Data) != len(list) {
 		t.Fatalf("%d, %v", len(whole.Data), err)
@@ -73,14 +73,14 @@
 		if d.Index != int64(i) {
 			t.Fatalf("index %d at %d", d.Index, i)
 		}
-		same(t, d.Embedding, list[i])
+		checkEmbedding(t, d.Embedding, list[i])
 	}
 	tokens, err := c.Embeddings.New(ctx, openai.EmbeddingNewParams{Model: "m",
 		Input: openai.EmbeddingNewParamsInputUnion{OfArrayOfTokenArrays: [][]int64{{1, 2}, {3}}}})
 	if err != nil || len(tokens.Data) != 2 || tokens.Usage.TotalTokens != 3 {
 		t.Fatalf("%+v, %v", tokens, err)
 	}
-	_, err = c.Embeddings.New(ctx, openai.EmbeddingNewParams{Model: "m", Input: openai.EmbeddingNewParamsInputUnion{OfArrayOfStrings: many(2049)}})
+	_, err = c.Embeddings.New(ctx, openai.EmbeddingNewParams{Model: "m", Input: openai.EmbeddingNewParamsInputUnion{OfArrayOfStrings: texts(2049)}})
 	var bad *openai.Error
 	if !errors.As(err, &bad) || bad.StatusCode != 400 || bad.Param != "input" || !strings.Contains(bad.Message, "2048") {
 		t.Errorf("%v", err)
@@ -98,8 +98,8 @@
 
 // OpenAI's own client chats, streamed and not.
 func TestOpenAIChat(t *testing.T) {
-	w := newWorld(t, nil)
-	c := w.official()
+	w := newTestbed(t, nil)
+	c := w.openAIClient()
 	params := openai.ChatCompletionNewParams{Model: "m", MaxCompletionTokens: openai.Int(20), Temperature: openai.Float(0.5),
 		Messages: []openai.ChatCompletionMessageParamUnion{openai.SystemMessage("be brief"), openai.UserMessage("how much?")}}
 	whole, err := c.Chat.Completions.New(context.Background(), params)
@@ -129,18 +129,18 @@
 
 // Another client, by other hands, embeds in base64 and streams a chat.
 func TestOtherClient(t *testing.T) {
-	w := newWorld(t, nil)
+	w := newTestbed(t, nil)
 	cfg := sashabaranov.DefaultConfig("none")
 	hc := &http.Client{Transport: &http.Transport{}}
 	t.Cleanup(hc.CloseIdleConnections)
 	cfg.BaseURL, cfg.HTTPClient = "http://"+w.d.Addr()+"/v1", hc
 	c := sashabaranov.NewClientWithConfig(cfg)
-	res, err := c.CreateEmbeddings(context.Background(), sashabaranov.EmbeddingRequestStrings{Model: "m", Input: many(200),
+	res, err := c.CreateEmbeddings(context.Background(), sashabaranov.EmbeddingRequestStrings{Model: "m", Input: texts(200),
 		EncodingFormat: sashabaranov.EmbeddingEncodingFormatBase64})
 	if err != nil || len(res.Data) != 200 {
 		t.Fatalf("%d, %v", len(res.Data), err)
 	}
-	for i, text := range many(200) {
+	for i, text := range texts(200) {
 		for j, x := range standin.Embedding(text, len(res.Data[i].Embedding)) {
 			if res.Data[i].Embedding[j] != x {
 				t.Fatalf("%q: %v", text, res.Data[i].Embedding)
@@ -171,11 +171,11 @@
 
 // Cohere's client ranks, the whole over several parts.
 func TestCohereRerank(t *testing.T) {
-	w := newWorld(t, nil)
+	w := newTestbed(t, nil)
 	hc := &http.Client{Transport: &http.Transport{}}
 	t.Cleanup(hc.CloseIdleConnections)
 	c := cohereclient.NewClient(cohereclient.WithBaseURL("http://"+w.d.Addr()), cohereclient.WithHTTPClient(hc), cohereoption.WithToken("none"))
-	docs := many(300)
+	docs := texts(300)
 	ask := &cohere.RerankRequest{Model: cohere.String("m"), Query: "q", TopN: cohere.Int(7), ReturnDocuments: cohere.Bool(true)}
 	for _, d := range docs {
 		ask.Documents = append(ask.Documents, &cohere.RerankRequestDocumentsItem{String: d})
@@ -204,12 +204,12 @@
 // A tenant over its budget gets the published headers, waits as they tell, and
 // its client's own tries again succeed; another tenant is not touched.
 func TestRateLimitHeaders(t *testing.T) {
-	w := newWorld(t, func(cfg *settings.File) {
+	w := newTestbed(t, func(cfg *settings.File) {
 		cfg.Tenants = []settings.Tenant{{Name: "a", Budgets: []settings.Budget{{Requests: 5, Burst: 2}}}, {Name: "b"}}
 	})
 	ask := func(tenant string, tries int) (*http.Response, error) {
 		var res *http.Response
-		c := w.official(option.WithMaxRetries(tries), option.WithHeader("X-Gannethook-Tenant", tenant), option.WithResponseInto(&res))
+		c := w.openAIClient(option.WithMaxRetries(tries), option.WithHeader("X-Gannethook-Tenant", tenant), option.WithResponseInto(&res))
 		_, err := c.Embeddings.New(context.Background(), openai.EmbeddingNewParams{Model: "m",
 			Input: openai.EmbeddingNewParamsInputUnion{OfString: openai.String("x")}})
 		return res, err
@@ -245,12 +245,12 @@
 	if err := os.WriteFile(path, []byte(line+otherLine), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	w := newWorld(t, func(cfg *settings.File) {
+	w := newTestbed(t, func(cfg *settings.File) {
 		cfg.Tenants = []settings.Tenant{{Name: "a"}}
 		cfg.Keys = settings.Keys{File: path, Every: 5 * time.Millisecond}
 	}, func(c *standin.Config) { c.TokenGap = 20 * time.Millisecond })
 	chat := func(key string) error {
-		c := w.official(option.WithAPIKey(key), option.WithMaxRetries(0))
+		c := w.openAIClient(option.WithAPIKey(key), option.WithMaxRetries(0))
 		s := c.Chat.Completions.NewStreaming(context.Background(), openai.ChatCompletionNewParams{Model: "m",
 			MaxCompletionTokens: openai.Int(40), Messages: []openai.ChatCompletionMessageParamUnion{openai.UserMessage("x")}})
 		for n := 0; s.Next(); n++ {
--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -33,16 +33,16 @@
 	"gannethook/internal/standin"
 )
 
-// quickEngine is a peer that answers at once, with so many tokens: what is
+// instantEngine is a peer that answers at once, with so many tokens: what is
 // measured against it is the path alone.
-func quickEngine(t testing.TB, writes bool, tokens int) string {
+func instantEngine(t testing.TB, writes bool, tokens int) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	read := `{"choices":[{"text":""}],"kv_transfer_params":{"remote_host":"h"}}`
+	readResponse := `{"choices":[{"text":""}],"kv_transfer_params":{"remote_host":"h"}}`
 	event := []byte("data: {\"choices\":[{\"index\":0,\"text\":\" token\",\"finish_reason\":null}]}\n\n")
-	answer := "HTTP/1.1 200 OK\r\nContent-Length: " + strconv.Itoa(len(read)) + "\r\n\r\n" + read
+	answer := "HTTP/1.1 200 OK\r\nContent-Length: " + strconv.Itoa(len(readResponse)) + "\r\n\r\n" + readResponse
 	var wg sync.WaitGroup
 	serve := func(nc net.Conn) {
 		defer nc.Close()
@@ -84,11 +84,11 @@
 	return ln.Addr().String()
 }
 
-// quickRouter is a router in front of a quick reader and a quick writer.
-func quickRouter(t testing.TB, tokens int, most int, change ...func(*settings.File)) (d *daemon.Daemon, writer string) {
+// routerToInstantEngines is a router in front of a quick reader and a quick writer.
+func routerToInstantEngines(t testing.TB, tokens int, most int, change ...func(*settings.File)) (d *daemon.Daemon, writer string) {
 	roster := standin.NewRoster("engines", nil)
-	writer = quickEngine(t, true, tokens)
-	roster.Set(standin.Listed{Addr: quickEngine(t, false, 0), Kind: "prompt", Zone: "north", State: "ready"})
+	writer = instantEngine(t, true, tokens)
+	roster.Set(standin.Listed{Addr: instantEngine(t, false, 0), Kind: "prompt", Zone: "north", State: "ready"})
 	roster.Set(standin.Listed{Addr: writer, Kind: "answer", Zone: "north", State: "ready"})
 	addr, err := roster.Start("127.0.0.1:0")
 	if err != nil {
@@ -116,7 +116,7 @@
 // straight from an engine, through httputil.ReverseProxy and through the
 // router, whose path is a read at one engine and then a write at another.
 func BenchmarkAdded(b *testing.B) {
-	d, writer := quickRouter(b, 4, 100)
+	d, writer := routerToInstantEngines(b, 4, 100)
 	target, _ := url.Parse("http://" + writer)
 	proxy := &httputil.ReverseProxy{Rewrite: func(r *httputil.ProxyRequest) { r.SetURL(target) }, FlushInterval: -1}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -140,7 +140,7 @@
 		}
 		return took
 	}
-	reader := quickEngine(b, false, 0)
+	reader := instantEngine(b, false, 0)
 	s, err := client.Open(context.Background(), d.Addr(), "m")
 	if err != nil {
 		b.Fatal(err)
@@ -179,7 +179,7 @@
 // streams, and allocations a token on the whole path, both ends included.
 func BenchmarkRelay(b *testing.B) {
 	const tokens, streams = 20000, 4
-	d, _ := quickRouter(b, tokens, 100)
+	d, _ := routerToInstantEngines(b, tokens, 100)
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	from, n := time.Now(), 0
@@ -193,7 +193,7 @@
 					return
 				}
 				defer nc.Close()
-				if err := drain(nc); err != nil {
+				if err := readUntilDone(nc); err != nil {
 					b.Error(err)
 				}
 			})
@@ -223,19 +223,19 @@
 	return nc, err
 }
 
-// drain reads until the final answer has begun to come.
-func drain(nc net.Conn) error {
-	const word = `"response.done"`
-	buf, kept := make([]byte, 64<<10), 0
+// readUntilDone reads until the final answer has begun to come.
+func readUntilDone(nc net.Conn) error {
+	const marker = `"response.done"`
+	buf, carried := make([]byte, 64<<10), 0
 	for {
-		n, err := nc.Read(buf[kept:])
+		n, err := nc.Read(buf[carried:])
 		if err != nil {
 			return err
 		}
-		if bytes.Contains(buf[:kept+n], []byte(word)) {
+		if bytes.Contains(buf[:carried+n], []byte(marker)) {
 			return nil
 		}
-		kept = copy(buf, buf[max(0, kept+n-len(word)):kept+n])
+		carried = copy(buf, buf[max(0, carried+n-len(marker)):carried+n])
 	}
 }
 
@@ -246,7 +246,7 @@
 	if text := os.Getenv("GANNETHOOK_SESSIONS"); text != "" {
 		n, _ = strconv.Atoi(text)
 	}
-	d, _ := quickRouter(b, 1, n+10)
+	d, _ := routerToInstantEngines(b, 1, n+10)
 	var before, after runtime.MemStats
 	for b.Loop() {
 		runtime.GC()
@@ -283,7 +283,7 @@
 // BenchmarkControl measures requests with and without 100 status calls a second
 // on the control plane, in blocks that take turns.
 func BenchmarkControl(b *testing.B) {
-	d, _ := quickRouter(b, 32, 100, func(cfg *settings.File) { cfg.Control.Run = b.TempDir() })
+	d, _ := routerToInstantEngines(b, 32, 100, func(cfg *settings.File) { cfg.Control.Run = b.TempDir() })
 	ctl, shut, err := control.Dial("unix:"+d.Settings().Control.Socket(), "demo", nil)
 	if err != nil {
 		b.Fatal(err)
--- a/internal/daemon/counts.go
+++ b/internal/daemon/counts.go
@@ -9,44 +9,46 @@
 	"gannethook/internal/settings"
 )
 
-// counts is how requests ended in this life of the router, by class.
+// counts counts the outcomes of requests in this process, by class.
 type counts struct {
-	mu    sync.Mutex
-	order []string
-	by    map[string]*pb.Counts
+	mu      sync.Mutex
+	order   []string // of the classes in the settings
+	byClass map[string]*pb.Counts
 }
 
 func newCounts(cfg *settings.File) *counts {
-	c := &counts{by: map[string]*pb.Counts{}}
+	c := &counts{byClass: map[string]*pb.Counts{}}
 	for _, class := range cfg.Classes {
 		c.order = append(c.order, class.Name)
-		c.by[class.Name] = &pb.Counts{Class: class.Name}
+		c.byClass[class.Name] = &pb.Counts{Class: class.Name}
 	}
 	return c
 }
 
+// add counts a request that has ended. A served one is in time if its first token came within the target latency of its
+// class in cfg.
 func (c *counts) add(cfg *settings.File, s driver.Summary) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	n := c.by[s.Class]
-	if n == nil {
+	count := c.byClass[s.Class]
+	if count == nil {
 		return
 	}
 	switch s.Outcome {
 	case driver.Served:
-		n.Served++
+		count.Served++
 		for _, class := range cfg.Classes {
-			aim := class.Aim + time.Duration(float64(class.AimPer1000)*s.PromptSize/1000)
-			if class.Name == s.Class && s.FirstToken <= aim {
-				n.InTime++
+			target := class.Aim + time.Duration(float64(class.AimPer1000)*s.PromptSize/1000)
+			if class.Name == s.Class && s.FirstToken <= target {
+				count.InTime++
 			}
 		}
 	case driver.Refused:
-		n.Refused++
+		count.Refused++
 	case driver.Failed:
-		n.Failed++
+		count.Failed++
 	case driver.Cancelled:
-		n.Cancelled++
+		count.Cancelled++
 	}
 }
 
@@ -55,9 +57,9 @@
 	defer c.mu.Unlock()
 	var list []*pb.Counts
 	for _, name := range c.order {
-		n := c.by[name]
-		list = append(list, &pb.Counts{Class: n.Class, Served: n.Served, Refused: n.Refused, Failed: n.Failed,
-			Cancelled: n.Cancelled, InTime: n.InTime})
+		count := c.byClass[name]
+		list = append(list, &pb.Counts{Class: count.Class, Served: count.Served, Refused: count.Refused, Failed: count.Failed,
+			Cancelled: count.Cancelled, InTime: count.InTime})
 	}
 	return list
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,7 @@
-// Package daemon puts a router together: settings, roster, driver, engines'
-// client, clients' front, control plane and life, in one process.
+// Package daemon assembles a router process from its parts: settings, discovery,
+// the driver of the module, admission, the client for engines, the front for
+// clients, the control plane and the lifecycle. It owns the process's listeners and
+// run files, and it carries out what the lifecycle machine decides.
 package daemon
 
 import (
@@ -32,150 +34,150 @@
 	"gannethook/internal/settings"
 )
 
-// Options are what a router is started with, besides its settings.
+// Options are the parameters of a router besides its settings.
 type Options struct {
-	Policy  string                    // names a baseline in place of the module, for comparisons; "" is the module
-	Config  string                    // the settings' file, for reloads; "" where they came from no file
-	Release string                    // what this program calls itself
-	Argv    []string                  // that starts a successor, the program first; nil: no restarts
-	Link    *handover.Link            // the predecessor, if there is one
-	Held    map[string][]net.Listener // by name, from systemd: "listen", "control"
-	Level   *zap.AtomicLevel          // of the log; nil: it stays
+	Policy  string                    // baseline policy that replaces the module in comparisons; "" is the module
+	Config  string                    // path of the settings file, for reloads; "" if there is none
+	Release string                    // release name of this program
+	Argv    []string                  // command line of a successor, the program first; nil disables restarts
+	Link    *handover.Link            // connection to the predecessor; nil if there is none
+	Held    map[string][]net.Listener // listeners from systemd socket activation, by name: "listen", "control"
+	Level   *zap.AtomicLevel          // of the log; nil if it can't be changed
 }
 
 // Daemon is a running router.
 type Daemon struct {
-	opt    Options
-	log    *zap.Logger
-	keeper *keeper
-	tape   *control.Tape
-	counts *counts
-	client *engine.Client
-	driver *driver.Driver
-	intake *admission.Controller
-	keys   *apikeys.File
-	doors  *certs.Files // of the clients' port
-	front  *front.Server
-	run    *runFiles
-	ln     net.Listener
-	ctl    *control.Server
-	ctlLns []net.Listener
-	certs  *certs.Files
-
-	stopWork context.CancelFunc
-	stopKeys context.CancelFunc // nil: there are none
-	work     sync.WaitGroup
-	listed   chan struct{} // closed at the first list
-	once     sync.Once
-	stopping sync.Once
-
-	mu      sync.Mutex
-	cfg     *settings.File // that run
-	since   time.Time      // of the state
-	state   lifecycle.State
-	peers   int      // routers in the roster's list; 0: not listed
-	waiting []string // changed settings that wait for a restart
-	before  *predecessor
-	heir    *handover.Heir // that starts or has taken over
+	opt              Options
+	log              *zap.Logger
+	lifecycle        *lifecycleRunner
+	events           *control.EventLog
+	counts           *counts
+	client           *engine.Client
+	driver           *driver.Driver
+	admission        *admission.Controller
+	keys             *apikeys.File
+	clientCerts      *certs.Files // of the port for clients; nil: plain TCP
+	front            *front.Server
+	files            *runFiles
+	listener         net.Listener
+	controlServer    *control.Server
+	controlListeners []net.Listener // the unix socket, then the TCP port
+	controlCerts     *certs.Files   // nil: no TCP port
+
+	stopBackground context.CancelFunc
+	stopKeys       context.CancelFunc // ends the watch of the key file; nil: no keys
+	background     sync.WaitGroup
+	listed         chan struct{} // closed at the first membership from discovery
+	listedOnce     sync.Once
+	stopOnce       sync.Once
+
+	mu           sync.Mutex
+	cfg          *settings.File // in force
+	stateSince   time.Time
+	state        lifecycle.State
+	readyRouters int      // ready routers in discovery; 0: unknown
+	needRestart  []string // paths of changed settings that need a restart
+	predecessor  *predecessorInfo
+	successor    *handover.Successor // starting, or serving in place of this process
 }
 
-// predecessor is what is known of a process that ends for this one.
-type predecessor struct {
+// predecessorInfo describes the predecessor process while it drains.
+type predecessorInfo struct {
 	pid   int
 	boot  string
 	open  int
 	since time.Time
 }
 
-// Start starts a router on its settings, as far as it needs no restarts.
-// policy is as in Options.
+// Start starts a router without reloads, restarts and predecessor. policy is as in
+// Options.
 func Start(cfg *settings.File, policy string, log *zap.Logger) (*Daemon, error) {
 	return StartWith(cfg, Options{Policy: policy}, log)
 }
 
-// StartWith starts a router. It serves at once; requests that come before the
-// first list wait as the module has them wait. A successor first waits for its
-// list, for its predecessor serves meanwhile.
+// StartWith starts a router. It serves at once; requests that arrive before the
+// first membership wait in the module. A successor first waits for the membership,
+// because its predecessor serves meanwhile.
 func StartWith(cfg *settings.File, opt Options, log *zap.Logger) (*Daemon, error) {
-	d := &Daemon{cfg: cfg, opt: opt, log: log, listed: make(chan struct{}), tape: control.NewTape(cfg.Control.Events),
-		counts: newCounts(cfg), since: time.Now(), state: lifecycle.Starting}
-	if err := d.open(cfg); err != nil {
+	d := &Daemon{cfg: cfg, opt: opt, log: log, listed: make(chan struct{}), events: control.NewEventLog(cfg.Control.Events),
+		counts: newCounts(cfg), stateSince: time.Now(), state: lifecycle.Starting}
+	if err := d.build(cfg); err != nil {
 		d.closeAll()
 		return nil, fmt.Errorf("start: %w", err)
 	}
-	d.keeper = newKeeper(lifecycle.Limits{Start: cfg.Control.Start, Drain: cfg.Sessions.Drain, CloseGrace: lastWords,
-		MaxResults: cfg.Control.Results}, (*hand)(d))
+	d.lifecycle = newLifecycleRunner(lifecycle.Limits{Start: cfg.Control.Start, Drain: cfg.Sessions.Drain, CloseGrace: closeGrace,
+		MaxResults: cfg.Control.Results}, (*daemonEffects)(d))
 	ctx, cancel := context.WithCancel(context.Background())
-	d.stopWork = cancel
-	d.work.Go(func() { d.driver.Run(ctx) })
-	d.follow(ctx)
-	if err := d.inherit(); err != nil {
-		d.stopWork()
-		d.work.Wait()
+	d.stopBackground = cancel
+	d.background.Go(func() { d.driver.Run(ctx) })
+	d.followDiscovery(ctx)
+	if err := d.inheritState(); err != nil {
+		d.stopBackground()
+		d.background.Wait()
 		d.closeAll()
 		return nil, fmt.Errorf("start: %w", err)
 	}
-	go d.keeper.run()
+	go d.lifecycle.run()
 	d.serve()
 	return d, nil
 }
 
-// lastWords is how long sessions may take to close once their answers are given.
-const lastWords = time.Second
+// closeGrace is the time that sessions have to close once their open requests were failed.
+const closeGrace = time.Second
 
-// open makes the parts and opens the ports.
-func (d *Daemon) open(cfg *settings.File) (err error) {
+// build creates the parts and opens the ports.
+func (d *Daemon) build(cfg *settings.File) (err error) {
 	link := d.opt.Link
-	if d.run, err = openRun(&cfg.Control, link); err != nil {
+	if d.files, err = openRunFiles(&cfg.Control, link); err != nil {
 		return err
 	}
 	if c := cfg.Control; c.Listen != "" {
-		if d.certs, err = certs.Open(c.Domain, c.Cert, c.Key, c.Authority); err != nil {
+		if d.controlCerts, err = certs.Open(c.Domain, c.Cert, c.Key, c.Authority); err != nil {
 			return err
 		}
 	}
-	decider, err := decider(cfg, d.opt.Policy)
+	decider, err := newDecider(cfg, d.opt.Policy)
 	if err != nil {
 		return err
 	}
 	d.client = engine.NewClient(cfg.EngineLimits())
 	d.driver, err = driver.New(driver.Config{Settings: cfg.Module(), Decider: decider, Name: cfg.Name, Seed: cfg.Seed,
-		Inbox: cfg.Limits.Inbox, MaxOpen: cfg.Limits.Open, Engines: d.client, OnSummary: d.done,
-		Guard: guard.NewMonitor(d.denied), OnPendingRelease: d.owed, OnAbandoned: d.forgot, OnSilence: d.silent})
+		Inbox: cfg.Limits.Inbox, MaxOpen: cfg.Limits.Open, Engines: d.client, OnSummary: d.onSummary,
+		Guard: guard.NewMonitor(d.onDenial), OnPendingRelease: d.onPendingRelease, OnAbandoned: d.onAbandoned, OnSilence: d.onSilence})
 	if err != nil {
 		return err
 	}
-	d.intake = admission.New(d.driver, cfg.Limiter(), d.done)
-	if err := d.openDoors(cfg); err != nil {
+	d.admission = admission.New(d.driver, cfg.Limiter(), d.onSummary)
+	if err := d.openClientAuth(cfg); err != nil {
 		return err
 	}
-	if d.ln, err = port(link, d.opt.Held, "tcp", listenName, cfg.Listen); err != nil {
+	if d.listener, err = openPort(link, d.opt.Held, "tcp", listenName, cfg.Listen); err != nil {
 		return err
 	}
 	if cfg.Control.Run != "" {
-		ln, err := port(link, nil, "unix", socketName, cfg.Control.Socket())
+		ln, err := openPort(link, nil, "unix", socketName, cfg.Control.Socket())
 		if err != nil {
 			return err
 		}
-		d.ctlLns = append(d.ctlLns, ln)
+		d.controlListeners = append(d.controlListeners, ln)
 	}
-	if d.certs != nil {
-		ln, err := port(link, d.opt.Held, "tcp", controlName, cfg.Control.Listen)
+	if d.controlCerts != nil {
+		ln, err := openPort(link, d.opt.Held, "tcp", controlName, cfg.Control.Listen)
 		if err != nil {
 			return err
 		}
-		d.ctlLns = append(d.ctlLns, ln)
+		d.controlListeners = append(d.controlListeners, ln)
 	}
 	return nil
 }
 
-// inherit takes what a predecessor hands on and waits to be its equal.
-func (d *Daemon) inherit() error {
+// inheritState takes over the predecessor's state and waits for the first membership.
+func (d *Daemon) inheritState() error {
 	link := d.opt.Link
 	if link == nil {
 		return nil
 	}
-	d.keeper.m.Inherit(link.Results, link.Drained)
+	d.lifecycle.machine.Inherit(link.Results, link.Drained)
 	select {
 	case <-d.listed:
 		return nil
@@ -184,269 +186,274 @@
 	}
 }
 
-// serve opens the doors and tells the life so.
+// serve starts the servers and enters the first state after Starting.
 func (d *Daemon) serve() {
-	d.front = front.NewServer(d.cfg, d.intake, d.done)
-	d.guardDoors()
-	d.front.OnLeave(d.keeper.changed)
-	if len(d.ctlLns) > 0 {
-		d.ctl = control.NewServer((*face)(d), d.certs)
+	d.front = front.NewServer(d.cfg, d.admission, d.onSummary)
+	d.enableClientAuth()
+	d.front.OnLeave(d.lifecycle.notifyOpenChanged)
+	if len(d.controlListeners) > 0 {
+		d.controlServer = control.NewServer((*controlAPI)(d), d.controlCerts)
 	}
-	// Before the ports: a successor of a drained router turns its sessions away from the first one on.
+	// Before the ports are served: the successor of a drained router must refuse sessions from the first one on.
 	started := make(chan struct{})
-	d.keeper.post(func() {
-		d.keeper.do(d.keeper.m.Started(d.keeper.now(), nil))
+	d.lifecycle.post(func() {
+		d.lifecycle.apply(d.lifecycle.machine.Started(d.lifecycle.now(), nil))
 		close(started)
 	})
 	<-started
-	d.work.Go(func() { d.front.Serve(d.ln) })
-	for i, ln := range d.ctlLns {
+	d.background.Go(func() { d.front.Serve(d.listener) })
+	for i, ln := range d.controlListeners {
 		secure := i > 0
-		d.work.Go(func() {
-			if err := d.ctl.Serve(ln, secure); err != nil && !errors.Is(err, net.ErrClosed) {
+		d.background.Go(func() {
+			if err := d.controlServer.Serve(ln, secure); err != nil && !errors.Is(err, net.ErrClosed) {
 				d.log.Error("control", zap.Error(err))
 			}
 		})
 	}
-	if err := d.run.own(); err != nil {
-		d.log.Warn("run folder", zap.Error(err))
+	if err := d.files.writePID(); err != nil {
+		d.log.Warn("run folder: writing the pid file failed", zap.Error(err))
 	}
-	if l := d.opt.Link; l != nil {
-		d.before = &predecessor{pid: l.Pid, boot: l.Boot, since: time.Now()}
-		l.Ready(d.front.Boot())
-		d.work.Go(func() { d.watchPredecessor(l) })
+	if link := d.opt.Link; link != nil {
+		d.predecessor = &predecessorInfo{pid: link.Pid, boot: link.Boot, since: time.Now()}
+		link.Ready(d.front.Boot())
+		d.background.Go(func() { d.watchPredecessor(link) })
 	}
 	sd.SdNotify(false, fmt.Sprintf("READY=1\nMAINPID=%d\nSTATUS=%v", os.Getpid(), d.State()))
 	d.log.Info("ready", zap.String("router", d.cfg.Name), zap.String("listen", d.Addr()), zap.String("boot", d.front.Boot()))
 }
 
-func (d *Daemon) watchPredecessor(l *handover.Link) {
-	l.Follow(func(n int) {
+// watchPredecessor follows the predecessor's number of open requests until it has ended.
+func (d *Daemon) watchPredecessor(link *handover.Link) {
+	link.Follow(func(n int) {
 		d.mu.Lock()
-		d.before.open = n
+		d.predecessor.open = n
 		d.mu.Unlock()
 	})
 	d.mu.Lock()
-	d.before = nil
+	d.predecessor = nil
 	d.mu.Unlock()
-	d.tape.Add("handover", fmt.Sprintf("process %d has ended", l.Pid))
+	d.events.Add("handover", fmt.Sprintf("process %d has ended", link.Pid))
 }
 
-func decider(cfg *settings.File, policy string) (driver.Decider, error) {
+// newDecider returns the decider of a baseline policy, or nil for the module.
+func newDecider(cfg *settings.File, policy string) (driver.Decider, error) {
 	if policy == "" || policy == "module" {
 		return nil, nil
 	}
 	return baseline.New(policy, cfg.Module(), cfg.Seed)
 }
 
-// follow starts to follow the roster.
-func (d *Daemon) follow(ctx context.Context) {
+// followDiscovery starts to follow the lists of engines and routers.
+func (d *Daemon) followDiscovery(ctx context.Context) {
 	names := endpoints.Names{Zones: d.cfg.Zones}
 	for _, k := range d.cfg.Kinds {
 		names.Kinds = append(names.Kinds, k.Name)
 	}
-	r := d.cfg.Roster
-	if r.Routers != "" {
-		w := &endpoints.Watch{Addr: r.Watch, Namespace: r.Namespace, Service: r.Routers, Agent: d.cfg.Name, Silence: r.Silence,
-			Seed: d.cfg.Seed + 1, Names: endpoints.Names{Any: true}, Report: d.warn("routers"), Keep: d.routers,
+	roster := d.cfg.Roster
+	if roster.Routers != "" {
+		watch := &endpoints.Watch{Addr: roster.Watch, Namespace: roster.Namespace, Service: roster.Routers, Agent: d.cfg.Name, Silence: roster.Silence,
+			Seed: d.cfg.Seed + 1, Names: endpoints.Names{Any: true}, Report: d.reportFault("routers"), Keep: d.onRouters,
 			Publish: func(gannethook.Membership) {}}
-		d.work.Go(func() { w.Run(ctx) })
+		d.background.Go(func() { watch.Run(ctx) })
 	}
-	if r.File != "" {
-		f := &endpoints.File{Path: r.File, Every: r.Every, Names: names, Publish: d.update, Report: d.warn("roster")}
-		d.work.Go(func() { f.Run(ctx) })
+	if roster.File != "" {
+		file := &endpoints.File{Path: roster.File, Every: roster.Every, Names: names, Publish: d.onMembership, Report: d.reportFault("roster")}
+		d.background.Go(func() { file.Run(ctx) })
 		return
 	}
-	w := &endpoints.Watch{Addr: r.Watch, Namespace: r.Namespace, Service: r.Service, Agent: d.cfg.Name,
-		Silence: r.Silence, Seed: d.cfg.Seed, Names: names, Publish: d.update, Report: d.warn("roster")}
-	if r.Cache != "" {
+	watch := &endpoints.Watch{Addr: roster.Watch, Namespace: roster.Namespace, Service: roster.Service, Agent: d.cfg.Name,
+		Silence: roster.Silence, Seed: d.cfg.Seed, Names: names, Publish: d.onMembership, Report: d.reportFault("roster")}
+	if roster.Cache != "" {
 		var err error
-		if w.Start, err = endpoints.LoadCache(r.Cache, names); err != nil {
-			d.log.Warn("the kept list can't be used", zap.Error(err))
+		if watch.Start, err = endpoints.LoadCache(roster.Cache, names); err != nil {
+			d.log.Warn("the cached list of engines can't be used", zap.Error(err))
 		}
-		w.Keep = func(list []gannethook.Server) {
-			if err := endpoints.SaveCache(r.Cache, list); err != nil {
-				d.log.Warn("the list can't be kept", zap.Error(err))
+		watch.Keep = func(list []gannethook.Server) {
+			if err := endpoints.SaveCache(roster.Cache, list); err != nil {
+				d.log.Warn("the list of engines can't be cached", zap.Error(err))
 			}
 		}
 	}
-	d.work.Go(func() { w.Run(ctx) })
+	d.background.Go(func() { watch.Run(ctx) })
 }
 
-func (d *Daemon) warn(part string) func(error) {
+// reportFault returns a function that logs errors of a part and adds them to the events.
+func (d *Daemon) reportFault(part string) func(error) {
 	return func(err error) {
 		d.log.Warn(part, zap.Error(err))
-		d.tape.Add(part, err.Error())
+		d.events.Add(part, err.Error())
 	}
 }
 
-func (d *Daemon) update(m gannethook.Membership) {
-	d.driver.Update(m)
+// onMembership passes a membership to the driver and opens connections to the ready engines.
+func (d *Daemon) onMembership(membership gannethook.Membership) {
+	d.driver.Update(membership)
 	ready := 0
-	for _, s := range m.Servers {
+	for _, s := range membership.Servers {
 		if s.State == gannethook.Ready {
 			ready++
 			d.client.Warm(string(s.ID))
 		}
 	}
-	d.log.Debug("list", zap.Bool("whole", m.Whole), zap.Int("servers", len(m.Servers)), zap.Int("ready", ready))
-	d.once.Do(func() { close(d.listed) })
+	d.log.Debug("list", zap.Bool("whole", membership.Whole), zap.Int("servers", len(membership.Servers)), zap.Int("ready", ready))
+	d.listedOnce.Do(func() { close(d.listed) })
 }
 
-// Addr is where the router listens.
-func (d *Daemon) Addr() string { return d.ln.Addr().String() }
+// Addr returns the address of the port for clients.
+func (d *Daemon) Addr() string { return d.listener.Addr().String() }
 
-// Listed is closed once the roster was heard.
+// Listed returns a channel that is closed at the first membership from discovery.
 func (d *Daemon) Listed() <-chan struct{} { return d.listed }
 
-// Ended is closed once the life has ended; Stop is then due.
-func (d *Daemon) Ended() <-chan struct{} { return d.keeper.ended }
+// Ended returns a channel that is closed when the process is to end; the caller then calls Stop.
+func (d *Daemon) Ended() <-chan struct{} { return d.lifecycle.ended }
 
-// State is where the router is in its life.
+// State returns the lifecycle state.
 func (d *Daemon) State() lifecycle.State {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.state
 }
 
-// Settings are those that run.
+// Settings returns the settings in force.
 func (d *Daemon) Settings() *settings.File {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.cfg
 }
 
-// done logs one line a request, and counts it.
-func (d *Daemon) done(s driver.Summary) {
+// onSummary logs a request that has ended and counts its outcome.
+func (d *Daemon) onSummary(s driver.Summary) {
 	d.counts.add(d.Settings(), s)
-	d.keeper.changed()
-	ends := slices.DeleteFunc(s.AttemptEnds, func(e string) bool { return e == "" })
+	d.lifecycle.notifyOpenChanged()
+	attemptEnds := slices.DeleteFunc(s.AttemptEnds, func(e string) bool { return e == "" })
 	d.log.Info("request", zap.Uint64("id", s.ID), zap.String("session", s.Session), zap.String("class", s.Class),
 		zap.String("reader", s.Reader), zap.String("writer", s.Writer), zap.Int("attempts", s.Attempts),
 		zap.Stringer("outcome", s.Outcome), zap.String("reason", s.Reason), zap.Float64("prompt", s.PromptSize),
 		zap.Int("tokens", s.Tokens), zap.Duration("first", s.FirstToken), zap.Duration("whole", s.Total),
-		zap.Duration("retry_after", s.RetryAfter), zap.Strings("ends", ends))
+		zap.Duration("retry_after", s.RetryAfter), zap.Strings("ends", attemptEnds))
 }
 
-// Command gives a command and waits for its result, or for the context.
+// Command executes a command and waits for its result or the end of the context.
 func (d *Daemon) Command(ctx context.Context, c lifecycle.Command) (lifecycle.Result, error) {
-	if c.Limit <= 0 { // as the settings have it now, not as at the start
+	if c.Limit <= 0 { // the settings in force; the machine has those of the start
 		c.Limit = d.Settings().Sessions.Drain
 	}
-	d.tape.Add("command", fmt.Sprintf("%v, id %s", c.Op, c.ID))
-	r, err := d.keeper.command(ctx, c, false)
+	d.events.Add("command", fmt.Sprintf("%v, id %s", c.Op, c.ID))
+	r, err := d.lifecycle.command(ctx, c, false)
 	switch {
 	case err != nil:
 		d.log.Warn("command", zap.Stringer("op", c.Op), zap.String("command", c.ID), zap.Error(err))
 	default:
-		d.tape.Add("result", fmt.Sprintf("%v, id %s: done %v, cut %v %s", c.Op, c.ID, r.Done, r.Cut, r.Note))
+		d.events.Add("result", fmt.Sprintf("%v, id %s: done %v, cut %v %s", c.Op, c.ID, r.Done, r.Cut, r.Note))
 		d.log.Info("command", zap.Stringer("op", c.Op), zap.String("command", c.ID), zap.Bool("done", r.Done),
 			zap.Bool("cut", r.Cut), zap.String("note", r.Note))
 	}
 	return r, err
 }
 
-// Stop takes nothing new, lets open requests end within the settings' drain
-// time or until the context ends, and then ends everything.
-// Further calls wait for the first.
-func (d *Daemon) Stop(ctx context.Context) { d.stopping.Do(func() { d.stop(ctx) }) }
+// Stop drains the router and then ends all its parts. Open requests that have not
+// finished after the drain time of the settings, or when the context ends, are
+// failed. Further calls wait for the first.
+func (d *Daemon) Stop(ctx context.Context) { d.stopOnce.Do(func() { d.stop(ctx) }) }
 
 func (d *Daemon) stop(ctx context.Context) {
-	from := time.Now()
+	started := time.Now()
 	limit := d.Settings().Sessions.Drain
-	go d.keeper.command(context.Background(), lifecycle.Command{ID: "stop", Op: lifecycle.Stop, Limit: limit}, false)
+	go d.lifecycle.command(context.Background(), lifecycle.Command{ID: "stop", Op: lifecycle.Stop, Limit: limit}, false)
 	select {
-	case <-d.keeper.ended:
-	case <-ctx.Done(): // a second stop cuts the first short
-		go d.keeper.command(context.Background(), lifecycle.Command{ID: "stop now", Op: lifecycle.Stop, Limit: limit}, false)
-		<-d.keeper.ended
+	case <-d.lifecycle.ended:
+	case <-ctx.Done(): // a second stop fails the open requests at once
+		go d.lifecycle.command(context.Background(), lifecycle.Command{ID: "stop now", Op: lifecycle.Stop, Limit: limit}, false)
+		<-d.lifecycle.ended
 	}
 	d.closeListeners()
 	d.front.End()
-	d.intake.Stop()
-	if d.ctl != nil {
-		d.ctl.Stop()
+	d.admission.Stop()
+	if d.controlServer != nil {
+		d.controlServer.Stop()
 	}
-	d.stopWork()
+	d.stopBackground()
 	if d.stopKeys != nil {
 		d.stopKeys()
 	}
 	if d.opt.Link != nil {
 		d.opt.Link.Close()
 	}
-	d.work.Wait()
-	d.keeper.stop()
+	d.background.Wait()
+	d.lifecycle.stop()
 	d.closeAll()
-	d.log.Info("stopped", zap.String("router", d.cfg.Name), zap.Duration("took", time.Since(from)))
+	d.log.Info("stopped", zap.String("router", d.cfg.Name), zap.Duration("took", time.Since(started)))
 }
 
-// Code is the process's exit code once Ended is closed.
-func (d *Daemon) Code() int { return d.keeper.code }
+// Code returns the exit code of the process once Ended is closed.
+func (d *Daemon) Code() int { return d.lifecycle.exitCode }
 
-// routers takes the list of routers: quotas are divided by how many are ready,
-// by the module as well.
-func (d *Daemon) routers(list []gannethook.Server) {
-	n := 0
+// onRouters takes a list of routers. Admission and the module divide the quotas by
+// the number of ready ones.
+func (d *Daemon) onRouters(list []gannethook.Server) {
+	ready := 0
 	for _, s := range list {
 		if s.State == gannethook.Ready {
-			n++
+			ready++
 		}
 	}
 	d.mu.Lock()
-	d.peers = n
+	d.readyRouters = ready
 	cfg := d.cfg
 	d.mu.Unlock()
-	d.intake.SetRouters(n)
-	d.driver.Swap(d.module(cfg), cfg.Limits.Open)
-	d.tape.Add("routers", fmt.Sprint(n))
+	d.admission.SetRouters(ready)
+	d.driver.Swap(d.moduleSettings(cfg), cfg.Limits.Open)
+	d.events.Add("routers", fmt.Sprint(ready))
 }
 
-// module is what the module is told: the number of routers is the list's, where there is one.
-func (d *Daemon) module(cfg *settings.File) gannethook.Settings {
+// moduleSettings returns the module's settings, with the number of routers from discovery if it is known.
+func (d *Daemon) moduleSettings(cfg *settings.File) gannethook.Settings {
 	set := cfg.Module()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.peers > 0 {
-		set.Routers = d.peers
+	if d.readyRouters > 0 {
+		set.Routers = d.readyRouters
 	}
 	return set
 }
 
-// limiter is what limits are told, with the same number.
-func (d *Daemon) limiter(cfg *settings.File) limits.Settings {
+// limiterSettings returns the settings of admission, with the same number of routers.
+func (d *Daemon) limiterSettings(cfg *settings.File) limits.Settings {
 	set := cfg.Limiter()
-	set.Routers = d.module(cfg).Routers
+	set.Routers = d.moduleSettings(cfg).Routers
 	return set
 }
 
-// closeListeners closes this process's copies of the ports.
+// closeListeners closes this process's copy of the port for clients.
 func (d *Daemon) closeListeners() {
-	if d.ln != nil {
-		d.ln.Close()
+	if d.listener != nil {
+		d.listener.Close()
 	}
 }
 
 func (d *Daemon) closeAll() {
 	d.closeListeners()
-	for _, ln := range d.ctlLns {
+	for _, ln := range d.controlListeners {
 		ln.Close()
 	}
-	if d.intake != nil {
-		d.intake.Stop()
+	if d.admission != nil {
+		d.admission.Stop()
 	}
 	if d.client != nil {
 		d.client.Close()
 	}
-	if d.run != nil {
-		d.run.close(d.handedOn())
+	if d.files != nil {
+		d.files.close(d.hasSuccessor())
 	}
 }
 
-func (d *Daemon) handedOn() bool {
+// hasSuccessor reports whether a successor process is starting or serving.
+func (d *Daemon) hasSuccessor() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.heir != nil
+	return d.successor != nil
 }
 
-// String names the router and its address.
+// String returns the name of the router and its address.
 func (d *Daemon) String() string { return fmt.Sprintf("%s at %s", d.cfg.Name, d.Addr()) }
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -25,8 +25,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// world is one router, a reader, two writers and a roster, in this process.
-type world struct {
+// testbed is one router, a reader, two writers and a roster, in this process.
+type testbed struct {
 	t       testing.TB
 	d       *daemon.Daemon
 	log     *record.Log
@@ -36,9 +36,9 @@
 	applied func(req string) int
 }
 
-func newWorld(t testing.TB, change func(cfg *settings.File), engines ...func(*standin.Config)) *world {
+func newTestbed(t testing.TB, change func(cfg *settings.File), engines ...func(*standin.Config)) *testbed {
 	t.Helper()
-	w := &world{t: t, log: record.New()}
+	w := &testbed{t: t, log: record.New()}
 	w.roster = standin.NewRoster("engines", w.log)
 	must := func(err error) {
 		t.Helper()
@@ -89,7 +89,7 @@
 	return w
 }
 
-func (w *world) open() *client.Session {
+func (w *testbed) openSession() *client.Session {
 	w.t.Helper()
 	s, err := client.Open(context.Background(), w.d.Addr(), "m")
 	if err != nil {
@@ -99,10 +99,10 @@
 	return s
 }
 
-// begin opens a session and asks for an answer without waiting for it.
-func (w *world) begin(m map[string]string, max int) *client.Session {
+// startResponse opens a session and asks for an answer without waiting for it.
+func (w *testbed) startResponse(m map[string]string, max int) *client.Session {
 	w.t.Helper()
-	s := w.open()
+	s := w.openSession()
 	if s.Say("hello") != nil || s.Request(m, max) != nil {
 		w.t.Fatal("the session takes nothing")
 	}
@@ -117,8 +117,8 @@
 	return m
 }
 
-// ask says something and waits for the answer.
-func ask(t testing.TB, s *client.Session, m map[string]string, max int) *client.Answer {
+// request says something and waits for the answer.
+func request(t testing.TB, s *client.Session, m map[string]string, max int) *client.Answer {
 	t.Helper()
 	if err := s.Say("hello there"); err != nil {
 		t.Fatal(err)
@@ -133,14 +133,14 @@
 	return a
 }
 
-func (w *world) writersSet(change func(*standin.Faults)) {
+func (w *testbed) setWriterFaults(change func(*standin.Faults)) {
 	for _, e := range w.writers {
 		e.Set(change)
 	}
 }
 
-// seen waits for a record.
-func (w *world) seen(what string, is func(record.Event) bool) record.Event {
+// waitForEvent waits for a record.
+func (w *testbed) waitForEvent(what string, is func(record.Event) bool) record.Event {
 	w.t.Helper()
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		for _, e := range w.log.Events() {
@@ -158,22 +158,22 @@
 }
 
 func TestWholePath(t *testing.T) {
-	w := newWorld(t, nil)
-	s := w.open()
+	w := newTestbed(t, nil)
+	s := w.openSession()
 	for i := range 3 {
 		key := fmt.Sprint("k", i)
-		a := ask(t, s, meta("adjustment", key), 20)
+		a := request(t, s, meta("adjustment", key), 20)
 		if a.Kind() != "served" || a.Tokens == 0 || !strings.HasPrefix(a.Text, " t0 t1") || w.applied(key) != 1 {
 			t.Fatalf("turn %d: %+v, applied %d", i, a, w.applied(key))
 		}
 	}
-	w.seen("a place that was taken", kind(record.Freed, "place taken"))
+	w.waitForEvent("a place that was taken", kind(record.Freed, "place taken"))
 }
 
 // Engines without the extension are served with holds off; their states go with the write.
 func TestWithoutExtension(t *testing.T) {
-	w := newWorld(t, func(cfg *settings.File) { cfg.Engines.Holds = false }, func(c *standin.Config) { c.Extended = false })
-	if a := ask(t, w.open(), meta("adjustment", "a"), 10); a.Kind() != "served" || w.applied("a") != 1 {
+	w := newTestbed(t, func(cfg *settings.File) { cfg.Engines.Holds = false }, func(c *standin.Config) { c.Extended = false })
+	if a := request(t, w.openSession(), meta("adjustment", "a"), 10); a.Kind() != "served" || w.applied("a") != 1 {
 		t.Errorf("%+v", a)
 	}
 	for _, e := range w.log.Events() {
@@ -185,12 +185,12 @@
 
 // Mixed engines get the request whole.
 func TestMixedEngines(t *testing.T) {
-	w := newWorld(t, func(cfg *settings.File) {
+	w := newTestbed(t, func(cfg *settings.File) {
 		for i := range cfg.Kinds {
 			cfg.Kinds[i].Role = settings.Role(gannethook.Mixed)
 		}
 	}, func(c *standin.Config) { c.Writes, c.Mixed = true, true })
-	if a := ask(t, w.open(), meta("question", "a"), 10); a.Kind() != "served" {
+	if a := request(t, w.openSession(), meta("question", "a"), 10); a.Kind() != "served" {
 		t.Errorf("%+v", a)
 	}
 	for _, e := range w.log.Events() {
@@ -202,7 +202,7 @@
 
 // A well-known client gets the published events in their published order.
 func TestPublishedEvents(t *testing.T) {
-	w := newWorld(t, nil)
+	w := newTestbed(t, nil)
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	c, _, err := websocket.Dial(ctx, "ws://"+w.d.Addr()+"/v1/realtime?model=m", &websocket.DialOptions{Subprotocols: []string{"realtime"}})
@@ -256,7 +256,7 @@
 
 // What a client gets wrong is told as an error event with the field; the session goes on.
 func TestClientErrors(t *testing.T) {
-	w := newWorld(t, nil)
+	w := newTestbed(t, nil)
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	c, _, err := websocket.Dial(ctx, "ws://"+w.d.Addr()+"/v1/realtime", nil)
@@ -298,9 +298,9 @@
 
 // A conversation is bounded in texts and in items; deleting makes room.
 func TestConversationBound(t *testing.T) {
-	w := newWorld(t, func(cfg *settings.File) { cfg.Sessions.Conversation = 1000 })
+	w := newTestbed(t, func(cfg *settings.File) { cfg.Sessions.Conversation = 1000 })
 	for _, text := range []string{"", strings.Repeat("x", 200)} {
-		s := w.open()
+		s := w.openSession()
 		added, full, first := 0, false, ""
 		for range 10 {
 			s.Say(text)
@@ -333,8 +333,8 @@
 
 // A second response of the conversation is an error; outside of it several may be open.
 func TestSeveralResponses(t *testing.T) {
-	w := newWorld(t, nil)
-	w.writersSet(func(f *standin.Faults) { f.Slow = 20 })
+	w := newTestbed(t, nil)
+	w.setWriterFaults(func(f *standin.Faults) { f.Slow = 20 })
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	c, _, err := websocket.Dial(ctx, "ws://"+w.d.Addr()+"/v1/realtime", nil)
@@ -378,22 +378,22 @@
 // The socket drops after an adjustment reached a writer; the client comes again
 // on a new session, here, with and without saying so: no second effect.
 func TestRetryOnNewSession(t *testing.T) {
-	w := newWorld(t, nil)
-	w.writersSet(func(f *standin.Faults) { f.Slow = 50 })
-	s := w.begin(meta("adjustment", "adj"), 100)
-	w.seen("the effect", kind(record.Apply, ""))
-	again := w.open()
-	if a := ask(t, again, meta("adjustment", "adj"), 5); a.Kind() != "failed" || !strings.Contains(a.Reason, "open") {
+	w := newTestbed(t, nil)
+	w.setWriterFaults(func(f *standin.Faults) { f.Slow = 50 })
+	s := w.startResponse(meta("adjustment", "adj"), 100)
+	w.waitForEvent("the effect", kind(record.Apply, ""))
+	again := w.openSession()
+	if a := request(t, again, meta("adjustment", "adj"), 5); a.Kind() != "failed" || !strings.Contains(a.Reason, "open") {
 		t.Errorf("while the old one runs: %+v", a)
 	}
 	s.Cut()
-	w.seen("the old attempt's end", kind(record.End, "called off"))
+	w.waitForEvent("the old attempt's end", kind(record.End, "called off"))
 	for _, more := range [][]string{nil, {"retry", "true"}} {
-		if a := ask(t, again, meta("adjustment", "adj", more...), 5); a.Kind() != "failed" || !strings.Contains(a.Reason, "ran") {
+		if a := request(t, again, meta("adjustment", "adj", more...), 5); a.Kind() != "failed" || !strings.Contains(a.Reason, "ran") {
 			t.Errorf("after it, %v: %+v", more, a)
 		}
 	}
-	if a := ask(t, again, meta("adjustment", "elsewhere", "retry", "true"), 5); a.Kind() != "failed" {
+	if a := request(t, again, meta("adjustment", "elsewhere", "retry", "true"), 5); a.Kind() != "failed" {
 		t.Errorf("a repeat of another router's try: %+v", a)
 	}
 	if w.applied("adj") != 1 || w.applied("elsewhere") != 0 {
@@ -403,16 +403,16 @@
 
 // A request that was refused may come again with its key, and is served then.
 func TestRetryAfterRefusal(t *testing.T) {
-	w := newWorld(t, nil)
-	w.writersSet(func(f *standin.Faults) { f.Throttle = "adjustment" })
-	s := w.open()
-	a := ask(t, s, meta("adjustment", "adj"), 5)
+	w := newTestbed(t, nil)
+	w.setWriterFaults(func(f *standin.Faults) { f.Throttle = "adjustment" })
+	s := w.openSession()
+	a := request(t, s, meta("adjustment", "adj"), 5)
 	if a.Kind() != "refused" || a.RetryAfter <= 0 || w.applied("adj") != 0 {
 		t.Fatalf("%+v", a)
 	}
-	w.writersSet(func(f *standin.Faults) { f.Throttle = "" })
+	w.setWriterFaults(func(f *standin.Faults) { f.Throttle = "" })
 	for end := time.Now().Add(20 * time.Second); a.Kind() != "served" && time.Now().Before(end); {
-		if a = ask(t, s, meta("adjustment", "adj"), 5); a.Kind() == "failed" {
+		if a = request(t, s, meta("adjustment", "adj"), 5); a.Kind() == "failed" {
 			t.Fatalf("%+v", a)
 		}
 	}
@@ -423,15 +423,15 @@
 
 // A client takes its response back: one answer, cancelled, and the writer stops.
 func TestCancel(t *testing.T) {
-	w := newWorld(t, nil)
-	w.writersSet(func(f *standin.Faults) { f.Slow = 50 })
-	s := w.begin(meta("question", "q"), 100)
+	w := newTestbed(t, nil)
+	w.setWriterFaults(func(f *standin.Faults) { f.Slow = 50 })
+	s := w.startResponse(meta("question", "q"), 100)
 	a, err := s.Wait(func(string) { s.Cancel() })
 	if err != nil || a.Kind() != "cancelled" {
 		t.Fatalf("%+v, %v", a, err)
 	}
-	w.seen("the end of the attempt", kind(record.End, "called off"))
-	if a := ask(t, s, meta("question", "q2"), 2); a.Kind() != "served" {
+	w.waitForEvent("the end of the attempt", kind(record.End, "called off"))
+	if a := request(t, s, meta("question", "q2"), 2); a.Kind() != "served" {
 		t.Errorf("the session goes on: %+v", a)
 	}
 }
@@ -442,9 +442,9 @@
 		"broken":  func(f *standin.Faults) { f.BreakAfter = 3 },
 		"stalled": func(f *standin.Faults) { f.StallAfter = 3 },
 	} {
-		w := newWorld(t, func(cfg *settings.File) { cfg.Engines.StreamIdle = 200 * time.Millisecond })
-		w.writersSet(fault)
-		a := ask(t, w.open(), meta("adjustment", name), 50)
+		w := newTestbed(t, func(cfg *settings.File) { cfg.Engines.StreamIdle = 200 * time.Millisecond })
+		w.setWriterFaults(fault)
+		a := request(t, w.openSession(), meta("adjustment", name), 50)
 		if a.Kind() != "failed" || a.Tokens != 3 || w.applied(name) != 1 {
 			t.Errorf("%s: %+v, applied %d", name, a, w.applied(name))
 		}
@@ -453,20 +453,20 @@
 
 // A writer dies while its answer waits there: a safe request goes on elsewhere, an unsafe one is failed.
 func TestWriterDies(t *testing.T) {
-	w := newWorld(t, nil)
-	w.writersSet(func(f *standin.Faults) { f.Hang = true })
-	safe, unsafe := w.open(), w.open()
+	w := newTestbed(t, nil)
+	w.setWriterFaults(func(f *standin.Faults) { f.Hang = true })
+	safe, unsafe := w.openSession(), w.openSession()
 	for s, class := range map[*client.Session]string{safe: "question", unsafe: "adjustment"} {
 		s.Say("hello")
 		s.Request(meta(class, class), 5)
 	}
 	at := map[string]string{}
 	for _, class := range []string{"question", "adjustment"} {
-		at[class] = w.seen(class+" at a writer", func(e record.Event) bool {
+		at[class] = w.waitForEvent(class+" at a writer", func(e record.Event) bool {
 			return e.Kind == record.Arrive && e.Note == "write" && e.Class == class
 		}).Who
 	}
-	w.writersSet(func(f *standin.Faults) { f.Hang = false }) // for what comes from now on: one death for each request
+	w.setWriterFaults(func(f *standin.Faults) { f.Hang = false }) // for what comes from now on: one death for each request
 	kill := func(who string) {
 		for _, e := range w.writers {
 			if e.Addr() != who {
@@ -492,29 +492,29 @@
 
 // A client that leaves while its request waits takes it back at once.
 func TestLeaveWhileWaiting(t *testing.T) {
-	w := newWorld(t, nil)
-	w.writersSet(func(f *standin.Faults) { f.Hang = true })
-	s := w.begin(meta("adjustment", "a"), 5)
-	w.seen("the attempt", func(e record.Event) bool { return e.Kind == record.Arrive && e.Note == "write" })
+	w := newTestbed(t, nil)
+	w.setWriterFaults(func(f *standin.Faults) { f.Hang = true })
+	s := w.startResponse(meta("adjustment", "a"), 5)
+	w.waitForEvent("the attempt", func(e record.Event) bool { return e.Kind == record.Arrive && e.Note == "write" })
 	s.Cut()
-	w.seen("its end, long before the client's time is up", kind(record.End, "hung"))
+	w.waitForEvent("its end, long before the client's time is up", kind(record.End, "hung"))
 }
 
 // A user who thinks for longer than the idle time keeps the session: pings are answered.
 func TestThinkingUser(t *testing.T) {
-	w := newWorld(t, func(cfg *settings.File) { cfg.Sessions.Idle = 400 * time.Millisecond })
-	s := w.open()
+	w := newTestbed(t, func(cfg *settings.File) { cfg.Sessions.Idle = 400 * time.Millisecond })
+	s := w.openSession()
 	time.Sleep(1300 * time.Millisecond) // several idle times; nothing is proved by it alone
-	if a := ask(t, s, meta("question", "q"), 2); a.Kind() != "served" {
+	if a := request(t, s, meta("question", "q"), 2); a.Kind() != "served" {
 		t.Errorf("%+v", a)
 	}
 }
 
 // The roster says gone while a stream runs there: the stream may end, nothing new goes there.
 func TestGoneWhileStreaming(t *testing.T) {
-	w := newWorld(t, nil)
-	w.writersSet(func(f *standin.Faults) { f.Slow = 20 })
-	s := w.begin(meta("question", "q"), 20)
+	w := newTestbed(t, nil)
+	w.setWriterFaults(func(f *standin.Faults) { f.Slow = 20 })
+	s := w.startResponse(meta("question", "q"), 20)
 	first := make(chan struct{}, 1000)
 	done := make(chan *client.Answer, 1)
 	go func() {
@@ -522,12 +522,12 @@
 		done <- a
 	}()
 	<-first
-	at := w.seen("the stream", kind(record.Apply, "")).Who
+	at := w.waitForEvent("the stream", kind(record.Apply, "")).Who
 	w.roster.Set(standin.Listed{Addr: at, Kind: "answer", Zone: "north", State: "gone"})
-	w.seen("the router is told", func(e record.Event) bool { return e.Kind == record.Told && e.Key == at && e.Note == "gone" })
-	other := w.open()
+	w.waitForEvent("the router is told", func(e record.Event) bool { return e.Kind == record.Told && e.Key == at && e.Note == "gone" })
+	other := w.openSession()
 	for i := range 10 {
-		ask(t, other, meta("question", fmt.Sprint("n", i)), 1)
+		request(t, other, meta("question", fmt.Sprint("n", i)), 1)
 	}
 	if a := <-done; a.Kind() != "served" {
 		t.Errorf("the stream: %+v", a)
@@ -541,9 +541,9 @@
 
 // A stop lets open answers end and turns new ones away; the sessions are closed with 1001.
 func TestStop(t *testing.T) {
-	w := newWorld(t, nil)
-	w.writersSet(func(f *standin.Faults) { f.Slow = 10 })
-	s := w.begin(meta("adjustment", "a"), 20)
+	w := newTestbed(t, nil)
+	w.setWriterFaults(func(f *standin.Faults) { f.Slow = 10 })
+	s := w.startResponse(meta("adjustment", "a"), 20)
 	started := make(chan struct{})
 	stopped := make(chan struct{})
 	go func() {
@@ -571,10 +571,10 @@
 
 // A router that is cut short still gives every open request its answer.
 func TestStopCutShort(t *testing.T) {
-	w := newWorld(t, func(cfg *settings.File) { cfg.Sessions.Drain = 50 * time.Millisecond })
-	w.writersSet(func(f *standin.Faults) { f.Hang = true })
-	s := w.begin(meta("adjustment", "a"), 20)
-	w.seen("the attempt", func(e record.Event) bool { return e.Kind == record.Arrive && e.Note == "write" })
+	w := newTestbed(t, func(cfg *settings.File) { cfg.Sessions.Drain = 50 * time.Millisecond })
+	w.setWriterFaults(func(f *standin.Faults) { f.Hang = true })
+	s := w.startResponse(meta("adjustment", "a"), 20)
+	w.waitForEvent("the attempt", func(e record.Event) bool { return e.Kind == record.Arrive && e.Note == "write" })
 	go w.d.Stop(context.Background())
 	a, err := s.Wait(nil)
 	if err != nil || a.Kind() != "failed" {
@@ -582,8 +582,8 @@
 	}
 }
 
-// raw sends bytes and reads what comes until the router closes.
-func (w *world) raw(send string) string {
+// exchangeRaw sends bytes and reads what comes until the router closes.
+func (w *testbed) exchangeRaw(send string) string {
 	w.t.Helper()
 	nc, err := net.Dial("tcp", w.d.Addr())
 	if err != nil {
@@ -601,7 +601,7 @@
 
 // Bad heads, floods and drips end; the router goes on.
 func TestHostileConnections(t *testing.T) {
-	w := newWorld(t, func(cfg *settings.File) { cfg.Sessions.Handshake = 500 * time.Millisecond })
+	w := newTestbed(t, func(cfg *settings.File) { cfg.Sessions.Handshake = 500 * time.Millisecond })
 	up := "GET /v1/realtime HTTP/1.1\r\nHost: x\r\nUpgrade: websocket\r\nConnection: Upgrade\r\nSec-WebSocket-Version: 13\r\n" +
 		"Sec-WebSocket-Key: dGhlIHNhbXBsZSBub25jZQ==\r\n\r\n"
 	for name, c := range map[string]struct{ send, want string }{
@@ -616,7 +616,7 @@
 		"a frame not masked": {up + "\x81\x01x", "\x03\xea"},
 		"bad UTF-8":          {up + "\x81\x81\x00\x00\x00\x00\xff", "\x03\xef"},
 	} {
-		if got := w.raw(c.send); !strings.Contains(got, c.want) {
+		if got := w.exchangeRaw(c.send); !strings.Contains(got, c.want) {
 			t.Errorf("%s: %.80q, want %q in it", name, got, c.want)
 		}
 	}
@@ -628,7 +628,7 @@
 		t.Errorf("half-closed: %v", err)
 	}
 	nc.Close()
-	if a := ask(t, w.open(), meta("question", "q"), 2); a.Kind() != "served" {
+	if a := request(t, w.openSession(), meta("question", "q"), 2); a.Kind() != "served" {
 		t.Errorf("after all that: %+v", a)
 	}
 }
--- a/internal/daemon/http_test.go
+++ b/internal/daemon/http_test.go
@@ -23,14 +23,14 @@
 	"gannethook/internal/standin"
 )
 
-// wire is a raw connection to the router.
-type wire struct {
+// rawConn is a raw connection to the router.
+type rawConn struct {
 	t  *testing.T
 	nc net.Conn
 	br *bufio.Reader
 }
 
-func (w *world) dial(t *testing.T) *wire {
+func (w *testbed) dial(t *testing.T) *rawConn {
 	t.Helper()
 	nc, err := net.Dial("tcp", w.d.Addr())
 	if err != nil {
@@ -38,13 +38,13 @@
 	}
 	t.Cleanup(func() { nc.Close() })
 	nc.SetDeadline(time.Now().Add(10 * time.Second))
-	return &wire{t, nc, bufio.NewReader(nc)}
+	return &rawConn{t, nc, bufio.NewReader(nc)}
 }
 
-func (c *wire) send(text string) { io.WriteString(c.nc, text) }
+func (c *rawConn) send(text string) { io.WriteString(c.nc, text) }
 
-// answer reads one answer, whole.
-func (c *wire) answer() (*http.Response, string) {
+// readResponse reads one answer, whole.
+func (c *rawConn) readResponse() (*http.Response, string) {
 	c.t.Helper()
 	res, err := http.ReadResponse(c.br, nil)
 	if err != nil {
@@ -57,8 +57,8 @@
 	return res, string(body)
 }
 
-// ended tells whether the router has closed and sent nothing more.
-func (c *wire) ended() bool {
+// closedByRouter tells whether the router has closed and sent nothing more.
+func (c *rawConn) closedByRouter() bool {
 	_, err := c.br.ReadByte()
 	return errors.Is(err, io.EOF)
 }
@@ -76,17 +76,17 @@
 // A connection is kept from request to request, whatever the body's form; a
 // client that asks for it is told to go on first.
 func TestKeptConnection(t *testing.T) {
-	w := newWorld(t, nil)
+	w := newTestbed(t, nil)
 	c := w.dial(t)
 	for range 3 {
 		c.send(post("/v1/embeddings", embedding))
-		if res, body := c.answer(); res.StatusCode != 200 || res.Close || !strings.Contains(body, `"index":0`) {
+		if res, body := c.readResponse(); res.StatusCode != 200 || res.Close || !strings.Contains(body, `"index":0`) {
 			t.Fatalf("%v %s", res, body)
 		}
 	}
 	c.send("POST /v1/embeddings HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n" + embedding[:5] + "\r\n" +
 		fmt.Sprintf("%x", len(embedding)-5) + ";ext=1\r\n" + embedding[5:] + "\r\n0\r\nTrailer: x\r\n\r\n")
-	if res, _ := c.answer(); res.StatusCode != 200 || res.Close {
+	if res, _ := c.readResponse(); res.StatusCode != 200 || res.Close {
 		t.Fatalf("chunks: %v", res)
 	}
 	c.send(fmt.Sprintf("POST /v1/embeddings HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\nContent-Length: %d\r\n\r\n", len(embedding)))
@@ -95,15 +95,15 @@
 	}
 	c.br.ReadString('\n')
 	c.send(embedding)
-	if res, _ := c.answer(); res.StatusCode != 200 || res.Close {
+	if res, _ := c.readResponse(); res.StatusCode != 200 || res.Close {
 		t.Fatalf("after 100: %v", res)
 	}
 	c.send(post("/v1/chat/completions", `{"model":"m","stream":true,"max_tokens":3,"messages":[{"role":"user","content":"x"}]}`))
-	if res, body := c.answer(); res.StatusCode != 200 || res.Close || !strings.HasSuffix(body, "data: [DONE]\n\n") {
+	if res, body := c.readResponse(); res.StatusCode != 200 || res.Close || !strings.HasSuffix(body, "data: [DONE]\n\n") {
 		t.Fatalf("a stream: %v %q", res, body)
 	}
 	c.send("POST /v1/embeddings HTTP/1.0\r\nContent-Length: 25\r\n\r\n" + embedding)
-	if res, _ := c.answer(); res.StatusCode != 200 || !c.ended() {
+	if res, _ := c.readResponse(); res.StatusCode != 200 || !c.closedByRouter() {
 		t.Errorf("HTTP/1.0: %v, or its connection is kept", res)
 	}
 }
@@ -111,29 +111,29 @@
 // A request behind another that is not answered yet is not served: the first
 // answer ends the connection.
 func TestPipelining(t *testing.T) {
-	w := newWorld(t, nil)
+	w := newTestbed(t, nil)
 	c := w.dial(t)
 	c.send(post("/v1/embeddings", embedding) + post("/v1/embeddings", `{"model":"m","input":"second"}`))
-	if res, _ := c.answer(); res.StatusCode != 200 || !res.Close || !c.ended() {
+	if res, _ := c.readResponse(); res.StatusCode != 200 || !res.Close || !c.closedByRouter() {
 		t.Errorf("%v", res)
 	}
 	wrong := w.dial(t)
 	wrong.send(post("/v1/embeddings", "{}") + post("/v1/embeddings", embedding))
-	if res, _ := wrong.answer(); res.StatusCode != 400 || !res.Close || !wrong.ended() {
+	if res, _ := wrong.readResponse(); res.StatusCode != 400 || !res.Close || !wrong.closedByRouter() {
 		t.Errorf("behind a wrong one: %v", res)
 	}
 	slow := w.dial(t) // the second comes while the first is under way
 	w.reader.Set(func(f *standin.Faults) { f.Slow = 200 })
 	slow.send(post("/v1/embeddings", embedding))
-	w.wait("whole", 2)
+	w.waitForAttempts("whole", 2)
 	slow.send(post("/v1/embeddings", embedding))
-	if res, _ := slow.answer(); res.StatusCode != 200 || !res.Close || !slow.ended() {
+	if res, _ := slow.readResponse(); res.StatusCode != 200 || !res.Close || !slow.closedByRouter() {
 		t.Errorf("%v", res)
 	}
 }
 
-// wait waits until so many attempts of a sort have come to engines.
-func (w *world) wait(note string, n int) {
+// waitForAttempts waits until so many attempts of a sort have come to engines.
+func (w *testbed) waitForAttempts(note string, n int) {
 	w.t.Helper()
 	for end := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
 		seen := 0
@@ -153,7 +153,7 @@
 
 // Bad input gets its error, and nothing of it is read on.
 func TestBadHTTP(t *testing.T) {
-	w := newWorld(t, func(cfg *settings.File) {
+	w := newTestbed(t, func(cfg *settings.File) {
 		cfg.HTTP.Body, cfg.HTTP.Read, cfg.Sessions.Handshake = 2000, 100*time.Millisecond, 300*time.Millisecond
 	})
 	big := fmt.Sprintf(`{"model":"m","input":"%s"}`, strings.Repeat("x", 3000))
@@ -179,14 +179,14 @@
 	} {
 		conn := w.dial(t)
 		conn.send(c.in)
-		res, body := conn.answer()
+		res, body := conn.readResponse()
 		if res.StatusCode != c.status || strings.HasPrefix(res.Header.Get("Content-Type"), "application/json") && !strings.Contains(body, `"error"`) {
 			t.Errorf("%s: %d %s", c.name, res.StatusCode, body)
 		}
 	}
 	slow := w.dial(t) // its whole body is on its way before it reads
 	slow.send(post("/v1/embeddings", `{"model":"m","input":"`+strings.Repeat("x", 800<<10)+`"}`))
-	if res, _ := slow.answer(); res.StatusCode != 413 {
+	if res, _ := slow.readResponse(); res.StatusCode != 413 {
 		t.Errorf("a large body: %v", res)
 	}
 	for _, e := range w.log.Events() {
@@ -198,19 +198,19 @@
 
 // An answer that grows too large is told as failed; bodies beyond their memory are refused.
 func TestTooLarge(t *testing.T) {
-	w := newWorld(t, func(cfg *settings.File) { cfg.HTTP.Answer, cfg.HTTP.Bodies = 30, 300 })
+	w := newTestbed(t, func(cfg *settings.File) { cfg.HTTP.Answer, cfg.HTTP.Bodies = 30, 300 })
 	c := w.dial(t)
 	c.send(post("/v1/chat/completions", `{"model":"m","max_tokens":200,"messages":[{"role":"user","content":"x"}]}`))
-	if res, body := c.answer(); res.StatusCode != 500 || !strings.Contains(body, "too large") {
+	if res, body := c.readResponse(); res.StatusCode != 500 || !strings.Contains(body, "too large") {
 		t.Errorf("%v %s", res, body)
 	}
 	c.send(post("/v1/embeddings", `{"model":"m","input":"`+strings.Repeat("x", 400)+`"}`))
-	if res, body := c.answer(); res.StatusCode != 503 || !strings.Contains(body, `"refused"`) {
+	if res, body := c.readResponse(); res.StatusCode != 503 || !strings.Contains(body, `"refused"`) {
 		t.Errorf("%v %s", res, body)
 	}
 	again := w.dial(t) // what was read of it is free again
 	again.send(post("/v1/embeddings", embedding))
-	if res, body := again.answer(); res.StatusCode != 500 || !strings.Contains(body, "too large") { // 30 bytes hold no embedding
+	if res, body := again.readResponse(); res.StatusCode != 500 || !strings.Contains(body, "too large") { // 30 bytes hold no embedding
 		t.Errorf("%v %s", res, body)
 	}
 }
@@ -218,11 +218,11 @@
 // A client that leaves takes its batch back: the engine's work is called off,
 // nothing stays open.
 func TestClientLeavesBatch(t *testing.T) {
-	w := newWorld(t, nil)
+	w := newTestbed(t, nil)
 	w.reader.Set(func(f *standin.Faults) { f.Hang = true })
 	c := w.dial(t)
 	c.send(post("/v1/embeddings", `{"model":"m","input":["`+strings.Repeat(`a","`, 500)+`b"]}`))
-	w.wait("whole", 4)
+	w.waitForAttempts("whole", 4)
 	c.nc.Close()
 	for end := time.Now().Add(5 * time.Second); ; time.Sleep(time.Millisecond) {
 		v, ended := w.d.Limits(), 0
@@ -243,15 +243,15 @@
 // A client that stops reading its answer is cut in the time of a write; its
 // writer's slot is free again, and others are served meanwhile.
 func TestStalledReader(t *testing.T) {
-	w := newWorld(t, func(cfg *settings.File) {
+	w := newTestbed(t, func(cfg *settings.File) {
 		cfg.HTTP.Write = 200 * time.Millisecond
 		cfg.Classes[0].MaxTokens = 1 << 20
 	}, func(c *standin.Config) { c.TokenGap, c.Memory = 0, 1e8 })
 	c := w.dial(t)
 	c.nc.(*net.TCPConn).SetReadBuffer(4096)
 	c.send(post("/v1/chat/completions", `{"model":"m","stream":true,"max_tokens":1000000,"messages":[{"role":"user","content":"x"}]}`))
-	w.wait("write", 1)
-	official := w.official(option.WithMaxRetries(0))
+	w.waitForAttempts("write", 1)
+	official := w.openAIClient(option.WithMaxRetries(0))
 	if _, err := official.Embeddings.New(context.Background(), openai.EmbeddingNewParams{Model: "m",
 		Input: openai.EmbeddingNewParamsInputUnion{OfString: openai.String("x")}}); err != nil {
 		t.Errorf("another client: %v", err)
@@ -271,26 +271,26 @@
 // A draining router answers what is open, on kept connections too, closes those
 // that are idle, and takes nothing more.
 func TestDrainHTTP(t *testing.T) {
-	w := newWorld(t, nil)
+	w := newTestbed(t, nil)
 	idle, busy := w.dial(t), w.dial(t)
 	idle.send(post("/v1/embeddings", embedding))
-	idle.answer()
+	idle.readResponse()
 	w.reader.Set(func(f *standin.Faults) { f.Slow = 300 })
 	busy.send(post("/v1/embeddings", embedding))
-	w.wait("whole", 2)
+	w.waitForAttempts("whole", 2)
 	r, err := w.d.Command(context.Background(), lifecycle.Command{ID: "d", Op: lifecycle.Drain, Limit: 5 * time.Second})
 	if err != nil || !r.Done || r.Cut {
 		t.Fatalf("%+v, %v", r, err)
 	}
-	if !idle.ended() {
+	if !idle.closedByRouter() {
 		t.Error("an idle connection stays open")
 	}
-	if res, _ := busy.answer(); res.StatusCode != 200 || !res.Close {
+	if res, _ := busy.readResponse(); res.StatusCode != 200 || !res.Close {
 		t.Errorf("what was open: %v", res)
 	}
 	late := w.dial(t)
 	late.send(post("/v1/embeddings", embedding))
-	if res, body := late.answer(); res.StatusCode != 503 || !strings.Contains(body, `"refused"`) || !res.Close {
+	if res, body := late.readResponse(); res.StatusCode != 503 || !strings.Contains(body, `"refused"`) || !res.Close {
 		t.Errorf("%v %s", res, body)
 	}
 }
@@ -298,25 +298,25 @@
 // The effects of classes hold over HTTP: a key that may have run is not run
 // again, and clients that try again by themselves are told not to.
 func TestIdempotencyKey(t *testing.T) {
-	w := newWorld(t, nil)
+	w := newTestbed(t, nil)
 	chat := `{"model":"m","max_tokens":4,"messages":[{"role":"user","content":"x"}],"metadata":{"class":"adjustment"}}`
 	c := w.dial(t)
 	c.send(post("/v1/chat/completions", chat, "Idempotency-Key: k1"))
-	if res, body := c.answer(); res.StatusCode != 200 {
+	if res, body := c.readResponse(); res.StatusCode != 200 {
 		t.Fatalf("%v %s", res, body)
 	}
 	c.send(post("/v1/chat/completions", chat, "Idempotency-Key: k1", "X-Stainless-Retry-Count: 1"))
-	res, body := c.answer()
+	res, body := c.readResponse()
 	if res.StatusCode != 500 || res.Header.Get("X-Should-Retry") != "false" || !strings.Contains(body, `"failed"`) {
 		t.Errorf("a key that has run: %v %s", res, body)
 	}
 	if n := w.applied("k1"); n != 1 {
 		t.Errorf("its effect happened %d times", n)
 	}
-	w.writersSet(func(f *standin.Faults) { f.Draining = true })
+	w.setWriterFaults(func(f *standin.Faults) { f.Draining = true })
 	w.reader.Set(func(f *standin.Faults) { f.Draining = true })
 	c.send(post("/v1/chat/completions", chat, "Idempotency-Key: k2"))
-	if res, body = c.answer(); res.StatusCode != 503 || res.Header.Get("X-Should-Retry") != "false" || res.Header.Get("Retry-After") == "" {
+	if res, body = c.readResponse(); res.StatusCode != 503 || res.Header.Get("X-Should-Retry") != "false" || res.Header.Get("Retry-After") == "" {
 		t.Errorf("refused: %v %s", res, body)
 	}
 }
@@ -326,7 +326,7 @@
 func TestClientCertificates(t *testing.T) {
 	ca := newAuthority(t)
 	cert, key := ca.issue(t, "router", "r")
-	w := newWorld(t, func(cfg *settings.File) {
+	w := newTestbed(t, func(cfg *settings.File) {
 		cfg.TLS = settings.TLS{Domain: "fleet.example", Cert: cert, Key: key, Authority: ca.file}
 		cfg.Tenants = []settings.Tenant{{Name: "a", Identity: []string{"spiffe://fleet.example/client/a"},
 			Budgets: []settings.Budget{{Requests: 1, Burst: 1}}}}
--- a/internal/daemon/runfiles.go
+++ b/internal/daemon/runfiles.go
@@ -15,8 +15,9 @@
 	"gannethook/internal/settings"
 )
 
-// Names of the descriptors that are handed on. A port's name has its address,
-// so that a successor whose settings changed opens its own.
+// Names of the descriptors that are passed to a successor. The name of a port
+// includes its address, so that a successor with another address in its settings
+// opens its own port.
 const (
 	lockName    = "lock"
 	listenName  = "listen "
@@ -24,18 +25,20 @@
 	controlName = "control "
 )
 
-// runFiles are a router's files on disk: its pid, and a lock that tells whether
-// a process of it lives. The lock is on the open file, which a successor shares,
-// so it holds until the last of them has ended, however it ends.
+// runFiles are the files in the run folder of a router: the pid, the control socket,
+// and a lock that is held while a process of the router runs. The lock belongs to
+// the open file description, which a successor shares, so the kernel releases it
+// only when the last process has ended, also after a crash.
 type runFiles struct {
 	dir  string
 	lock *os.File
 
-	socket string // of the control plane
-	mine   bool   // this process serves: pid and socket are its own
+	socket string // path of the control socket
+	owned  bool   // the pid file and the socket are this process's
 }
 
-func openRun(c *settings.Control, link *handover.Link) (*runFiles, error) {
+// openRunFiles creates the run folder and takes the lock, or the predecessor's copy of it.
+func openRunFiles(c *settings.Control, link *handover.Link) (*runFiles, error) {
 	dir := c.Run
 	if dir == "" {
 		return &runFiles{}, nil
@@ -43,9 +46,9 @@
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, fmt.Errorf("run folder: %w", err)
 	}
-	r := &runFiles{dir: dir, lock: link.File(lockName), socket: c.Socket()}
-	if r.lock != nil {
-		return r, nil
+	files := &runFiles{dir: dir, lock: link.File(lockName), socket: c.Socket()}
+	if files.lock != nil {
+		return files, nil
 	}
 	lock, err := os.OpenFile(filepath.Join(dir, "lock"), os.O_CREATE|os.O_RDWR, 0o644)
 	if err != nil {
@@ -53,10 +56,10 @@
 	}
 	if err := flock(lock); err != nil {
 		lock.Close()
-		return nil, fmt.Errorf("lock: %s is held by process %s: the router runs already", lock.Name(), r.pid())
+		return nil, fmt.Errorf("lock: %s is held by process %s: the router runs already", lock.Name(), files.readPID())
 	}
-	r.lock = lock
-	return r, nil
+	files.lock = lock
+	return files, nil
 }
 
 func flock(f *os.File) error {
@@ -71,7 +74,7 @@
 
 func (r *runFiles) pidPath() string { return filepath.Join(r.dir, "pid") }
 
-func (r *runFiles) pid() string {
+func (r *runFiles) readPID() string {
 	text, err := os.ReadFile(r.pidPath())
 	if err != nil {
 		return "unknown"
@@ -79,8 +82,8 @@
 	return strings.TrimSpace(string(text))
 }
 
-// own writes this process's pid; readers see the old one or the new one.
-func (r *runFiles) own() error {
+// writePID replaces the pid file atomically with this process's pid.
+func (r *runFiles) writePID() error {
 	if r.dir == "" {
 		return nil
 	}
@@ -91,37 +94,37 @@
 	if err := os.Rename(tmp, r.pidPath()); err != nil {
 		return fmt.Errorf("pid: %w", err)
 	}
-	r.mine = true
+	r.owned = true
 	return nil
 }
 
-// close lets go of the lock. The files stay where they are another process's: a
-// successor's, or the predecessor's of one that did not come up.
-func (r *runFiles) close(handedOn bool) {
+// close closes the lock and removes the pid file and the socket, unless they are in
+// use by a successor, or by the predecessor of a process that failed to start.
+func (r *runFiles) close(hasSuccessor bool) {
 	if r.dir == "" {
 		return
 	}
-	if r.mine && !handedOn {
+	if r.owned && !hasSuccessor {
 		os.Remove(r.pidPath())
 		os.Remove(r.socket)
 	}
 	r.lock.Close()
 }
 
-// port opens a port, or takes one that a predecessor or systemd hands on.
-func port(link *handover.Link, held map[string][]net.Listener, network, prefix, addr string) (net.Listener, error) {
-	if ln, err := link.Listener(prefix + addr); ln != nil || err != nil {
+// openPort returns the listener that the predecessor or systemd passed, or opens one.
+func openPort(link *handover.Link, inherited map[string][]net.Listener, network, name, addr string) (net.Listener, error) {
+	if ln, err := link.Listener(name + addr); ln != nil || err != nil {
 		return ln, err
 	}
-	if list := held[strings.TrimSpace(prefix)]; len(list) > 0 {
+	if list := inherited[strings.TrimSpace(name)]; len(list) > 0 {
 		return list[0], nil
 	}
 	if network == "unix" {
-		os.Remove(addr) // the lock is ours: a socket that is there is a dead one's
+		os.Remove(addr) // this process has the lock, so the socket is a leftover
 	}
 	ln, err := net.Listen(network, addr)
 	if u, ok := ln.(*net.UnixListener); ok && err == nil {
-		u.SetUnlinkOnClose(false) // a successor serves it
+		u.SetUnlinkOnClose(false) // a successor may go on serving it
 		err = os.Chmod(addr, 0o600)
 	}
 	return ln, err
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -1,9 +1,14 @@
-// Package handover starts a router's successor and gives it the open ports.
+// Package handover starts the successor process of a router and passes it the
+// open listeners and the router's state.
 //
-// The listeners are passed as descriptors: both processes then share one
-// accept queue in the kernel, and a connection that came before the old
-// process closed its copy is taken by the new one. Two sockets of one port
-// (SO_REUSEPORT) have a queue each, and closing one resets what waits in it.
+// The listeners are passed as descriptors, so that both processes share one
+// accept queue in the kernel: a connection that arrived before the old process
+// closed its copy is accepted by the new one. With two sockets on one port
+// (SO_REUSEPORT) each has its own queue, and closing a socket resets the
+// connections in its queue.
+//
+// The two processes talk over a socket pair, one JSON object a line: first the
+// State, then messages.
 package handover
 
 import (
@@ -23,63 +28,65 @@
 	"gannethook/internal/lifecycle"
 )
 
-// env tells a process that descriptor 3 is its predecessor.
-const env = "GANNETHOOK_HANDOVER"
+// envVar is set in the environment of a successor: its descriptor 3 is the socket to the predecessor.
+const envVar = "GANNETHOOK_HANDOVER"
 
-// Bounds of what the two say to each other.
+// Bounds of a handover.
 const (
-	maxLine  = 1 << 20
-	maxFiles = 16
+	maxLine  = 1 << 20 // bytes of a JSON line
+	maxFiles = 16      // descriptors
 )
 
-// Parcel is what a router hands on.
-type Parcel struct {
+// State is what a router passes to its successor, besides the descriptors.
+type State struct {
 	Pid     int
 	Boot    string
-	Results []lifecycle.Result // of commands
+	Results []lifecycle.Result // of commands, for repeated command IDs
 	Drained bool
-	Names   []string // of the descriptors that follow, in order
+	Names   []string // of the descriptors from 4 on, in order
 }
 
-// word is a line that a successor or a predecessor says.
-type word struct {
+// message is a line that follows the State. The successor sends Ready with its
+// boot ID, or Failed with the reason; the predecessor then sends Open, its number
+// of open requests, until it ends.
+type message struct {
 	Ready  bool   `json:",omitempty"`
 	Failed string `json:",omitempty"`
 	Boot   string `json:",omitempty"`
 	Open   int    `json:",omitempty"`
 }
 
-// Named is a descriptor to be handed on.
-type Named struct {
+// Descriptor is a descriptor to pass to a successor.
+type Descriptor struct {
 	Name string
 	Conn syscall.Conn // *net.TCPListener, *net.UnixListener or *os.File
 }
 
-// Heir is a successor that starts, seen by its predecessor.
-type Heir struct {
-	Pid  int
-	conn *net.UnixConn
-	in   *bufio.Reader
-	exit chan error
+// Successor is the predecessor's handle of a successor process.
+type Successor struct {
+	Pid    int
+	conn   *net.UnixConn
+	reader *bufio.Reader
+	exited chan error
 }
 
-// Start starts a program with a parcel and descriptors. The program's output
-// goes where this one's goes. argv[0] is its path.
-func Start(argv []string, p Parcel, files []Named) (*Heir, error) {
+// Start starts a program as the successor, with the state and the descriptors.
+// argv[0] is its path. It shares stdin, stdout and stderr with this process.
+func Start(argv []string, state State, files []Descriptor) (*Successor, error) {
 	if len(files) > maxFiles {
 		return nil, fmt.Errorf("handover: %d descriptors", len(files))
 	}
-	pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
+	socketPair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	theirs := pair[1]
-	defer unix.Close(theirs)
-	conn, err := connOf(os.NewFile(uintptr(pair[0]), "heir"))
+	childEnd := socketPair[1]
+	defer unix.Close(childEnd)
+	conn, err := unixConn(os.NewFile(uintptr(socketPair[0]), "heir"))
 	if err != nil {
 		return nil, err
 	}
-	fds := []uintptr{0, 1, 2, uintptr(theirs)}
+	fds := []uintptr{0, 1, 2, uintptr(childEnd)}
 	for _, f := range files {
 		fd, err := dup(f.Conn)
 		if err != nil {
@@ -88,20 +95,21 @@
 		}
 		defer unix.Close(fd)
 		fds = append(fds, uintptr(fd))
-		p.Names = append(p.Names, f.Name)
+		state.Names = append(state.Names, f.Name)
 	}
-	// exec.Cmd would set the shared descriptors to blocking, and Accept in this process with them.
-	pid, err := syscall.ForkExec(argv[0], argv, &syscall.ProcAttr{Env: append(without(os.Environ(), env), env+"=1"), Files: fds})
+	// exec.Cmd would switch the shared descriptors to blocking mode, in which Accept in this process blocks too.
+	pid, err := syscall.ForkExec(argv[0], argv, &syscall.ProcAttr{Env: append(withoutVar(os.Environ(), envVar), envVar+"=1"), Files: fds})
 	if err != nil {
 		conn.Close()
 		return nil, fmt.Errorf("handover: %s: %w", argv[0], err)
 	}
-	h := &Heir{Pid: pid, conn: conn, in: bufio.NewReaderSize(conn, 4096), exit: make(chan error, 1)}
-	go h.reap()
-	return h, say(conn, p)
+	s := &Successor{Pid: pid, conn: conn, reader: bufio.NewReaderSize(conn, 4096), exited: make(chan error, 1)}
+	go s.reap()
+	return s, writeMessage(conn, state)
 }
 
-func without(list []string, name string) []string {
+// withoutVar returns the environment without a variable and without systemd's LISTEN_ variables.
+func withoutVar(list []string, name string) []string {
 	var out []string
 	for _, e := range list {
 		if !strings.HasPrefix(e, name+"=") && !strings.HasPrefix(e, "LISTEN_") {
@@ -117,14 +125,14 @@
 		return 0, err
 	}
 	fd, dupErr := 0, error(nil)
-	err = raw.Control(func(from uintptr) { fd, dupErr = unix.FcntlInt(from, unix.F_DUPFD_CLOEXEC, 0) })
+	err = raw.Control(func(orig uintptr) { fd, dupErr = unix.FcntlInt(orig, unix.F_DUPFD_CLOEXEC, 0) })
 	if err == nil {
 		err = dupErr
 	}
 	return fd, err
 }
 
-func connOf(f *os.File) (*net.UnixConn, error) {
+func unixConn(f *os.File) (*net.UnixConn, error) {
 	defer f.Close()
 	c, err := net.FileConn(f)
 	if err != nil {
@@ -133,12 +141,12 @@
 	u, ok := c.(*net.UnixConn)
 	if !ok {
 		c.Close()
-		return nil, errors.New("handover: descriptor 3 is no unix socket")
+		return nil, errors.New("handover: descriptor 3 is not a unix socket")
 	}
 	return u, nil
 }
 
-func say(w io.Writer, v any) error {
+func writeMessage(w io.Writer, v any) error {
 	line, err := json.Marshal(v)
 	if err != nil {
 		return fmt.Errorf("handover: %w", err)
@@ -149,7 +157,7 @@
 	return nil
 }
 
-func hear(r *bufio.Reader, v any) error {
+func readMessage(r *bufio.Reader, v any) error {
 	var line []byte
 	for {
 		part, err := r.ReadSlice('\n')
@@ -167,91 +175,92 @@
 	return nil
 }
 
-func (h *Heir) reap() {
-	p, err := os.FindProcess(h.Pid)
+func (s *Successor) reap() {
+	p, err := os.FindProcess(s.Pid)
 	if err == nil {
 		var state *os.ProcessState
 		if state, err = p.Wait(); err == nil {
 			err = errors.New(state.String())
 		}
 	}
-	h.exit <- err
+	s.exited <- err
 }
 
-// Wait waits until the successor serves, and returns its boot. An error tells
-// that it does not: it said why, ended, or took too long. It is then dead.
-func (h *Heir) Wait(limit time.Duration) (boot string, err error) {
-	h.conn.SetReadDeadline(time.Now().Add(limit))
-	var w word
-	err = hear(h.in, &w)
+// WaitReady waits until the successor serves, and returns its boot ID. It returns
+// an error if the successor reports a failure, exits or exceeds the limit; the
+// successor is then killed.
+func (s *Successor) WaitReady(limit time.Duration) (boot string, err error) {
+	s.conn.SetReadDeadline(time.Now().Add(limit))
+	var m message
+	err = readMessage(s.reader, &m)
 	switch {
-	case err == nil && w.Ready:
-		return w.Boot, nil
+	case err == nil && m.Ready:
+		return m.Boot, nil
 	case err == nil:
-		err = fmt.Errorf("the successor does not start: %s", w.Failed)
+		err = fmt.Errorf("the successor does not start: %s", m.Failed)
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		err = fmt.Errorf("the successor was not ready within %v", limit)
 	default:
 		err = errors.New("the successor ended as it started")
 	}
-	h.Kill()
+	s.Kill()
 	return "", err
 }
 
-// Tell tells the successor how much is still open here.
-func (h *Heir) Tell(open int) {
-	h.conn.SetWriteDeadline(time.Now().Add(time.Second))
-	say(h.conn, word{Open: open})
+// ReportOpen sends the successor the number of requests that are still open in this process.
+func (s *Successor) ReportOpen(open int) {
+	s.conn.SetWriteDeadline(time.Now().Add(time.Second))
+	writeMessage(s.conn, message{Open: open})
 }
 
-// Kill ends the successor and waits for its end.
-func (h *Heir) Kill() {
-	unix.Kill(h.Pid, unix.SIGKILL)
-	<-h.exit
-	h.exit <- nil
-	h.conn.Close()
+// Kill kills the successor and waits for its exit.
+func (s *Successor) Kill() {
+	unix.Kill(s.Pid, unix.SIGKILL)
+	<-s.exited
+	s.exited <- nil
+	s.conn.Close()
 }
 
-// Link is a predecessor, seen by its successor.
+// Link is the successor's connection to its predecessor. A nil Link has no listeners and no files.
 type Link struct {
-	Parcel
-	files map[string]*os.File
-	conn  *net.UnixConn
-	in    *bufio.Reader
+	State
+	files  map[string]*os.File
+	conn   *net.UnixConn
+	reader *bufio.Reader
 }
 
-// Take finds what a predecessor hands on; nil where there is none.
+// Take receives the state and the descriptors from the predecessor. It returns nil if this process has none.
 func Take() (*Link, error) {
-	if os.Getenv(env) == "" {
+	if os.Getenv(envVar) == "" {
 		return nil, nil
 	}
-	os.Unsetenv(env)
+	os.Unsetenv(envVar)
 	unix.CloseOnExec(3)
-	conn, err := connOf(os.NewFile(3, "predecessor"))
+	conn, err := unixConn(os.NewFile(3, "predecessor"))
 	if err != nil {
 		return nil, err
 	}
-	l := &Link{conn: conn, in: bufio.NewReaderSize(conn, 4096), files: map[string]*os.File{}}
+	p := &Link{conn: conn, reader: bufio.NewReaderSize(conn, 4096), files: map[string]*os.File{}}
 	conn.SetReadDeadline(time.Now().Add(5 * time.Second))
-	if err := hear(l.in, &l.Parcel); err != nil {
+	if err := readMessage(p.reader, &p.State); err != nil {
 		conn.Close()
 		return nil, err
 	}
 	conn.SetReadDeadline(time.Time{})
-	for i, name := range l.Names[:min(len(l.Names), maxFiles)] {
+	for i, name := range p.Names[:min(len(p.Names), maxFiles)] {
 		unix.CloseOnExec(4 + i)
-		l.files[name] = os.NewFile(uintptr(4+i), name)
+		p.files[name] = os.NewFile(uintptr(4+i), name)
 	}
-	return l, nil
+	return p, nil
 }
 
-// Listener is a port that was handed on; nil if none of the name was.
-func (l *Link) Listener(name string) (net.Listener, error) {
-	if l == nil || l.files[name] == nil {
+// Listener returns the passed listener of that name, or nil if there is none. It can be claimed once.
+func (p *Link) Listener(name string) (net.Listener, error) {
+	if p == nil || p.files[name] == nil {
 		return nil, nil
 	}
-	f := l.files[name]
-	delete(l.files, name)
+	f := p.files[name]
+	delete(p.files, name)
 	defer f.Close()
 	ln, err := net.FileListener(f)
 	if err != nil {
@@ -260,48 +269,48 @@
 	return ln, nil
 }
 
-// File is a descriptor that was handed on; nil if none of the name was.
-func (l *Link) File(name string) *os.File {
-	if l == nil {
+// File returns the passed descriptor of that name, or nil if there is none. It can be claimed once.
+func (p *Link) File(name string) *os.File {
+	if p == nil {
 		return nil
 	}
-	f := l.files[name]
-	delete(l.files, name)
+	f := p.files[name]
+	delete(p.files, name)
 	return f
 }
 
-// Ready tells the predecessor that this process serves: it stops now.
-func (l *Link) Ready(boot string) error {
-	l.drop()
-	return say(l.conn, word{Ready: true, Boot: boot})
+// Ready reports to the predecessor that this process serves; the predecessor then stops.
+func (p *Link) Ready(boot string) error {
+	p.closeUnclaimed()
+	return writeMessage(p.conn, message{Ready: true, Boot: boot})
 }
 
-// Fail tells the predecessor why this process does not serve: it goes on.
-func (l *Link) Fail(err error) {
-	say(l.conn, word{Failed: err.Error()})
-	l.drop()
-	l.conn.Close()
+// Fail reports to the predecessor why this process does not serve; the predecessor goes on serving.
+func (p *Link) Fail(err error) {
+	writeMessage(p.conn, message{Failed: err.Error()})
+	p.closeUnclaimed()
+	p.conn.Close()
 }
 
-// drop closes what was handed on and not taken: settings name the port no more.
-func (l *Link) drop() {
-	for _, f := range l.files {
+// closeUnclaimed closes the descriptors that were not claimed because the settings no longer name their port.
+func (p *Link) closeUnclaimed() {
+	for _, f := range p.files {
 		f.Close()
 	}
-	clear(l.files)
+	clear(p.files)
 }
 
-// Follow reports how much is open at the predecessor until it has ended.
-func (l *Link) Follow(open func(n int)) {
+// Follow calls open with the predecessor's number of open requests until the predecessor has ended.
+func (p *Link) Follow(open func(n int)) {
 	for {
-		var w word
-		if err := hear(l.in, &w); err != nil {
-			l.conn.Close()
+		var m message
+		if err := readMessage(p.reader, &m); err != nil {
+			p.conn.Close()
 			return
 		}
-		open(w.Open)
+		open(m.Open)
 	}
 }
 
-// Close ends Follow.
-func (l *Link) Close() { l.conn.Close() }
+// Close closes the connection, which ends Follow.
+func (p *Link) Close() { p.conn.Close() }
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -1,6 +1,7 @@
-// Package lifecycle decides how a router lives: when it takes sessions, drains,
-// reloads, stops and ends. It is a state machine without I/O and without a
-// clock: inputs with their time in, effects out.
+// Package lifecycle is the state machine of a router process: when it accepts
+// sessions, drains, reloads, restarts and exits. It has no I/O and no clock:
+// every input carries its time and returns the effects that the caller is to
+// carry out.
 package lifecycle
 
 import (
@@ -9,73 +10,74 @@
 	"time"
 )
 
-// State is where a router is in its life.
+// State is the lifecycle state of a router process.
 type State int
 
 // The states.
 const (
-	Starting State = iota + 1 // settings are read, ports opened
-	Ready                     // takes sessions and requests
-	Draining                  // takes nothing new; what is open may end
-	Drained                   // nothing is open; it waits for a stop or a resume
-	Stopping                  // as Draining, and it ends when nothing is open
-	Ended                     // the process is to end, well
-	Failed                    // the process is to end, with an error
+	Starting State = iota + 1 // reading settings, opening ports
+	Ready                     // accepts sessions and requests
+	Draining                  // accepts nothing new; open sessions and requests may finish
+	Drained                   // nothing is open; waits for a stop, restart or resume
+	Stopping                  // as Draining, and the process exits once nothing is open
+	Ended                     // the process exits with code 0
+	Failed                    // the process exits with an error code
 )
 
 func (s State) String() string {
 	return [...]string{"none", "starting", "ready", "draining", "drained", "stopping", "ended", "failed"}[s]
 }
 
-// Op is what a command asks for.
+// Op is the kind of a command.
 type Op int
 
-// The commands.
+// The operations.
 const (
 	Drain Op = iota + 1
 	Resume
 	Reload
 	Stop
-	Restart // a successor takes the ports over; this process ends as on a stop
+	Restart // a successor process takes over the ports; this one then stops
 )
 
 func (o Op) String() string {
 	return [...]string{"none", "drain", "resume", "reload", "stop", "restart"}[o]
 }
 
-// Command is an operator's, or a signal's. A repeat of its ID gets the first one's result.
+// Command comes from an operator or a signal. It is idempotent by its ID: a
+// repeated ID gets the result of the first command.
 type Command struct {
 	ID      string
 	Op      Op
-	Limit   time.Duration // of a drain, stop or restart; 0: the settings'
-	Release string        // of a restart: what the successor runs; "" the same
+	Limit   time.Duration // drain deadline of a drain, stop or restart; 0 means Limits.Drain
+	Release string        // release that the successor of a restart runs; "" means the same as this process
 }
 
-// Result is what became of a command.
+// Result is the final result of a command.
 type Result struct {
 	ID   string
 	Done bool
-	Cut  bool   // done, but some answers were failed at the deadline
-	Note string // why not, or what went before
+	Cut  bool   // done, but the requests still open at the deadline were failed
+	Note string // the reason why it was not done, or that the state was already as asked
 }
 
-// Effect is something that the router is to do.
+// Effect is an action that the caller carries out.
 type Effect interface{ isEffect() }
 
 // The effects.
 type (
-	Accept           struct{}            // take sessions
-	StopAccepting    struct{}            // take no more, tell the open sessions
-	FailOpenRequests struct{}            // answer all that is open, now
+	Accept           struct{}            // accept sessions
+	StopAccepting    struct{}            // refuse new sessions and requests, notify the open sessions
+	FailOpenRequests struct{}            // fail all open requests now
 	CloseConnections struct{}            // close all connections
-	Load             struct{ ID string } // read and check the settings; then Loaded
-	Spawn            struct {            // start a successor; then Spawned
+	Load             struct{ ID string } // read and check the settings, then call Loaded
+	Spawn            struct {            // start a successor process, then call Spawned
 		ID, Release string
-		Drained     bool // it starts drained
+		Drained     bool // the successor starts in Drained
 	}
-	Abort    struct{}                // end the successor that starts
+	Abort    struct{}                // kill the successor that is starting
 	Exit     struct{ Code int }      // end the process
-	Reply    struct{ Result Result } // to whoever gave the command
+	Reply    struct{ Result Result } // answer the callers that wait for the command
 	Announce struct{ State State }   // the state has changed
 )
 
@@ -90,156 +92,156 @@
 func (Reply) isEffect()            {}
 func (Announce) isEffect()         {}
 
-// Limits are the deadlines that end a state.
+// Limits are the timeouts of the states and the bound of remembered results.
 type Limits struct {
-	Start      time.Duration // Starting, else Failed; and a successor's start
-	Drain      time.Duration // Draining and Stopping, unless the command has its own; then FailOpenRequests
-	CloseGrace time.Duration // from FailOpenRequests to CloseConnections
-	MaxResults int           // results remembered
+	Start      time.Duration // longest time in Starting, after which the router is Failed
+	Drain      time.Duration // time from a drain or stop to FailOpenRequests, unless the command has its own limit
+	CloseGrace time.Duration // time from FailOpenRequests to CloseConnections
+	MaxResults int           // results that are remembered for repeated commands
 }
 
-// Machine is one router's life. It is not safe for concurrent use.
+// Machine is the state machine of one router process. It is not safe for concurrent use.
 type Machine struct {
-	lim      Limits
-	state    State
-	open     int // sessions and requests that are open
-	deadline time.Duration
-	gaveUp   bool
-	cut      bool
-	drained  bool    // it starts drained
-	restart  Command // the one that heir names
-	loading  string  // command that reloads; "" none
-	heir     string  // command that starts a successor; "" none
-	waiting  []string
-	results  map[string]Result
-	pending  map[string]bool
-	order    []string // of results, oldest first
-	out      []Effect
-}
-
-// ErrUnknown tells of a command that is none.
+	limits            Limits
+	state             State
+	openCount         int           // open sessions and requests
+	deadline          time.Duration // of Starting; of Draining and Stopping: when FailOpenRequests, then CloseConnections is due
+	requestsFailed    bool          // FailOpenRequests was emitted in this drain or stop
+	connectionsClosed bool          // CloseConnections was emitted in this drain or stop
+	startDrained      bool          // enter Drained instead of Ready after Starting
+	restartCommand    Command       // the command of restartID
+	reloadID          string        // ID of the reload in progress; "" if none
+	restartID         string        // ID of the restart whose successor is starting; "" if none
+	awaitingState     []string      // IDs of commands that are answered when Draining or Stopping ends
+	results           map[string]Result
+	pending           map[string]bool // IDs of commands without a result
+	resultOrder       []string        // keys of results, oldest first
+	effects           []Effect        // emitted by the present input
+}
+
+// ErrUnknown is the note of the result of a command with an invalid Op.
 var ErrUnknown = errors.New("life: unknown command")
 
-// New returns a life that begins now.
-func New(lim Limits, now time.Duration) *Machine {
-	return &Machine{lim: lim, state: Starting, deadline: now + lim.Start, results: map[string]Result{}, pending: map[string]bool{}}
+// New returns a machine in Starting.
+func New(limits Limits, now time.Duration) *Machine {
+	return &Machine{limits: limits, state: Starting, deadline: now + limits.Start, results: map[string]Result{}, pending: map[string]bool{}}
 }
 
-// Inherit gives a life what its predecessor hands on: the results of commands,
+// Inherit takes over the state of a predecessor process: its command results
 // and whether it was drained. It is called before Started.
 func (m *Machine) Inherit(results []Result, drained bool) {
-	m.drained = drained
+	m.startDrained = drained
 	for _, r := range results {
 		m.remember(r)
 	}
 }
 
-// Results are those remembered, oldest first, to be handed on.
+// Results returns the remembered results, oldest first, for a successor.
 func (m *Machine) Results() []Result {
 	var list []Result
-	for _, id := range m.order {
+	for _, id := range m.resultOrder {
 		list = append(list, m.results[id])
 	}
 	return list
 }
 
-// Recall is the result of a command; pending tells that there is none yet.
+// Recall returns the result of a command; pending reports that the command has none yet.
 func (m *Machine) Recall(id string) (r Result, known, pending bool) {
 	r, known = m.results[id]
 	return r, known, m.pending[id]
 }
 
-// State is the present state.
+// State returns the current state.
 func (m *Machine) State() State { return m.state }
 
-// Deadline is when Tick is due at the latest; ok is false where nothing is.
+// Deadline returns when Tick is due; ok is false if the current state has no deadline.
 func (m *Machine) Deadline() (at time.Duration, ok bool) {
 	switch m.state {
 	case Starting:
 		return m.deadline, true
 	case Draining, Stopping:
-		return m.deadline, !m.cut
+		return m.deadline, !m.connectionsClosed
 	}
 	return 0, false
 }
 
-func (m *Machine) do(e Effect) { m.out = append(m.out, e) }
+func (m *Machine) emit(e Effect) { m.effects = append(m.effects, e) }
 
-func (m *Machine) take() []Effect {
-	out := m.out
-	m.out = nil
+func (m *Machine) takeEffects() []Effect {
+	out := m.effects
+	m.effects = nil
 	return out
 }
 
-func (m *Machine) to(s State) {
+func (m *Machine) enter(s State) {
 	m.state = s
-	m.do(Announce{s})
+	m.emit(Announce{s})
 }
 
-// Started tells that the router serves, or why it can't.
+// Started reports that the router is ready to serve, or the error that prevents it.
 func (m *Machine) Started(now time.Duration, err error) []Effect {
 	switch {
 	case m.state != Starting:
 	case err != nil:
 		m.fail()
-	case m.drained:
-		// Guards a drain over a restart: what one operator drained, another's restart does not undo. Harms an
-		// operator who forgot the drain: the router takes nothing until it is resumed.
-		m.to(Drained)
-		m.do(StopAccepting{})
+	case m.startDrained:
+		// A drain persists over a restart, so that one operator's restart does not undo another's drain. The cost: if
+		// the drain was forgotten, the router accepts nothing until it is resumed.
+		m.enter(Drained)
+		m.emit(StopAccepting{})
 	default:
-		m.to(Ready)
-		m.do(Accept{})
+		m.enter(Ready)
+		m.emit(Accept{})
 	}
-	return m.take()
+	return m.takeEffects()
 }
 
 func (m *Machine) fail() {
-	m.to(Failed)
-	m.flush(false, "the router failed")
-	m.do(Exit{1})
+	m.enter(Failed)
+	m.replyAwaiting(false, "the router failed")
+	m.emit(Exit{1})
 }
 
-// Open tells how many sessions and requests are open.
-func (m *Machine) Open(now time.Duration, n int) []Effect {
-	m.open = n
-	m.settle()
-	return m.take()
+// SetOpen sets the number of open sessions and requests.
+func (m *Machine) SetOpen(now time.Duration, n int) []Effect {
+	m.openCount = n
+	m.finishIfIdle()
+	return m.takeEffects()
 }
 
-// settle ends a drain once nothing is open.
-func (m *Machine) settle() {
-	if m.open > 0 {
+// finishIfIdle ends Draining or Stopping once nothing is open.
+func (m *Machine) finishIfIdle() {
+	if m.openCount > 0 {
 		return
 	}
 	switch m.state {
 	case Draining:
-		m.to(Drained)
-		m.flush(true, "")
+		m.enter(Drained)
+		m.replyAwaiting(true, "")
 	case Stopping:
 		m.end()
 	}
 }
 
 func (m *Machine) end() {
-	m.to(Ended)
-	m.flush(true, "")
-	if m.loading != "" {
-		m.reply(Result{ID: m.loading, Note: "the router ended"})
-		m.loading = ""
+	m.enter(Ended)
+	m.replyAwaiting(true, "")
+	if m.reloadID != "" {
+		m.reply(Result{ID: m.reloadID, Note: "the router ended"})
+		m.reloadID = ""
 	}
-	m.do(Exit{0})
+	m.emit(Exit{0})
 }
 
-// flush answers the commands that waited for the state to end.
-func (m *Machine) flush(done bool, note string) {
-	for _, id := range m.waiting {
-		m.reply(Result{ID: id, Done: done, Cut: done && m.gaveUp, Note: note})
+// replyAwaiting answers the commands that waited for Draining or Stopping to end.
+func (m *Machine) replyAwaiting(done bool, note string) {
+	for _, id := range m.awaitingState {
+		m.reply(Result{ID: id, Done: done, Cut: done && m.requestsFailed, Note: note})
 	}
-	m.waiting = nil
+	m.awaitingState = nil
 }
 
-// Tick tells that time has passed.
+// Tick enforces the deadline of the current state if it has passed.
 func (m *Machine) Tick(now time.Duration) []Effect {
 	at, ok := m.Deadline()
 	if !ok || now < at {
@@ -248,70 +250,70 @@
 	switch {
 	case m.state == Starting:
 		m.fail()
-	case !m.gaveUp:
-		m.giveUp(now)
+	case !m.requestsFailed:
+		m.failOpenRequests(now)
 	default:
-		// Guards against sessions that never close: their answers are given, so nothing is lost. Harms a client
-		// that reads its last words more slowly than CloseGrace.
-		m.cut = true
-		m.do(CloseConnections{})
-		m.open = 0
-		m.settle()
+		// Bounds the wait for sessions that never close. All their requests are answered by now, but a client that
+		// needs longer than CloseGrace to read its last messages loses the rest.
+		m.connectionsClosed = true
+		m.emit(CloseConnections{})
+		m.openCount = 0
+		m.finishIfIdle()
 	}
-	return m.take()
+	return m.takeEffects()
 }
 
-func (m *Machine) giveUp(now time.Duration) {
-	m.gaveUp = true
-	m.deadline = now + m.lim.CloseGrace
-	m.do(FailOpenRequests{})
+func (m *Machine) failOpenRequests(now time.Duration) {
+	m.requestsFailed = true
+	m.deadline = now + m.limits.CloseGrace
+	m.emit(FailOpenRequests{})
 }
 
-// Loaded tells how reading the settings ended. The old ones stay on any error.
+// Loaded reports how a Load ended. On an error the old settings stay in force.
 func (m *Machine) Loaded(now time.Duration, id string, err error) []Effect {
-	if m.loading != id || id == "" {
+	if m.reloadID != id || id == "" {
 		return nil
 	}
-	m.loading = ""
+	m.reloadID = ""
 	r := Result{ID: id, Done: err == nil}
 	if err != nil {
 		r.Note = err.Error()
 	}
 	m.reply(r)
-	return m.take()
+	return m.takeEffects()
 }
 
-// Spawned tells how starting a successor ended. With one in place this router
-// stops; without one it goes on as it was.
+// Spawned reports how a Spawn ended. If the successor serves, this router stops;
+// on an error it continues in its state.
 func (m *Machine) Spawned(now time.Duration, id string, err error) []Effect {
-	if m.heir != id || id == "" {
+	if m.restartID != id || id == "" {
 		return nil
 	}
-	m.heir = ""
+	m.restartID = ""
 	if err != nil {
 		m.reply(Result{ID: id, Note: err.Error()})
-		return m.take()
+		return m.takeEffects()
 	}
 	m.reply(Result{ID: id, Done: true})
-	m.flush(false, "a restart came")
+	m.replyAwaiting(false, "a restart came")
 	switch m.state {
 	case Ready, Drained:
-		m.turn(now, m.restart, Stopping)
+		m.stopAccepting(now, m.restartCommand, Stopping)
 	case Draining:
-		m.sooner(now, m.restart)
-		m.to(Stopping)
+		m.shortenDeadline(now, m.restartCommand)
+		m.enter(Stopping)
 	}
-	return m.take()
+	return m.takeEffects()
 }
 
-// Command takes a command.
+// Command executes a command. Its Reply may come with a later input.
 func (m *Machine) Command(now time.Duration, c Command) []Effect {
 	if r, known := m.results[c.ID]; known {
-		m.do(Reply{r})
-		return m.take()
+		m.emit(Reply{r})
+		return m.takeEffects()
 	}
 	if m.pending[c.ID] {
-		return nil // its reply comes once
+		return nil // one Reply answers all callers of the ID
 	}
 	m.pending[c.ID] = true
 	switch c.Op {
@@ -324,20 +326,20 @@
 	case Stop:
 		m.stop(now, c)
 	case Restart:
-		m.replace(c)
+		m.startSuccessor(c)
 	default:
 		m.refuse(c, ErrUnknown.Error())
 	}
-	return m.take()
+	return m.takeEffects()
 }
 
-func (m *Machine) refuse(c Command, why string) { m.reply(Result{ID: c.ID, Note: why}) }
+func (m *Machine) refuse(c Command, reason string) { m.reply(Result{ID: c.ID, Note: reason}) }
 
-// reply answers a command and remembers the result for repeats of it.
+// reply answers a command and remembers the result for repeated IDs.
 func (m *Machine) reply(r Result) {
 	delete(m.pending, r.ID)
 	m.remember(r)
-	m.do(Reply{r})
+	m.emit(Reply{r})
 }
 
 func (m *Machine) remember(r Result) {
@@ -345,29 +347,29 @@
 		return
 	}
 	m.results[r.ID] = r
-	if m.order = append(m.order, r.ID); len(m.order) > max(m.lim.MaxResults, 1) {
-		delete(m.results, m.order[0])
-		m.order = m.order[1:]
+	if m.resultOrder = append(m.resultOrder, r.ID); len(m.resultOrder) > max(m.limits.MaxResults, 1) {
+		delete(m.results, m.resultOrder[0])
+		m.resultOrder = m.resultOrder[1:]
 	}
 }
 
-func (m *Machine) limit(c Command) time.Duration {
+func (m *Machine) drainLimit(c Command) time.Duration {
 	if c.Limit > 0 {
 		return c.Limit
 	}
-	return m.lim.Drain
+	return m.limits.Drain
 }
 
-// drain begins a drain or joins the one that runs: the earlier deadline holds,
-// so that two operators never get less than either asked for.
+// drain starts a drain or joins the one in progress. The earlier of the two
+// deadlines applies, so that each operator's limit is kept.
 func (m *Machine) drain(now time.Duration, c Command) {
 	switch m.state {
 	case Ready:
-		m.waiting = append(m.waiting, c.ID)
-		m.turn(now, c, Draining)
+		m.awaitingState = append(m.awaitingState, c.ID)
+		m.stopAccepting(now, c, Draining)
 	case Draining:
-		m.waiting = append(m.waiting, c.ID)
-		m.sooner(now, c)
+		m.awaitingState = append(m.awaitingState, c.ID)
+		m.shortenDeadline(now, c)
 	case Drained:
 		m.reply(Result{ID: c.ID, Done: true, Note: "drained before"})
 	default:
@@ -375,37 +377,37 @@
 	}
 }
 
-// turn stops taking anything new.
-func (m *Machine) turn(now time.Duration, c Command, s State) {
-	m.gaveUp, m.cut = false, false
-	m.deadline = now + m.limit(c)
-	m.to(s)
-	m.do(StopAccepting{})
-	// What is open is counted after StopAccepting: a session may have come since the last count, and must not be cut.
-	m.open = unknown
+// stopAccepting enters Draining or Stopping with the deadline of the command.
+func (m *Machine) stopAccepting(now time.Duration, c Command, s State) {
+	m.requestsFailed, m.connectionsClosed = false, false
+	m.deadline = now + m.drainLimit(c)
+	m.enter(s)
+	m.emit(StopAccepting{})
+	// A session may have opened since the last count and must not be cut off: wait for a count made after StopAccepting.
+	m.openCount = openNotCounted
 }
 
-// unknown is how much is open until it is counted.
-const unknown = 1
+// openNotCounted stands in for the number of open sessions and requests until the next SetOpen.
+const openNotCounted = 1
 
-func (m *Machine) sooner(now time.Duration, c Command) {
-	if at := now + m.limit(c); !m.gaveUp {
+func (m *Machine) shortenDeadline(now time.Duration, c Command) {
+	if at := now + m.drainLimit(c); !m.requestsFailed {
 		m.deadline = min(m.deadline, at)
 	}
 }
 
 func (m *Machine) resume(c Command) {
-	if m.heir != "" && m.state != Ready {
-		// Guards an operator's resume: the successor was started drained and would not know of it. Harms nothing:
-		// it may be given again once the restart has ended.
+	if m.restartID != "" && m.state != Ready {
+		// The successor was started drained and would not learn of the resume. It can be repeated once the restart
+		// has ended.
 		m.refuse(c, "a restart runs")
 		return
 	}
 	switch m.state {
 	case Draining, Drained:
-		m.flush(false, "resumed before it was drained")
-		m.to(Ready)
-		m.do(Accept{})
+		m.replyAwaiting(false, "resumed before it was drained")
+		m.enter(Ready)
+		m.emit(Accept{})
 		m.reply(Result{ID: c.ID, Done: true})
 	case Ready:
 		m.reply(Result{ID: c.ID, Done: true, Note: "ready before"})
@@ -414,70 +416,70 @@
 	}
 }
 
-// reload has the settings read, one reload at a time. A drain may begin meanwhile and goes on.
+// reload loads the settings, one reload at a time. A drain may begin or go on concurrently.
 func (m *Machine) reload(c Command) {
 	switch {
 	case m.state != Ready && m.state != Draining && m.state != Drained:
 		m.refuse(c, fmt.Sprintf("the router is %v", m.state))
-	case m.loading != "":
+	case m.reloadID != "":
 		m.refuse(c, "another reload runs")
-	case m.heir != "":
+	case m.restartID != "":
 		m.refuse(c, "a restart runs; the successor reads the settings")
 	default:
-		m.loading = c.ID
-		m.do(Load{c.ID})
+		m.reloadID = c.ID
+		m.emit(Load{c.ID})
 	}
 }
 
-// replace has a successor started. This router goes on until that one is ready,
-// so a release that does not come up costs nothing.
-func (m *Machine) replace(c Command) {
+// startSuccessor starts the successor of a restart. This router goes on serving
+// until the successor is ready, so a release that fails to start has no effect.
+func (m *Machine) startSuccessor(c Command) {
 	switch {
 	case m.state != Ready && m.state != Draining && m.state != Drained:
 		m.refuse(c, fmt.Sprintf("the router is %v", m.state))
-	case m.heir != "":
+	case m.restartID != "":
 		m.refuse(c, "another restart runs")
-	case m.loading != "":
-		// Guards against a successor that starts on settings which the reload then refuses. Harms nothing:
-		// a reload ends soon, and the restart may be asked for again.
+	case m.reloadID != "":
+		// The successor could start on settings that the reload then rejects. A reload ends soon, and the restart
+		// can be repeated.
 		m.refuse(c, "a reload runs")
 	default:
-		m.heir, m.restart = c.ID, c
-		m.do(Spawn{ID: c.ID, Release: c.Release, Drained: m.state != Ready})
+		m.restartID, m.restartCommand = c.ID, c
+		m.emit(Spawn{ID: c.ID, Release: c.Release, Drained: m.state != Ready})
 	}
 }
 
-// abort gives up the successor that starts: the router is to end, not to live on in it.
-func (m *Machine) abort() {
-	if m.heir == "" {
+// abortRestart cancels a restart whose successor is still starting, because the router is to end.
+func (m *Machine) abortRestart() {
+	if m.restartID == "" {
 		return
 	}
-	m.do(Abort{})
-	m.reply(Result{ID: m.heir, Note: "a stop came"})
-	m.heir = ""
+	m.emit(Abort{})
+	m.reply(Result{ID: m.restartID, Note: "a stop came"})
+	m.restartID = ""
 }
 
-// stop ends the router when nothing is open; a second one cuts it short.
+// stop ends the router once nothing is open; a second stop fails the open requests at once.
 func (m *Machine) stop(now time.Duration, c Command) {
-	m.abort()
+	m.abortRestart()
 	switch m.state {
 	case Ended, Failed:
 		m.refuse(c, fmt.Sprintf("the router is %v", m.state))
 	case Starting:
-		m.waiting = append(m.waiting, c.ID)
+		m.awaitingState = append(m.awaitingState, c.ID)
 		m.end()
 	case Stopping:
-		m.waiting = append(m.waiting, c.ID)
-		if !m.gaveUp {
-			m.giveUp(now)
+		m.awaitingState = append(m.awaitingState, c.ID)
+		if !m.requestsFailed {
+			m.failOpenRequests(now)
 		}
 	case Draining:
-		m.flush(false, "a stop came")
-		m.waiting = append(m.waiting, c.ID)
-		m.sooner(now, c)
-		m.to(Stopping)
+		m.replyAwaiting(false, "a stop came")
+		m.awaitingState = append(m.awaitingState, c.ID)
+		m.shortenDeadline(now, c)
+		m.enter(Stopping)
 	case Drained, Ready:
-		m.waiting = append(m.waiting, c.ID)
-		m.turn(now, c, Stopping)
+		m.awaitingState = append(m.awaitingState, c.ID)
+		m.stopAccepting(now, c, Stopping)
 	}
 }
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -14,11 +14,11 @@
 
 func TestMain(m *testing.M) { rapidseed.Main(m) }
 
-const s = time.Second
+const second = time.Second
 
-var lim = Limits{Start: 5 * s, Drain: 30 * s, CloseGrace: 1 * s, MaxResults: 8}
+var testLimits = Limits{Start: 5 * second, Drain: 30 * second, CloseGrace: 1 * second, MaxResults: 8}
 
-func show(list []Effect) string {
+func format(list []Effect) string {
 	var out []string
 	for _, e := range list {
 		out = append(out, strings.TrimPrefix(fmt.Sprintf("%T%v", e, e), "lifecycle."))
@@ -27,11 +27,11 @@
 }
 
 func TestLives(t *testing.T) {
-	cmd := func(at time.Duration, id string, op Op, limit time.Duration) func(*Machine) []Effect {
+	command := func(at time.Duration, id string, op Op, limit time.Duration) func(*Machine) []Effect {
 		return func(m *Machine) []Effect { return m.Command(at, Command{ID: id, Op: op, Limit: limit}) }
 	}
 	open := func(at time.Duration, n int) func(*Machine) []Effect {
-		return func(m *Machine) []Effect { return m.Open(at, n) }
+		return func(m *Machine) []Effect { return m.SetOpen(at, n) }
 	}
 	tick := func(at time.Duration) func(*Machine) []Effect {
 		return func(m *Machine) []Effect { return m.Tick(at) }
@@ -48,47 +48,47 @@
 	}{
 		{"it starts", []func(*Machine) []Effect{started}, "Announce{ready} Accept{}", Ready},
 		{"it can't start", []func(*Machine) []Effect{func(m *Machine) []Effect { return m.Started(0, errors.New("x")) }}, "Announce{failed} Exit{1}", Failed},
-		{"it takes too long to start", []func(*Machine) []Effect{tick(5 * s)}, "Announce{failed} Exit{1}", Failed},
-		{"a drain with nothing open", []func(*Machine) []Effect{started, cmd(1*s, "a", Drain, 0)}, "Announce{draining} StopAccepting{}", Draining},
-		{"once that is counted", []func(*Machine) []Effect{started, cmd(1*s, "a", Drain, 0), open(1*s, 0)},
+		{"it takes too long to start", []func(*Machine) []Effect{tick(5 * second)}, "Announce{failed} Exit{1}", Failed},
+		{"a drain with nothing open", []func(*Machine) []Effect{started, command(1*second, "a", Drain, 0)}, "Announce{draining} StopAccepting{}", Draining},
+		{"once that is counted", []func(*Machine) []Effect{started, command(1*second, "a", Drain, 0), open(1*second, 0)},
 			"Announce{drained} Reply{{a true false }}", Drained},
-		{"a drain with open answers", []func(*Machine) []Effect{started, open(0, 2), cmd(1*s, "a", Drain, 0), open(2*s, 0)},
+		{"a drain with open answers", []func(*Machine) []Effect{started, open(0, 2), command(1*second, "a", Drain, 0), open(2*second, 0)},
 			"Announce{drained} Reply{{a true false }}", Drained},
-		{"a drain at its deadline", []func(*Machine) []Effect{started, open(0, 2), cmd(1*s, "a", Drain, 3*s), tick(4 * s)}, "FailOpenRequests{}", Draining},
-		{"and after the last words", []func(*Machine) []Effect{started, open(0, 2), cmd(1*s, "a", Drain, 3*s), tick(4 * s), tick(5 * s)},
+		{"a drain at its deadline", []func(*Machine) []Effect{started, open(0, 2), command(1*second, "a", Drain, 3*second), tick(4 * second)}, "FailOpenRequests{}", Draining},
+		{"and after the last words", []func(*Machine) []Effect{started, open(0, 2), command(1*second, "a", Drain, 3*second), tick(4 * second), tick(5 * second)},
 			"CloseConnections{} Announce{drained} Reply{{a true true }}", Drained},
-		{"two drains share the earlier deadline", []func(*Machine) []Effect{started, open(0, 2), cmd(1*s, "a", Drain, 20*s), cmd(2*s, "b", Drain, 2*s), tick(4 * s), open(5*s, 0)},
+		{"two drains share the earlier deadline", []func(*Machine) []Effect{started, open(0, 2), command(1*second, "a", Drain, 20*second), command(2*second, "b", Drain, 2*second), tick(4 * second), open(5*second, 0)},
 			"Announce{drained} Reply{{a true true }} Reply{{b true true }}", Drained},
-		{"a resume undoes a drain", []func(*Machine) []Effect{started, open(0, 2), cmd(1*s, "a", Drain, 0), cmd(2*s, "b", Resume, 0)},
+		{"a resume undoes a drain", []func(*Machine) []Effect{started, open(0, 2), command(1*second, "a", Drain, 0), command(2*second, "b", Resume, 0)},
 			"Reply{{a false false resumed before it was drained}} Announce{ready} Accept{} Reply{{b true false }}", Ready},
-		{"a stop during a drain", []func(*Machine) []Effect{started, open(0, 2), cmd(1*s, "a", Drain, 0), cmd(2*s, "b", Stop, 0)},
+		{"a stop during a drain", []func(*Machine) []Effect{started, open(0, 2), command(1*second, "a", Drain, 0), command(2*second, "b", Stop, 0)},
 			"Reply{{a false false a stop came}} Announce{stopping}", Stopping},
-		{"a stop ends it", []func(*Machine) []Effect{started, open(0, 1), cmd(1*s, "a", Stop, 0), open(2*s, 0)},
+		{"a stop ends it", []func(*Machine) []Effect{started, open(0, 1), command(1*second, "a", Stop, 0), open(2*second, 0)},
 			"Announce{ended} Reply{{a true false }} Exit{0}", Ended},
-		{"a second stop cuts it short", []func(*Machine) []Effect{started, open(0, 1), cmd(1*s, "a", Stop, 0), cmd(2*s, "b", Stop, 0)}, "FailOpenRequests{}", Stopping},
-		{"a repeat gets the first result", []func(*Machine) []Effect{started, cmd(1*s, "a", Drain, 0), open(1*s, 0), cmd(2*s, "b", Resume, 0), cmd(3*s, "a", Drain, 0)},
+		{"a second stop cuts it short", []func(*Machine) []Effect{started, open(0, 1), command(1*second, "a", Stop, 0), command(2*second, "b", Stop, 0)}, "FailOpenRequests{}", Stopping},
+		{"a repeat gets the first result", []func(*Machine) []Effect{started, command(1*second, "a", Drain, 0), open(1*second, 0), command(2*second, "b", Resume, 0), command(3*second, "a", Drain, 0)},
 			"Reply{{a true false }}", Ready},
-		{"a drain while stopping", []func(*Machine) []Effect{started, open(0, 1), cmd(1*s, "a", Stop, 0), cmd(2*s, "b", Drain, 0)},
+		{"a drain while stopping", []func(*Machine) []Effect{started, open(0, 1), command(1*second, "a", Stop, 0), command(2*second, "b", Drain, 0)},
 			"Reply{{b false false the router is stopping}}", Stopping},
-		{"a reload", []func(*Machine) []Effect{started, cmd(1*s, "a", Reload, 0)}, "Load{a}", Ready},
-		{"a second reload", []func(*Machine) []Effect{started, cmd(1*s, "a", Reload, 0), cmd(2*s, "b", Reload, 0)},
+		{"a reload", []func(*Machine) []Effect{started, command(1*second, "a", Reload, 0)}, "Load{a}", Ready},
+		{"a second reload", []func(*Machine) []Effect{started, command(1*second, "a", Reload, 0), command(2*second, "b", Reload, 0)},
 			"Reply{{b false false another reload runs}}", Ready},
-		{"a drain during a reload", []func(*Machine) []Effect{started, open(0, 1), cmd(1*s, "a", Reload, 0), cmd(2*s, "b", Drain, 0),
-			func(m *Machine) []Effect { return m.Loaded(3*s, "a", errors.New("f:1:1: bad")) }}, "Reply{{a false false f:1:1: bad}}", Draining},
-		{"a restart", []func(*Machine) []Effect{started, open(0, 1), cmd(1*s, "a", Restart, 0)}, "Spawn{a  false}", Ready},
-		{"a restart of a drained router", []func(*Machine) []Effect{started, cmd(1*s, "d", Drain, 0), open(1*s, 0), cmd(2*s, "a", Restart, 0)},
+		{"a drain during a reload", []func(*Machine) []Effect{started, open(0, 1), command(1*second, "a", Reload, 0), command(2*second, "b", Drain, 0),
+			func(m *Machine) []Effect { return m.Loaded(3*second, "a", errors.New("f:1:1: bad")) }}, "Reply{{a false false f:1:1: bad}}", Draining},
+		{"a restart", []func(*Machine) []Effect{started, open(0, 1), command(1*second, "a", Restart, 0)}, "Spawn{a  false}", Ready},
+		{"a restart of a drained router", []func(*Machine) []Effect{started, command(1*second, "d", Drain, 0), open(1*second, 0), command(2*second, "a", Restart, 0)},
 			"Spawn{a  true}", Drained},
-		{"a restart that comes up", []func(*Machine) []Effect{started, open(0, 1), cmd(1*s, "a", Restart, 0), spawned(2*s, nil)},
+		{"a restart that comes up", []func(*Machine) []Effect{started, open(0, 1), command(1*second, "a", Restart, 0), spawned(2*second, nil)},
 			"Reply{{a true false }} Announce{stopping} StopAccepting{}", Stopping},
-		{"a restart that does not", []func(*Machine) []Effect{started, open(0, 1), cmd(1*s, "a", Restart, 0), spawned(2*s, errors.New("x"))},
+		{"a restart that does not", []func(*Machine) []Effect{started, open(0, 1), command(1*second, "a", Restart, 0), spawned(2*second, errors.New("x"))},
 			"Reply{{a false false x}}", Ready},
-		{"a stop during a restart", []func(*Machine) []Effect{started, open(0, 1), cmd(1*s, "a", Restart, 0), cmd(2*s, "b", Stop, 0)},
+		{"a stop during a restart", []func(*Machine) []Effect{started, open(0, 1), command(1*second, "a", Restart, 0), command(2*second, "b", Stop, 0)},
 			"Abort{} Reply{{a false false a stop came}} Announce{stopping} StopAccepting{}", Stopping},
-		{"a drain during a restart", []func(*Machine) []Effect{started, open(0, 1), cmd(1*s, "a", Restart, 0), cmd(2*s, "b", Drain, 0), spawned(3*s, nil)},
+		{"a drain during a restart", []func(*Machine) []Effect{started, open(0, 1), command(1*second, "a", Restart, 0), command(2*second, "b", Drain, 0), spawned(3*second, nil)},
 			"Reply{{a true false }} Reply{{b false false a restart came}} Announce{stopping}", Stopping},
-		{"a resume while a drained router restarts", []func(*Machine) []Effect{started, cmd(1*s, "d", Drain, 0), open(1*s, 0), cmd(1*s, "a", Restart, 0), cmd(2*s, "b", Resume, 0)},
+		{"a resume while a drained router restarts", []func(*Machine) []Effect{started, command(1*second, "d", Drain, 0), open(1*second, 0), command(1*second, "a", Restart, 0), command(2*second, "b", Resume, 0)},
 			"Reply{{b false false a restart runs}}", Drained},
-		{"a reload during a restart", []func(*Machine) []Effect{started, cmd(1*s, "a", Restart, 0), cmd(2*s, "b", Reload, 0)},
+		{"a reload during a restart", []func(*Machine) []Effect{started, command(1*second, "a", Restart, 0), command(2*second, "b", Reload, 0)},
 			"Reply{{b false false a restart runs; the successor reads the settings}}", Ready},
 		{"a successor of a drained router", []func(*Machine) []Effect{func(m *Machine) []Effect {
 			m.Inherit([]Result{{ID: "a", Done: true}}, true)
@@ -97,15 +97,15 @@
 		{"a repeat at a successor", []func(*Machine) []Effect{func(m *Machine) []Effect {
 			m.Inherit([]Result{{ID: "a", Done: true}}, false)
 			return m.Started(0, nil)
-		}, cmd(1*s, "a", Restart, 0)}, "Reply{{a true false }}", Ready},
+		}, command(1*second, "a", Restart, 0)}, "Reply{{a true false }}", Ready},
 	} {
-		m := New(lim, 0)
+		m := New(testLimits, 0)
 		var got []Effect
 		for _, step := range c.steps {
 			got = step(m)
 		}
-		if show(got) != c.last || m.State() != c.state {
-			t.Errorf("%s: %s in %v, want %s in %v", c.name, show(got), m.State(), c.last, c.state)
+		if format(got) != c.last || m.State() != c.state {
+			t.Errorf("%s: %s in %v, want %s in %v", c.name, format(got), m.State(), c.last, c.state)
 		}
 	}
 }
@@ -115,27 +115,27 @@
 // answered, and no drain or stop outlives its limit and the last words.
 func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := New(lim, 0)
-		now, exits, heirs, gaveUp := time.Duration(0), 0, 0, false
+		m := New(testLimits, 0)
+		now, exits, successors, requestsFailed := time.Duration(0), 0, 0, false
 		given, replies := map[string]bool{}, map[string]int{}
-		var due time.Duration // by when the present drain or stop is over
-		take := func(list []Effect, repeat string) {
+		var endBy time.Duration // by when the present drain or stop is over
+		observe := func(list []Effect, repeat string) {
 			for _, e := range list {
 				switch e := e.(type) {
 				case Exit:
 					exits++
 				case StopAccepting:
-					gaveUp = false
+					requestsFailed = false
 				case FailOpenRequests:
-					gaveUp = true
+					requestsFailed = true
 				case Spawn:
-					if heirs++; heirs > 1 {
+					if successors++; successors > 1 {
 						t.Fatal("two successors at once")
 					}
 				case Abort:
-					heirs--
+					successors--
 				case CloseConnections:
-					if !gaveUp {
+					if !requestsFailed {
 						t.Fatal("cut before the answers were given")
 					}
 				case Reply:
@@ -143,8 +143,8 @@
 						replies[e.Result.ID]++
 					}
 				case Announce:
-					if e.State == Draining || e.State == Stopping && due <= now {
-						due = now + lim.Drain + lim.CloseGrace
+					if e.State == Draining || e.State == Stopping && endBy <= now {
+						endBy = now + testLimits.Drain + testLimits.CloseGrace
 					}
 				}
 			}
@@ -152,7 +152,7 @@
 		for i := range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond
 			for at, ok := m.Deadline(); ok && at <= now; at, ok = m.Deadline() { // timers are kept
-				take(m.Tick(at), "")
+				observe(m.Tick(at), "")
 			}
 			switch rapid.IntRange(0, 6).Draw(t, "what") {
 			case 3:
@@ -160,16 +160,16 @@
 				if rapid.Bool().Draw(t, "bad") {
 					err = errors.New("bad")
 				}
-				if m.heir != "" {
-					heirs--
+				if m.restartID != "" {
+					successors--
 				}
-				take(m.Spawned(now, m.heir, err), "")
+				observe(m.Spawned(now, m.restartID, err), "")
 			case 0:
-				take(m.Started(now, nil), "")
+				observe(m.Started(now, nil), "")
 			case 1:
-				take(m.Open(now, rapid.IntRange(0, 2).Draw(t, "open")), "")
+				observe(m.SetOpen(now, rapid.IntRange(0, 2).Draw(t, "open")), "")
 			case 2:
-				take(m.Loaded(now, m.loading, nil), "")
+				observe(m.Loaded(now, m.reloadID, nil), "")
 			default:
 				c := Command{ID: fmt.Sprint("c", i), Op: Op(rapid.IntRange(1, 5).Draw(t, "op"))}
 				repeat := ""
@@ -179,10 +179,10 @@
 					}
 				}
 				given[c.ID] = true
-				take(m.Command(now, c), repeat)
+				observe(m.Command(now, c), repeat)
 			}
-			if s := m.State(); (s == Draining || s == Stopping) && now > due {
-				t.Fatalf("%v at %v, due at %v", s, now, due)
+			if s := m.State(); (s == Draining || s == Stopping) && now > endBy {
+				t.Fatalf("%v at %v, due at %v", s, now, endBy)
 			}
 			if exits > 1 || (exits == 1) != (m.State() == Ended || m.State() == Failed) {
 				t.Fatalf("%d exits in %v", exits, m.State())
@@ -201,21 +201,21 @@
 // none; a drained router is drained in its successor.
 func TestRepeatsOverLives(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		keep := lim
-		keep.MaxResults = 100
-		now, m := time.Duration(0), New(keep, 0)
+		limits := testLimits
+		limits.MaxResults = 100
+		now, m := time.Duration(0), New(limits, 0)
 		m.Started(0, nil)
 		first := map[string]Result{}
-		loading, heir, drained := "", "", false
-		take := func(list []Effect) {
+		reloadID, restartID, drained := "", "", false
+		observe := func(list []Effect) {
 			for _, e := range list {
 				switch e := e.(type) {
 				case Load:
-					loading = e.ID
+					reloadID = e.ID
 				case Spawn:
-					heir, drained = e.ID, e.Drained
+					restartID, drained = e.ID, e.Drained
 				case Abort:
-					heir = ""
+					restartID = ""
 				case Reply:
 					if was, known := first[e.Result.ID]; known && was != e.Result {
 						t.Fatalf("command %s got %v, then %v", e.Result.ID, was, e.Result)
@@ -224,51 +224,51 @@
 				}
 			}
 		}
-		begin := func(results []Result, drained bool) {
-			m = New(keep, now)
+		startProcess := func(results []Result, drained bool) {
+			m = New(limits, now)
 			m.Inherit(results, drained)
-			take(m.Started(now, nil))
-			loading, heir = "", ""
+			observe(m.Started(now, nil))
+			reloadID, restartID = "", ""
 			if want := map[bool]State{true: Drained, false: Ready}[drained]; m.State() != want {
 				t.Fatalf("a successor is %v, want %v", m.State(), want)
 			}
 		}
 		for i := range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond
-			take(m.Tick(now))
+			observe(m.Tick(now))
 			switch rapid.IntRange(0, 7).Draw(t, "what") {
 			case 0:
-				take(m.Open(now, rapid.IntRange(0, 1).Draw(t, "open")))
+				observe(m.SetOpen(now, rapid.IntRange(0, 1).Draw(t, "open")))
 			case 1:
-				take(m.Loaded(now, loading, nil))
-				loading = ""
+				observe(m.Loaded(now, reloadID, nil))
+				reloadID = ""
 			case 2:
-				if heir == "" {
+				if restartID == "" {
 					continue
 				}
-				id, bad := heir, rapid.Bool().Draw(t, "bad")
-				if heir = ""; bad {
-					take(m.Spawned(now, id, errors.New("bad")))
+				id, bad := restartID, rapid.Bool().Draw(t, "bad")
+				if restartID = ""; bad {
+					observe(m.Spawned(now, id, errors.New("bad")))
 					continue
 				}
 				results := append(m.Results(), Result{ID: id, Done: true})
-				take(m.Spawned(now, id, nil))
-				begin(results, drained)
+				observe(m.Spawned(now, id, nil))
+				startProcess(results, drained)
 			case 3:
 				if rapid.IntRange(0, 3).Draw(t, "dies") == 0 {
 					clear(first)
-					begin(nil, false)
+					startProcess(nil, false)
 				}
 			default:
 				id := fmt.Sprint("c", i)
 				if rapid.Bool().Draw(t, "repeat") {
 					id = fmt.Sprint("c", rapid.IntRange(0, i).Draw(t, "of"))
 				}
-				take(m.Command(now, Command{ID: id, Op: Op(rapid.IntRange(1, 5).Draw(t, "op"))}))
+				observe(m.Command(now, Command{ID: id, Op: Op(rapid.IntRange(1, 5).Draw(t, "op"))}))
 			}
 			if m.State() == Ended || m.State() == Failed { // its supervisor starts it again
 				clear(first)
-				begin(nil, false)
+				startProcess(nil, false)
 			}
 		}
 	})
--- a/internal/reload/reload.go
+++ b/internal/reload/reload.go
@@ -1,5 +1,5 @@
-// Package reload decides what of a changed settings file a running router takes
-// up at once and what needs a restart. It has no I/O and no clock.
+// Package reload compares two settings files and decides which changes a running
+// router applies at once and which need a restart. It has no I/O and no clock.
 package reload
 
 import (
@@ -13,9 +13,9 @@
 
 // Change is one setting that differs.
 type Change struct {
-	Path     string // as in the file: class "question" aim
-	Old, New string // "" where it is not given
-	Live     bool   // taken up at once; else it needs a restart
+	Path     string // form names from the outermost to the setting: class "question" aim
+	Old, New string // "" if the setting is absent
+	Live     bool   // applied at once; otherwise the change needs a restart
 }
 
 func (c Change) String() string {
@@ -33,10 +33,11 @@
 	return s
 }
 
-// live are the settings that may change between two events; "*" stands for any
-// name. Everything else is bound to something that lives as long as the process:
-// a port, a table's size, an open connection, or a promise to a request under way.
-var live = []string{
+// liveSettings are the settings that can be applied between two events; "*" stands
+// for any name. All others are bound to something that stays for the lifetime of
+// the process: a port, a table's size, an open connection or a guarantee given to
+// a request in flight.
+var liveSettings = []string{
 	"routers",
 	"class * aim", "class * aim-per-1000", "class * give-up", "class * worth", "class * max-tokens",
 	"class * priority",
@@ -53,53 +54,54 @@
 	"control releases",
 }
 
-// Diff lists the settings in which two files differ, in the order of the file's forms.
+// Diff returns the settings in which two files differ, in the order of the file's forms.
 func Diff(old, next *settings.File) []Change {
-	d := differ{}
-	d.structs("", "", reflect.ValueOf(old).Elem(), reflect.ValueOf(next).Elem())
+	d := comparison{}
+	d.compareForms("", "", reflect.ValueOf(old).Elem(), reflect.ValueOf(next).Elem())
 	return d.changes
 }
 
-type differ struct{ changes []Change }
+// comparison collects the changes that Diff finds.
+type comparison struct{ changes []Change }
 
-func (d *differ) add(path, pattern, old, next string) {
+func (c *comparison) add(path, pattern, old, next string) {
 	if old != next {
-		d.changes = append(d.changes, Change{Path: path, Old: old, New: next, Live: slices.Contains(live, pattern)})
+		c.changes = append(c.changes, Change{Path: path, Old: old, New: next, Live: slices.Contains(liveSettings, pattern)})
 	}
 }
 
-func join(path, name string) string {
+func joinPath(path, name string) string {
 	if path == "" {
 		return name
 	}
 	return path + " " + name
 }
 
-// structs compares two forms; the zero Value stands for one that is not there.
-func (d *differ) structs(path, pattern string, old, next reflect.Value) {
+// compareForms compares two forms, setting by setting.
+func (c *comparison) compareForms(path, pattern string, old, next reflect.Value) {
 	t := old.Type()
 	for i := range t.NumField() {
 		name, _, _ := strings.Cut(t.Field(i).Tag.Get("gann"), ",")
 		if name == "" || name == "#" {
 			continue
 		}
-		d.value(join(path, name), join(pattern, name), old.Field(i), next.Field(i))
+		c.compareValue(joinPath(path, name), joinPath(pattern, name), old.Field(i), next.Field(i))
 	}
 }
 
-func (d *differ) value(path, pattern string, old, next reflect.Value) {
+func (c *comparison) compareValue(path, pattern string, old, next reflect.Value) {
 	switch {
-	case named(old.Type()):
-		d.lists(path, pattern, old, next)
+	case isNamedList(old.Type()):
+		c.compareNamedLists(path, pattern, old, next)
 	case old.Kind() == reflect.Struct:
-		d.structs(path, pattern, old, next)
+		c.compareForms(path, pattern, old, next)
 	default:
-		d.add(path, pattern, text(old), text(next))
+		c.add(path, pattern, formatValue(old), formatValue(next))
 	}
 }
 
-// named tells whether a type is a list of forms that have names.
-func named(t reflect.Type) bool {
+// isNamedList reports whether a type is a list of forms that have names.
+func isNamedList(t reflect.Type) bool {
 	if t.Kind() != reflect.Slice || t.Elem().Kind() != reflect.Struct {
 		return false
 	}
@@ -107,20 +109,20 @@
 	return has
 }
 
-// text is a value as the file has it; where it stands in the file is left out.
-func text(v reflect.Value) string {
+// formatValue returns a value in the syntax of the file, without its position there.
+func formatValue(v reflect.Value) string {
 	switch {
 	case v.Kind() == reflect.Slice:
 		var list []string
 		for i := range v.Len() {
-			list = append(list, text(v.Index(i)))
+			list = append(list, formatValue(v.Index(i)))
 		}
 		return strings.Join(list, " ")
 	case v.Kind() == reflect.Struct:
 		out := ""
 		for i := range v.NumField() {
 			if name := v.Type().Field(i).Tag.Get("gann"); name != "" && !v.Field(i).IsZero() {
-				out += fmt.Sprintf("(%s %s)", name, text(v.Field(i)))
+				out += fmt.Sprintf("(%s %s)", name, formatValue(v.Field(i)))
 			}
 		}
 		return "(" + out + ")"
@@ -128,9 +130,9 @@
 	return fmt.Sprint(v.Interface())
 }
 
-// lists compares repeated forms by their names. Their order matters to nobody
-// but requests under way, which know them by number: a change of order needs a restart.
-func (d *differ) lists(path, pattern string, old, next reflect.Value) {
+// compareNamedLists compares repeated forms by their names. Requests in flight
+// refer to the forms by index, so a change of order needs a restart.
+func (c *comparison) compareNamedLists(path, pattern string, old, next reflect.Value) {
 	names := func(v reflect.Value) []string {
 		var list []string
 		for i := range v.Len() {
@@ -138,23 +140,23 @@
 		}
 		return list
 	}
-	was, is := names(old), names(next)
-	for i, name := range was {
-		at := fmt.Sprintf("%s %q", path, name)
-		j := slices.Index(is, name)
+	oldNames, newNames := names(old), names(next)
+	for i, name := range oldNames {
+		formPath := fmt.Sprintf("%s %q", path, name)
+		j := slices.Index(newNames, name)
 		if j < 0 {
-			d.add(at, "", "given", "")
+			c.add(formPath, "", "given", "")
 			continue
 		}
-		d.structs(at, pattern+" *", old.Index(i), next.Index(j))
+		c.compareForms(formPath, pattern+" *", old.Index(i), next.Index(j))
 	}
-	for _, name := range is {
-		if !slices.Contains(was, name) {
-			d.add(fmt.Sprintf("%s %q", path, name), "", "", "given")
+	for _, name := range newNames {
+		if !slices.Contains(oldNames, name) {
+			c.add(fmt.Sprintf("%s %q", path, name), "", "", "given")
 		}
 	}
-	if len(was) == len(is) && !slices.Equal(was, is) && sameSet(was, is) {
-		d.add(path+" order", "", strings.Join(was, " "), strings.Join(is, " "))
+	if len(oldNames) == len(newNames) && !slices.Equal(oldNames, newNames) && sameSet(oldNames, newNames) {
+		c.add(path+" order", "", strings.Join(oldNames, " "), strings.Join(newNames, " "))
 	}
 }
 
@@ -163,37 +165,38 @@
 	return slices.Equal(a, b)
 }
 
-// Merge is what a running router goes on with: its own settings with the live
-// changes in their places. The two files stay as they are.
+// Merge returns the settings that a running router uses after a reload: its own,
+// with the live changes of next applied. Neither file is modified.
 func Merge(old, next *settings.File) *settings.File {
 	merged := *old
 	merged.Classes, merged.Kinds = slices.Clone(old.Classes), slices.Clone(old.Kinds)
 	merged.Tenants = slices.Clone(old.Tenants)
-	take("", reflect.ValueOf(&merged).Elem(), reflect.ValueOf(next).Elem())
+	copyLive("", reflect.ValueOf(&merged).Elem(), reflect.ValueOf(next).Elem())
 	return &merged
 }
 
-func take(pattern string, into, from reflect.Value) {
-	t := into.Type()
+// copyLive copies the live settings of the form src to dst; forms of named lists are matched by name.
+func copyLive(pattern string, dst, src reflect.Value) {
+	t := dst.Type()
 	for i := range t.NumField() {
 		name, _, _ := strings.Cut(t.Field(i).Tag.Get("gann"), ",")
 		if name == "" || name == "#" {
 			continue
 		}
-		at, a, b := join(pattern, name), into.Field(i), from.Field(i)
+		path, dstField, srcField := joinPath(pattern, name), dst.Field(i), src.Field(i)
 		switch {
-		case named(a.Type()):
-			for n := range a.Len() {
-				for m := range b.Len() {
-					if a.Index(n).FieldByName("Name").String() == b.Index(m).FieldByName("Name").String() {
-						take(at+" *", a.Index(n), b.Index(m))
+		case isNamedList(dstField.Type()):
+			for n := range dstField.Len() {
+				for m := range srcField.Len() {
+					if dstField.Index(n).FieldByName("Name").String() == srcField.Index(m).FieldByName("Name").String() {
+						copyLive(path+" *", dstField.Index(n), srcField.Index(m))
 					}
 				}
 			}
-		case a.Kind() == reflect.Struct:
-			take(at, a, b)
-		case slices.Contains(live, at):
-			a.Set(b)
+		case dstField.Kind() == reflect.Struct:
+			copyLive(path, dstField, srcField)
+		case slices.Contains(liveSettings, path):
+			dstField.Set(srcField)
 		}
 	}
 }
--- a/internal/reload/reload_test.go
+++ b/internal/reload/reload_test.go
@@ -9,7 +9,7 @@
 	"gannethook/internal/settings"
 )
 
-const base = `(name r) (listen "127.0.0.1:0") (roster (file "x"))
+const baseSettings = `(name r) (listen "127.0.0.1:0") (roster (file "x"))
 (class q (aim 1s) (give-up 5s) (effect safe)) (class a (aim 2s) (give-up 9s) (effect unsafe))
 (kind p (role reader)) (kind w (role writer)) (tenant t (quota 10/s))`
 
@@ -40,7 +40,7 @@
 		{"(name r)", "(name r) (sessions (drain 9s) (most 7))", "sessions most: 20000 -> 7; sessions drain: 30s -> 9s"},
 	} {
 		var got []string
-		for _, ch := range Diff(parse(t, base), parse(t, strings.Replace(base, c.from, c.to, 1))) {
+		for _, ch := range Diff(parse(t, baseSettings), parse(t, strings.Replace(baseSettings, c.from, c.to, 1))) {
 			got = append(got, ch.String())
 		}
 		if s := strings.Join(got, "; "); s != c.want {
@@ -49,10 +49,11 @@
 	}
 }
 
-// Whatever changes, what is merged differs from the old file in live settings
-// alone, from the new one in the others alone, and the module can take it.
+// For each change, the merged settings differ from the old file only in live
+// settings and from the new file only in the others, and are compatible with the
+// module of the old ones.
 func TestMerge(t *testing.T) {
-	old := parse(t, base)
+	old := parse(t, baseSettings)
 	before := fmt.Sprintf("%+v", *old)
 	for from, to := range map[string]string{
 		"(aim 1s)": "(aim 500ms)", "(effect unsafe)": "(effect safe)", `"127.0.0.1:0"`: `"127.0.0.1:9"`,
@@ -62,20 +63,20 @@
 		"(tenant t (quota 10/s))":                       "(tenant u (quota 1/s)) (tenant t (quota 2/s))",
 		"(class q (aim 1s) (give-up 5s) (effect safe))": "(class z (aim 1s) (give-up 5s) (effect safe))",
 	} {
-		next := parse(t, strings.Replace(base, from, to, 1))
+		next := parse(t, strings.Replace(baseSettings, from, to, 1))
 		merged := Merge(old, next)
 		for _, c := range Diff(old, merged) {
 			if !c.Live {
-				t.Errorf("%s: taken up at once: %v", to, c)
+				t.Errorf("%s: applied without a restart: %v", to, c)
 			}
 		}
 		for _, c := range Diff(merged, next) {
 			if c.Live {
-				t.Errorf("%s: not taken up: %v", to, c)
+				t.Errorf("%s: live change not applied: %v", to, c)
 			}
 		}
-		was, is := old.Module(), merged.Module()
-		if err := was.Compatible(&is); err != nil {
+		oldModule, mergedModule := old.Module(), merged.Module()
+		if err := oldModule.Compatible(&mergedModule); err != nil {
 			t.Errorf("%s: %v", to, err)
 		}
 		if fmt.Sprintf("%+v", *old) != before {
@@ -84,7 +85,7 @@
 	}
 }
 
-// Every live setting exists: a name that is misspelt here would never be live.
+// Every entry of liveSettings is the path of a setting: a misspelt one would never match.
 func TestLiveNames(t *testing.T) {
 	known := map[string]bool{}
 	var walk func(pattern string, t reflect.Type)
@@ -94,9 +95,9 @@
 			if name == "" || name == "#" {
 				continue
 			}
-			at, ft := join(pattern, name), typ.Field(i).Type
+			at, ft := joinPath(pattern, name), typ.Field(i).Type
 			switch {
-			case named(ft):
+			case isNamedList(ft):
 				walk(at+" *", ft.Elem())
 			case ft.Kind() == reflect.Struct:
 				walk(at, ft)
@@ -106,9 +107,9 @@
 		}
 	}
 	walk("", reflect.TypeFor[settings.File]())
-	for _, name := range live {
+	for _, name := range liveSettings {
 		if !known[name] {
-			t.Errorf("%q is no setting", name)
+			t.Errorf("%q is not a setting", name)
 		}
 	}
 }
