--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -17,7 +17,7 @@
 	pb "gannethook/internal/control/controlpb"
 )
 
-func TestTape(t *testing.T) {
+func TestEventLog(t *testing.T) {
 	events := NewEventLog(3)
 	if list, _ := events.After(0); len(list) != 0 {
 		t.Errorf("%v in an empty log", list)
@@ -47,7 +47,7 @@
 }
 
 // Calls are authorized by the ID and the expiry of the certificate, at each call.
-func TestAllow(t *testing.T) {
+func TestAuthorize(t *testing.T) {
 	now := time.Now()
 	callerWith := func(id string, end time.Time) context.Context {
 		u, err := url.Parse(id)
--- a/internal/daemon/apis_test.go
+++ b/internal/daemon/apis_test.go
@@ -26,14 +26,15 @@
 	"gannethook/internal/standin"
 )
 
-// openAIClient is OpenAI's client of the router.
-func (w *testbed) openAIClient(more ...option.RequestOption) openai.Client {
+// openAIClient returns OpenAI's Go client, connected to the router.
+func (tb *testbed) openAIClient(more ...option.RequestOption) openai.Client {
 	hc := &http.Client{Transport: &http.Transport{}}
-	w.t.Cleanup(hc.CloseIdleConnections)
-	return openai.NewClient(append([]option.RequestOption{option.WithBaseURL("http://" + w.d.Addr() + "/v1"), option.WithAPIKey("none"),
+	tb.t.Cleanup(hc.CloseIdleConnections)
+	return openai.NewClient(append([]option.RequestOption{option.WithBaseURL("http://" + tb.d.Addr() + "/v1"), option.WithAPIKey("none"),
 		option.WithHTTPClient(hc)}, more...)...)
 }
 
+// texts returns n different texts of up to about 210 bytes.
 func texts(n int) []string {
 	list := make([]string, n)
 	for i := range list {
@@ -42,21 +43,22 @@
 	return list
 }
 
+// checkEmbedding compares an embedding with the stand-in's for the text.
 func checkEmbedding(t *testing.T, got []float64, text string) {
 	t.Helper()
 	want := standin.Embedding(text, len(got))
 	for i := range got {
 		if math.Abs(got[i]-float64(want[i])) > 1e-6 {
-			t.Fatalf("%q: %v, not %v", text, got, want)
+			t.Fatalf("%q: %v, want %v", text, got, want)
 		}
 	}
 }
 
-// OpenAI's own client embeds: one text, 2,048 of them over several parts in
-// order, tokens, base64, and gets its errors as such.
+// OpenAI's client gets embeddings of one text, of 2,048 texts that the router splits
+// into parts and joins in order, and of tokens; a bad request gives its error type.
 func TestOpenAIEmbeddings(t *testing.T) {
-	w := newTestbed(t, nil)
-	c := w.openAIClient()
+	tb := newTestbed(t, nil)
+	c := tb.openAIClient()
 	ctx := context.Background()
 	one, err := c.Embeddings.New(ctx, openai.EmbeddingNewParams{Model: "m", Dimensions: openai.Int(5),
 		Input: openai.EmbeddingNewParamsInputUnion{OfString: openai.String("hello")}})
@@ -86,20 +88,20 @@
 		t.Errorf("%v", err)
 	}
 	n := 0
-	for _, e := range w.log.Events() {
+	for _, e := range tb.log.Events() {
 		if e.Kind == "arrive" && e.Note == "whole" {
 			n++
 		}
 	}
 	if n < 30 || n > 80 {
-		t.Errorf("%d attempts at engines for 2,048 texts and two more", n)
+		t.Errorf("%d attempts at engines for 2,048 texts and two other requests", n)
 	}
 }
 
-// OpenAI's own client chats, streamed and not.
+// OpenAI's client gets the same chat completion with and without streaming.
 func TestOpenAIChat(t *testing.T) {
-	w := newTestbed(t, nil)
-	c := w.openAIClient()
+	tb := newTestbed(t, nil)
+	c := tb.openAIClient()
 	params := openai.ChatCompletionNewParams{Model: "m", MaxCompletionTokens: openai.Int(20), Temperature: openai.Float(0.5),
 		Messages: []openai.ChatCompletionMessageParamUnion{openai.SystemMessage("be brief"), openai.UserMessage("how much?")}}
 	whole, err := c.Chat.Completions.New(context.Background(), params)
@@ -112,7 +114,7 @@
 	var acc openai.ChatCompletionAccumulator
 	for s.Next() {
 		if !acc.AddChunk(s.Current()) {
-			t.Fatal("a chunk does not fit")
+			t.Fatal("the accumulator rejects a chunk")
 		}
 	}
 	if s.Err() != nil || acc.Choices[0].Message.Content != whole.Choices[0].Message.Content || acc.Usage.TotalTokens != whole.Usage.TotalTokens ||
@@ -127,13 +129,13 @@
 	}
 }
 
-// Another client, by other hands, embeds in base64 and streams a chat.
-func TestOtherClient(t *testing.T) {
-	w := newTestbed(t, nil)
+// The independent client go-openai gets base64 embeddings and a streamed chat completion.
+func TestGoOpenAIClient(t *testing.T) {
+	tb := newTestbed(t, nil)
 	cfg := sashabaranov.DefaultConfig("none")
 	hc := &http.Client{Transport: &http.Transport{}}
 	t.Cleanup(hc.CloseIdleConnections)
-	cfg.BaseURL, cfg.HTTPClient = "http://"+w.d.Addr()+"/v1", hc
+	cfg.BaseURL, cfg.HTTPClient = "http://"+tb.d.Addr()+"/v1", hc
 	c := sashabaranov.NewClientWithConfig(cfg)
 	res, err := c.CreateEmbeddings(context.Background(), sashabaranov.EmbeddingRequestStrings{Model: "m", Input: texts(200),
 		EncodingFormat: sashabaranov.EmbeddingEncodingFormatBase64})
@@ -169,18 +171,18 @@
 	}
 }
 
-// Cohere's client ranks, the whole over several parts.
+// Cohere's client reranks documents that the router splits into parts.
 func TestCohereRerank(t *testing.T) {
-	w := newTestbed(t, nil)
+	tb := newTestbed(t, nil)
 	hc := &http.Client{Transport: &http.Transport{}}
 	t.Cleanup(hc.CloseIdleConnections)
-	c := cohereclient.NewClient(cohereclient.WithBaseURL("http://"+w.d.Addr()), cohereclient.WithHTTPClient(hc), cohereoption.WithToken("none"))
+	c := cohereclient.NewClient(cohereclient.WithBaseURL("http://"+tb.d.Addr()), cohereclient.WithHTTPClient(hc), cohereoption.WithToken("none"))
 	docs := texts(300)
-	ask := &cohere.RerankRequest{Model: cohere.String("m"), Query: "q", TopN: cohere.Int(7), ReturnDocuments: cohere.Bool(true)}
+	rerank := &cohere.RerankRequest{Model: cohere.String("m"), Query: "q", TopN: cohere.Int(7), ReturnDocuments: cohere.Bool(true)}
 	for _, d := range docs {
-		ask.Documents = append(ask.Documents, &cohere.RerankRequestDocumentsItem{String: d})
+		rerank.Documents = append(rerank.Documents, &cohere.RerankRequestDocumentsItem{String: d})
 	}
-	res, err := c.Rerank(context.Background(), ask)
+	res, err := c.Rerank(context.Background(), rerank)
 	if err != nil || len(res.Results) != 7 {
 		t.Fatalf("%+v, %v", res, err)
 	}
@@ -194,90 +196,90 @@
 			t.Errorf("%d: %+v", i, r)
 		}
 	}
-	ask.Documents = nil
+	rerank.Documents = nil
 	var bad *core.APIError
-	if _, err = c.Rerank(context.Background(), ask); !errors.As(err, &bad) || bad.StatusCode != 400 {
+	if _, err = c.Rerank(context.Background(), rerank); !errors.As(err, &bad) || bad.StatusCode != 400 {
 		t.Errorf("%v", err)
 	}
 }
 
-// A tenant over its budget gets the published headers, waits as they tell, and
-// its client's own tries again succeed; another tenant is not touched.
+// A tenant over its budget gets the documented rate limit headers, and the client's
+// own retries after the stated time succeed; another tenant is not affected.
 func TestRateLimitHeaders(t *testing.T) {
-	w := newTestbed(t, func(cfg *settings.File) {
+	tb := newTestbed(t, func(cfg *settings.File) {
 		cfg.Tenants = []settings.Tenant{{Name: "a", Budgets: []settings.Budget{{Requests: 5, Burst: 2}}}, {Name: "b"}}
 	})
-	ask := func(tenant string, tries int) (*http.Response, error) {
+	embed := func(tenant string, tries int) (*http.Response, error) {
 		var res *http.Response
-		c := w.openAIClient(option.WithMaxRetries(tries), option.WithHeader("X-Gannethook-Tenant", tenant), option.WithResponseInto(&res))
+		c := tb.openAIClient(option.WithMaxRetries(tries), option.WithHeader("X-Gannethook-Tenant", tenant), option.WithResponseInto(&res))
 		_, err := c.Embeddings.New(context.Background(), openai.EmbeddingNewParams{Model: "m",
 			Input: openai.EmbeddingNewParamsInputUnion{OfString: openai.String("x")}})
 		return res, err
 	}
 	for i := range 2 {
-		res, err := ask("a", 0)
+		res, err := embed("a", 0)
 		if err != nil || res.Header.Get("X-Ratelimit-Limit-Requests") != "2" || res.Header.Get("X-Ratelimit-Remaining-Requests") != fmt.Sprint(1-i) {
 			t.Fatalf("%v: %v", err, res.Header)
 		}
 	}
-	_, err := ask("a", 0)
+	_, err := embed("a", 0)
 	var limited *openai.Error
 	if !errors.As(err, &limited) || limited.StatusCode != 429 || limited.Code != "rate_limit_exceeded" ||
 		limited.Response.Header.Get("Retry-After") != "1" || limited.Response.Header.Get("X-Should-Retry") != "true" {
 		t.Fatalf("%v", err)
 	}
-	if _, err := ask("b", 0); err != nil {
+	if _, err := embed("b", 0); err != nil {
 		t.Error(err)
 	}
-	if _, err := ask("a", 2); err != nil { // it waits as it was told
+	if _, err := embed("a", 2); err != nil { // the client waits for the Retry-After time
 		t.Error(err)
 	}
-	if _, err := ask("nobody", 0); !errors.As(err, &limited) || limited.StatusCode != 400 {
+	if _, err := embed("nobody", 0); !errors.As(err, &limited) || limited.StatusCode != 400 {
 		t.Errorf("%v", err)
 	}
 }
 
-// Keys tell tenants; one that is revoked with work in flight lets that work end.
+// An API key that is revoked is rejected afterwards, but its requests in flight finish; other keys stay valid.
 func TestKeyRevoked(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "keys")
-	text, line := apikeys.New("a", time.Time{})
-	other, otherLine := apikeys.New("a", time.Time{})
-	if err := os.WriteFile(path, []byte(line+otherLine), 0o600); err != nil {
+	revokedKey, line := apikeys.New("a", time.Time{})
+	keptKey, keptLine := apikeys.New("a", time.Time{})
+	if err := os.WriteFile(path, []byte(line+keptLine), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	w := newTestbed(t, func(cfg *settings.File) {
+	tb := newTestbed(t, func(cfg *settings.File) {
 		cfg.Tenants = []settings.Tenant{{Name: "a"}}
 		cfg.Keys = settings.Keys{File: path, Every: 5 * time.Millisecond}
 	}, func(c *standin.Config) { c.TokenGap = 20 * time.Millisecond })
 	chat := func(key string) error {
-		c := w.openAIClient(option.WithAPIKey(key), option.WithMaxRetries(0))
+		c := tb.openAIClient(option.WithAPIKey(key), option.WithMaxRetries(0))
 		s := c.Chat.Completions.NewStreaming(context.Background(), openai.ChatCompletionNewParams{Model: "m",
 			MaxCompletionTokens: openai.Int(40), Messages: []openai.ChatCompletionMessageParamUnion{openai.UserMessage("x")}})
 		for n := 0; s.Next(); n++ {
-			if n == 1 && key == text { // streaming: now the key is taken back
-				if err := os.WriteFile(path, []byte(otherLine), 0o600); err != nil {
+			if n == 1 && key == revokedKey { // the stream runs: revoke the key
+				if err := os.WriteFile(path, []byte(keptLine), 0o600); err != nil {
 					t.Fatal(err)
 				}
-				for end := time.Now().Add(5 * time.Second); w.d.Keys() != 1; time.Sleep(time.Millisecond) {
+				for end := time.Now().Add(5 * time.Second); tb.d.Keys() != 1; time.Sleep(time.Millisecond) {
 					if time.Now().After(end) {
-						t.Fatal("the file is not read again")
+						t.Fatal("the changed key file is not read")
 					}
 				}
 			}
 		}
 		return s.Err()
 	}
-	if err := chat(text); err != nil {
-		t.Errorf("work in flight: %v", err)
+	if err := chat(revokedKey); err != nil {
+		t.Errorf("request in flight: %v", err)
 	}
 	var bad *openai.Error
-	if err := chat(text); !errors.As(err, &bad) || bad.StatusCode != 401 || bad.Code != "invalid_api_key" {
-		t.Errorf("a revoked key: %v", err)
+	if err := chat(revokedKey); !errors.As(err, &bad) || bad.StatusCode != 401 || bad.Code != "invalid_api_key" {
+		t.Errorf("revoked key: %v", err)
 	}
-	if err := chat(other); err != nil {
-		t.Errorf("the key that stayed: %v", err)
+	if err := chat(keptKey); err != nil {
+		t.Errorf("remaining key: %v", err)
 	}
 	if err := chat("gh_x_y"); !errors.As(err, &bad) || bad.StatusCode != 401 {
-		t.Errorf("no key: %v", err)
+		t.Errorf("unknown key: %v", err)
 	}
 }
--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -33,8 +33,8 @@
 	"gannethook/internal/standin"
 )
 
-// instantEngine is a peer that answers at once, with so many tokens: what is
-// measured against it is the path alone.
+// instantEngine starts an engine that answers at once, writes with the given number
+// of tokens, so that a benchmark measures only the path.
 func instantEngine(t testing.TB, writes bool, tokens int) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -84,7 +84,7 @@
 	return ln.Addr().String()
 }
 
-// routerToInstantEngines is a router in front of a quick reader and a quick writer.
+// routerToInstantEngines starts a router with one reader and one writer that are instant engines.
 func routerToInstantEngines(t testing.TB, tokens int, most int, change ...func(*settings.File)) (d *daemon.Daemon, writer string) {
 	roster := standin.NewRoster("engines", nil)
 	writer = instantEngine(t, true, tokens)
@@ -112,9 +112,9 @@
 	return d, writer
 }
 
-// BenchmarkAdded measures, side by side in one run, the time to the first token
-// straight from an engine, through httputil.ReverseProxy and through the
-// router, whose path is a read at one engine and then a write at another.
+// BenchmarkAdded measures, interleaved in one run, the time to the first token
+// directly from an engine, through httputil.ReverseProxy and through the router,
+// whose path is a read at one engine and then a write at another.
 func BenchmarkAdded(b *testing.B) {
 	d, writer := routerToInstantEngines(b, 4, 100)
 	target, _ := url.Parse("http://" + writer)
@@ -128,7 +128,7 @@
 	defer srv.Close()
 	cl := engine.NewClient(engine.DefaultLimits())
 	defer cl.Close()
-	first := func(addr string, read string) time.Duration {
+	firstToken := func(addr string, read string) time.Duration {
 		from, took := time.Now(), time.Duration(0)
 		if read != "" {
 			cl.Read(context.Background(), &attempt.Call{Addr: read, Key: "k", Prompt: "hello", MaxTokens: 4})
@@ -146,15 +146,15 @@
 		b.Fatal(err)
 	}
 	defer s.Close()
-	ways := []struct {
+	paths := []struct {
 		name string
 		do   func() time.Duration
 		hist *hdrhistogram.Histogram
 	}{
-		{"direct-write", func() time.Duration { return first(writer, "") }, hdrhistogram.New(1, 1e7, 3)},
-		{"direct-read+write", func() time.Duration { return first(writer, reader) }, hdrhistogram.New(1, 1e7, 3)},
-		{"proxy-write", func() time.Duration { return first(ln.Addr().String(), "") }, hdrhistogram.New(1, 1e7, 3)},
-		{"proxy-read+write", func() time.Duration { return first(ln.Addr().String(), reader) }, hdrhistogram.New(1, 1e7, 3)},
+		{"direct-write", func() time.Duration { return firstToken(writer, "") }, hdrhistogram.New(1, 1e7, 3)},
+		{"direct-read+write", func() time.Duration { return firstToken(writer, reader) }, hdrhistogram.New(1, 1e7, 3)},
+		{"proxy-write", func() time.Duration { return firstToken(ln.Addr().String(), "") }, hdrhistogram.New(1, 1e7, 3)},
+		{"proxy-read+write", func() time.Duration { return firstToken(ln.Addr().String(), reader) }, hdrhistogram.New(1, 1e7, 3)},
 		{"router", func() time.Duration {
 			s.RequestApart("hello", map[string]string{"prompt_tokens": "100"}, 4)
 			a, err := s.Wait(nil)
@@ -165,18 +165,19 @@
 		}, hdrhistogram.New(1, 1e7, 3)},
 	}
 	for b.Loop() {
-		for _, w := range ways { // in turn, so that noise strikes all alike
-			w.hist.RecordValue(max(w.do().Microseconds(), 1))
+		for _, p := range paths { // interleaved, so that noise affects all paths alike
+			p.hist.RecordValue(max(p.do().Microseconds(), 1))
 		}
 	}
-	for _, w := range ways {
-		b.ReportMetric(float64(w.hist.ValueAtQuantile(50)), w.name+"-p50-us")
-		b.ReportMetric(float64(w.hist.ValueAtQuantile(99)), w.name+"-p99-us")
+	for _, p := range paths {
+		b.ReportMetric(float64(p.hist.ValueAtQuantile(50)), p.name+"-p50-us")
+		b.ReportMetric(float64(p.hist.ValueAtQuantile(99)), p.name+"-p99-us")
 	}
 }
 
-// BenchmarkRelay measures tokens a second through one router with several
-// streams, and allocations a token on the whole path, both ends included.
+// BenchmarkRelay measures tokens per second through one router with several
+// streams, and allocations per token of the whole process, which includes the
+// engines and the clients.
 func BenchmarkRelay(b *testing.B) {
 	const tokens, streams = 20000, 4
 	d, _ := routerToInstantEngines(b, tokens, 100)
@@ -207,7 +208,7 @@
 	b.ReportMetric(float64(after.Mallocs-before.Mallocs)/float64(n), "allocs/token")
 }
 
-// rawSession opens a session that asks for one answer; its reader below does not allocate for a token.
+// rawSession opens a session and requests one response. readUntilDone reads it without allocations per token.
 func rawSession(addr string, i int) (net.Conn, error) {
 	nc, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -223,7 +224,7 @@
 	return nc, err
 }
 
-// readUntilDone reads until the final answer has begun to come.
+// readUntilDone reads until the response.done event begins.
 func readUntilDone(nc net.Conn) error {
 	const marker = `"response.done"`
 	buf, carried := make([]byte, 64<<10), 0
@@ -239,8 +240,8 @@
 	}
 }
 
-// BenchmarkIdleSessions opens sessions and measures what each costs the process.
-// GANNETHOOK_SESSIONS sets how many; the clients' ends are bare sockets.
+// BenchmarkIdleSessions opens sessions and measures the memory of the process per
+// session. GANNETHOOK_SESSIONS sets their number; the client ends are plain sockets.
 func BenchmarkIdleSessions(b *testing.B) {
 	n := 2000
 	if text := os.Getenv("GANNETHOOK_SESSIONS"); text != "" {
@@ -252,7 +253,7 @@
 		runtime.GC()
 		runtime.ReadMemStats(&before)
 		conns := make([]net.Conn, 0, n)
-		hello := make([]byte, 2048)
+		greeting := make([]byte, 2048)
 		for range n {
 			nc, err := net.Dial("tcp", d.Addr())
 			if err != nil {
@@ -260,8 +261,8 @@
 			}
 			io.WriteString(nc, "GET /v1/realtime HTTP/1.1\r\nHost: x\r\nUpgrade: websocket\r\nConnection: Upgrade\r\n"+
 				"Sec-WebSocket-Version: 13\r\nSec-WebSocket-Key: dGhlIHNhbXBsZSBub25jZQ==\r\n\r\n")
-			for got := 0; !strings.Contains(string(hello[:got]), "session.created"); {
-				m, err := nc.Read(hello[got:])
+			for got := 0; !strings.Contains(string(greeting[:got]), "session.created"); {
+				m, err := nc.Read(greeting[got:])
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -280,21 +281,21 @@
 	}
 }
 
-// BenchmarkControl measures requests with and without 100 status calls a second
-// on the control plane, in blocks that take turns.
+// BenchmarkControl measures requests with and without 100 status calls per second
+// on the control plane, in alternating blocks.
 func BenchmarkControl(b *testing.B) {
 	d, _ := routerToInstantEngines(b, 32, 100, func(cfg *settings.File) { cfg.Control.Run = b.TempDir() })
-	ctl, shut, err := control.Dial("unix:"+d.Settings().Control.Socket(), "demo", nil)
+	ctl, closeControl, err := control.Dial("unix:"+d.Settings().Control.Socket(), "demo", nil)
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer shut()
+	defer closeControl()
 	s, err := client.Open(context.Background(), d.Addr(), "m")
 	if err != nil {
 		b.Fatal(err)
 	}
 	defer s.Close()
-	ask := func(h *hdrhistogram.Histogram) {
+	serveOne := func(h *hdrhistogram.Histogram) {
 		s.RequestApart("hello", map[string]string{"prompt_tokens": "100"}, 32)
 		a, err := s.Wait(nil)
 		if err != nil || a.Kind() != "served" {
@@ -302,14 +303,14 @@
 		}
 		h.RecordValue(max(a.Whole.Microseconds(), 1))
 	}
-	quiet, asked, calls := hdrhistogram.New(1, 1e7, 3), hdrhistogram.New(1, 1e7, 3), 0
-	block := func(h *hdrhistogram.Histogram) {
+	quiet, withStatus, calls := hdrhistogram.New(1, 1e7, 3), hdrhistogram.New(1, 1e7, 3), 0
+	measure := func(h *hdrhistogram.Histogram) {
 		for end := time.Now().Add(500 * time.Millisecond); time.Now().Before(end); {
-			ask(h)
+			serveOne(h)
 		}
 	}
 	for b.Loop() {
-		block(quiet)
+		measure(quiet)
 		ctx, cancel := context.WithCancel(context.Background())
 		var wg sync.WaitGroup
 		wg.Go(func() {
@@ -322,14 +323,14 @@
 				<-tick.C
 			}
 		})
-		block(asked)
+		measure(withStatus)
 		cancel()
 		wg.Wait()
 	}
 	b.ReportMetric(float64(quiet.ValueAtQuantile(50)), "quiet-p50-us")
-	b.ReportMetric(float64(asked.ValueAtQuantile(50)), "asked-p50-us")
+	b.ReportMetric(float64(withStatus.ValueAtQuantile(50)), "asked-p50-us")
 	b.ReportMetric(float64(quiet.ValueAtQuantile(99)), "quiet-p99-us")
-	b.ReportMetric(float64(asked.ValueAtQuantile(99)), "asked-p99-us")
-	b.ReportMetric(float64(asked.TotalCount())/float64(quiet.TotalCount()), "requests-asked/quiet")
+	b.ReportMetric(float64(withStatus.ValueAtQuantile(99)), "asked-p99-us")
+	b.ReportMetric(float64(withStatus.TotalCount())/float64(quiet.TotalCount()), "requests-asked/quiet")
 	b.ReportMetric(float64(calls)/float64(b.N)*2, "calls/s")
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -251,8 +251,8 @@
 	}
 	roster := d.cfg.Roster
 	if roster.Routers != "" {
-		watch := &endpoints.Watch{Addr: roster.Watch, Namespace: roster.Namespace, Service: roster.Routers, Agent: d.cfg.Name, Silence: roster.Silence,
-			Seed: d.cfg.Seed + 1, Names: endpoints.Names{Any: true}, Report: d.reportFault("routers"), Keep: d.onRouters,
+		watch := &endpoints.Watch{Addr: roster.Watch, Namespace: roster.Namespace, Service: roster.Routers, Agent: d.cfg.Name,
+			Silence: roster.Silence, Seed: d.cfg.Seed + 1, Names: endpoints.Names{Any: true}, Report: d.reportFault("routers"), Keep: d.onRouters,
 			Publish: func(gannethook.Membership) {}}
 		d.background.Go(func() { watch.Run(ctx) })
 	}
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -25,7 +25,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// testbed is one router, a reader, two writers and a roster, in this process.
+// testbed is a router, a reader, two writers and a discovery service, all in this process.
 type testbed struct {
 	t       testing.TB
 	d       *daemon.Daemon
@@ -38,8 +38,8 @@
 
 func newTestbed(t testing.TB, change func(cfg *settings.File), engines ...func(*standin.Config)) *testbed {
 	t.Helper()
-	w := &testbed{t: t, log: record.New()}
-	w.roster = standin.NewRoster("engines", w.log)
+	tb := &testbed{t: t, log: record.New()}
+	tb.roster = standin.NewRoster("engines", tb.log)
 	must := func(err error) {
 		t.Helper()
 		if err != nil {
@@ -53,21 +53,21 @@
 		for _, change := range engines {
 			change(&c)
 		}
-		e := standin.NewEngine(c, w.log, nil)
+		e := standin.NewEngine(c, tb.log, nil)
 		must(e.Start(false))
 		t.Cleanup(e.Kill)
 		kind := "prompt"
 		if i > 0 {
 			kind = "answer"
-			w.writers = append(w.writers, e)
+			tb.writers = append(tb.writers, e)
 		} else {
-			w.reader = e
+			tb.reader = e
 		}
-		w.roster.Set(standin.Listed{Addr: e.Addr(), Kind: kind, Zone: "north", State: "ready"})
+		tb.roster.Set(standin.Listed{Addr: e.Addr(), Kind: kind, Zone: "north", State: "ready"})
 	}
-	addr, err := w.roster.Start("127.0.0.1:0")
+	addr, err := tb.roster.Start("127.0.0.1:0")
 	must(err)
-	t.Cleanup(w.roster.Stop)
+	t.Cleanup(tb.roster.Stop)
 	cfg, err := settings.Parse("default.gann", settings.Default)
 	must(err)
 	cfg.Roster.Watch = addr
@@ -75,40 +75,41 @@
 	if change != nil {
 		change(cfg)
 	}
-	w.d, err = daemon.Start(cfg, "", zap.NewNop())
+	tb.d, err = daemon.Start(cfg, "", zap.NewNop())
 	must(err)
-	t.Cleanup(func() { w.d.Stop(context.Background()) })
-	<-w.d.Listed()
-	w.applied = func(req string) int {
+	t.Cleanup(func() { tb.d.Stop(context.Background()) })
+	<-tb.d.Listed()
+	tb.applied = func(req string) int {
 		n := 0
-		for _, e := range w.writers {
+		for _, e := range tb.writers {
 			n += e.Applied()[req]
 		}
 		return n
 	}
-	return w
+	return tb
 }
 
-func (w *testbed) openSession() *client.Session {
-	w.t.Helper()
-	s, err := client.Open(context.Background(), w.d.Addr(), "m")
+func (tb *testbed) openSession() *client.Session {
+	tb.t.Helper()
+	s, err := client.Open(context.Background(), tb.d.Addr(), "m")
 	if err != nil {
-		w.t.Fatal(err)
+		tb.t.Fatal(err)
 	}
-	w.t.Cleanup(s.Cut)
+	tb.t.Cleanup(s.Cut)
 	return s
 }
 
-// startResponse opens a session and asks for an answer without waiting for it.
-func (w *testbed) startResponse(m map[string]string, max int) *client.Session {
-	w.t.Helper()
-	s := w.openSession()
+// startResponse opens a session and requests a response without waiting for it.
+func (tb *testbed) startResponse(m map[string]string, max int) *client.Session {
+	tb.t.Helper()
+	s := tb.openSession()
 	if s.Say("hello") != nil || s.Request(m, max) != nil {
-		w.t.Fatal("the session takes nothing")
+		tb.t.Fatal("the session accepts no request")
 	}
 	return s
 }
 
+// meta returns request metadata with a class, an idempotency key and further pairs.
 func meta(class, key string, more ...string) map[string]string {
 	m := map[string]string{"class": class, "idempotency_key": key}
 	for i := 0; i+1 < len(more); i += 2 {
@@ -117,7 +118,7 @@
 	return m
 }
 
-// request says something and waits for the answer.
+// request adds a user message, requests a response and waits for it.
 func request(t testing.TB, s *client.Session, m map[string]string, max int) *client.Answer {
 	t.Helper()
 	if err := s.Say("hello there"); err != nil {
@@ -133,79 +134,81 @@
 	return a
 }
 
-func (w *testbed) setWriterFaults(change func(*standin.Faults)) {
-	for _, e := range w.writers {
+func (tb *testbed) setWriterFaults(change func(*standin.Faults)) {
+	for _, e := range tb.writers {
 		e.Set(change)
 	}
 }
 
-// waitForEvent waits for a record.
-func (w *testbed) waitForEvent(what string, is func(record.Event) bool) record.Event {
-	w.t.Helper()
+// waitForEvent waits until the log has an event.
+func (tb *testbed) waitForEvent(what string, is func(record.Event) bool) record.Event {
+	tb.t.Helper()
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
-		for _, e := range w.log.Events() {
+		for _, e := range tb.log.Events() {
 			if is(e) {
 				return e
 			}
 		}
 	}
-	w.t.Fatalf("never seen: %s", what)
+	tb.t.Fatalf("no event within 5 s: %s", what)
 	return record.Event{}
 }
 
+// kind matches events of a kind and, unless it is "", a note.
 func kind(k, note string) func(record.Event) bool {
 	return func(e record.Event) bool { return e.Kind == k && (note == "" || e.Note == note) }
 }
 
-func TestWholePath(t *testing.T) {
-	w := newTestbed(t, nil)
-	s := w.openSession()
+// Three responses of a session are served, each applied once at a writer, and the places at the writer are taken.
+func TestEndToEnd(t *testing.T) {
+	tb := newTestbed(t, nil)
+	s := tb.openSession()
 	for i := range 3 {
 		key := fmt.Sprint("k", i)
 		a := request(t, s, meta("adjustment", key), 20)
-		if a.Kind() != "served" || a.Tokens == 0 || !strings.HasPrefix(a.Text, " t0 t1") || w.applied(key) != 1 {
-			t.Fatalf("turn %d: %+v, applied %d", i, a, w.applied(key))
+		if a.Kind() != "served" || a.Tokens == 0 || !strings.HasPrefix(a.Text, " t0 t1") || tb.applied(key) != 1 {
+			t.Fatalf("turn %d: %+v, applied %d", i, a, tb.applied(key))
 		}
 	}
-	w.waitForEvent("a place that was taken", kind(record.Freed, "place taken"))
+	tb.waitForEvent("a place freed because it was taken", kind(record.Freed, "place taken"))
 }
 
-// Engines without the extension are served with holds off; their states go with the write.
+// Engines without the extension work with holds switched off; held state is then freed by the write.
 func TestWithoutExtension(t *testing.T) {
-	w := newTestbed(t, func(cfg *settings.File) { cfg.Engines.Holds = false }, func(c *standin.Config) { c.Extended = false })
-	if a := request(t, w.openSession(), meta("adjustment", "a"), 10); a.Kind() != "served" || w.applied("a") != 1 {
+	tb := newTestbed(t, func(cfg *settings.File) { cfg.Engines.Holds = false }, func(c *standin.Config) { c.Extended = false })
+	if a := request(t, tb.openSession(), meta("adjustment", "a"), 10); a.Kind() != "served" || tb.applied("a") != 1 {
 		t.Errorf("%+v", a)
 	}
-	for _, e := range w.log.Events() {
+	for _, e := range tb.log.Events() {
 		if e.Kind == record.Held && e.Note == "place" {
-			t.Errorf("a place without the extension: %v", e)
+			t.Errorf("place requested without the extension: %v", e)
 		}
 	}
 }
 
-// Mixed engines get the request whole.
+// A mixed engine gets one attempt for read and write.
 func TestMixedEngines(t *testing.T) {
-	w := newTestbed(t, func(cfg *settings.File) {
+	tb := newTestbed(t, func(cfg *settings.File) {
 		for i := range cfg.Kinds {
 			cfg.Kinds[i].Role = settings.Role(gannethook.Mixed)
 		}
 	}, func(c *standin.Config) { c.Writes, c.Mixed = true, true })
-	if a := request(t, w.openSession(), meta("question", "a"), 10); a.Kind() != "served" {
+	if a := request(t, tb.openSession(), meta("question", "a"), 10); a.Kind() != "served" {
 		t.Errorf("%+v", a)
 	}
-	for _, e := range w.log.Events() {
+	for _, e := range tb.log.Events() {
 		if e.Kind == record.Arrive && e.Note == "read" {
-			t.Errorf("a read apart: %v", e)
+			t.Errorf("separate read: %v", e)
 		}
 	}
 }
 
-// A well-known client gets the published events in their published order.
+// A third-party WebSocket client gets the documented events in the documented order.
 func TestPublishedEvents(t *testing.T) {
-	w := newTestbed(t, nil)
+	tb := newTestbed(t, nil)
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	c, _, err := websocket.Dial(ctx, "ws://"+w.d.Addr()+"/v1/realtime?model=m", &websocket.DialOptions{Subprotocols: []string{"realtime"}})
+	c, _, err := websocket.Dial(ctx, "ws://"+tb.d.Addr()+"/v1/realtime?model=m", &websocket.DialOptions{Subprotocols: []string{"realtime"}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -254,12 +257,12 @@
 	}
 }
 
-// What a client gets wrong is told as an error event with the field; the session goes on.
+// An invalid client event gets an error event that names the field, and the session continues.
 func TestClientErrors(t *testing.T) {
-	w := newTestbed(t, nil)
+	tb := newTestbed(t, nil)
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	c, _, err := websocket.Dial(ctx, "ws://"+w.d.Addr()+"/v1/realtime", nil)
+	c, _, err := websocket.Dial(ctx, "ws://"+tb.d.Addr()+"/v1/realtime", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -296,11 +299,11 @@
 	}
 }
 
-// A conversation is bounded in texts and in items; deleting makes room.
+// A conversation is bounded by the size of its texts and items; deleting an item makes room.
 func TestConversationBound(t *testing.T) {
-	w := newTestbed(t, func(cfg *settings.File) { cfg.Sessions.Conversation = 1000 })
+	tb := newTestbed(t, func(cfg *settings.File) { cfg.Sessions.Conversation = 1000 })
 	for _, text := range []string{"", strings.Repeat("x", 200)} {
-		s := w.openSession()
+		s := tb.openSession()
 		added, full, first := 0, false, ""
 		for range 10 {
 			s.Say(text)
@@ -315,7 +318,7 @@
 			if added++; first == "" {
 				first = ev.Item.ID
 			}
-			s.Next() // the item is done
+			s.Next() // conversation.item.done
 		}
 		if !full || added < 2 || added > 7 {
 			t.Errorf("%d bytes each: %d items, full %v", len(text), added, full)
@@ -331,13 +334,13 @@
 	}
 }
 
-// A second response of the conversation is an error; outside of it several may be open.
+// A second response in the conversation is an error; several may be open outside of it.
 func TestSeveralResponses(t *testing.T) {
-	w := newTestbed(t, nil)
-	w.setWriterFaults(func(f *standin.Faults) { f.Slow = 20 })
+	tb := newTestbed(t, nil)
+	tb.setWriterFaults(func(f *standin.Faults) { f.Slow = 20 })
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	c, _, err := websocket.Dial(ctx, "ws://"+w.d.Addr()+"/v1/realtime", nil)
+	c, _, err := websocket.Dial(ctx, "ws://"+tb.d.Addr()+"/v1/realtime", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -375,100 +378,101 @@
 	}
 }
 
-// The socket drops after an adjustment reached a writer; the client comes again
-// on a new session, here, with and without saying so: no second effect.
+// A client loses its connection after an adjustment reached a writer and sends it
+// again on a new session, marked as a retry or not: the effect must not be applied
+// twice.
 func TestRetryOnNewSession(t *testing.T) {
-	w := newTestbed(t, nil)
-	w.setWriterFaults(func(f *standin.Faults) { f.Slow = 50 })
-	s := w.startResponse(meta("adjustment", "adj"), 100)
-	w.waitForEvent("the effect", kind(record.Apply, ""))
-	again := w.openSession()
+	tb := newTestbed(t, nil)
+	tb.setWriterFaults(func(f *standin.Faults) { f.Slow = 50 })
+	s := tb.startResponse(meta("adjustment", "adj"), 100)
+	tb.waitForEvent("the effect applied", kind(record.Apply, ""))
+	again := tb.openSession()
 	if a := request(t, again, meta("adjustment", "adj"), 5); a.Kind() != "failed" || !strings.Contains(a.Reason, "open") {
-		t.Errorf("while the old one runs: %+v", a)
+		t.Errorf("retry while the first attempt runs: %+v", a)
 	}
 	s.Cut()
-	w.waitForEvent("the old attempt's end", kind(record.End, "called off"))
+	tb.waitForEvent("the old attempt's end", kind(record.End, "called off"))
 	for _, more := range [][]string{nil, {"retry", "true"}} {
 		if a := request(t, again, meta("adjustment", "adj", more...), 5); a.Kind() != "failed" || !strings.Contains(a.Reason, "ran") {
-			t.Errorf("after it, %v: %+v", more, a)
+			t.Errorf("retry after the first attempt, %v: %+v", more, a)
 		}
 	}
 	if a := request(t, again, meta("adjustment", "elsewhere", "retry", "true"), 5); a.Kind() != "failed" {
-		t.Errorf("a repeat of another router's try: %+v", a)
+		t.Errorf("retry of a request to another router: %+v", a)
 	}
-	if w.applied("adj") != 1 || w.applied("elsewhere") != 0 {
-		t.Errorf("applied %d and %d times", w.applied("adj"), w.applied("elsewhere"))
+	if tb.applied("adj") != 1 || tb.applied("elsewhere") != 0 {
+		t.Errorf("applied %d and %d times", tb.applied("adj"), tb.applied("elsewhere"))
 	}
 }
 
-// A request that was refused may come again with its key, and is served then.
+// A refused request can be sent again with its idempotency key and is then served.
 func TestRetryAfterRefusal(t *testing.T) {
-	w := newTestbed(t, nil)
-	w.setWriterFaults(func(f *standin.Faults) { f.Throttle = "adjustment" })
-	s := w.openSession()
+	tb := newTestbed(t, nil)
+	tb.setWriterFaults(func(f *standin.Faults) { f.Throttle = "adjustment" })
+	s := tb.openSession()
 	a := request(t, s, meta("adjustment", "adj"), 5)
-	if a.Kind() != "refused" || a.RetryAfter <= 0 || w.applied("adj") != 0 {
+	if a.Kind() != "refused" || a.RetryAfter <= 0 || tb.applied("adj") != 0 {
 		t.Fatalf("%+v", a)
 	}
-	w.setWriterFaults(func(f *standin.Faults) { f.Throttle = "" })
+	tb.setWriterFaults(func(f *standin.Faults) { f.Throttle = "" })
 	for end := time.Now().Add(20 * time.Second); a.Kind() != "served" && time.Now().Before(end); {
 		if a = request(t, s, meta("adjustment", "adj"), 5); a.Kind() == "failed" {
 			t.Fatalf("%+v", a)
 		}
 	}
-	if w.applied("adj") != 1 {
-		t.Errorf("%+v, applied %d times", a, w.applied("adj"))
+	if tb.applied("adj") != 1 {
+		t.Errorf("%+v, applied %d times", a, tb.applied("adj"))
 	}
 }
 
-// A client takes its response back: one answer, cancelled, and the writer stops.
+// A client cancels its response: it gets one response.done, cancelled, and the attempt at the writer is cancelled.
 func TestCancel(t *testing.T) {
-	w := newTestbed(t, nil)
-	w.setWriterFaults(func(f *standin.Faults) { f.Slow = 50 })
-	s := w.startResponse(meta("question", "q"), 100)
+	tb := newTestbed(t, nil)
+	tb.setWriterFaults(func(f *standin.Faults) { f.Slow = 50 })
+	s := tb.startResponse(meta("question", "q"), 100)
 	a, err := s.Wait(func(string) { s.Cancel() })
 	if err != nil || a.Kind() != "cancelled" {
 		t.Fatalf("%+v, %v", a, err)
 	}
-	w.waitForEvent("the end of the attempt", kind(record.End, "called off"))
+	tb.waitForEvent("the end of the attempt", kind(record.End, "called off"))
 	if a := request(t, s, meta("question", "q2"), 2); a.Kind() != "served" {
-		t.Errorf("the session goes on: %+v", a)
+		t.Errorf("next request of the session: %+v", a)
 	}
 }
 
-// A writer dies or breaks off in the middle of an answer: it is failed, at once, and does not run again.
+// A writer closes or stalls the stream after some tokens: the request fails and is not run again.
 func TestBrokenStream(t *testing.T) {
 	for name, fault := range map[string]func(*standin.Faults){
 		"broken":  func(f *standin.Faults) { f.BreakAfter = 3 },
 		"stalled": func(f *standin.Faults) { f.StallAfter = 3 },
 	} {
-		w := newTestbed(t, func(cfg *settings.File) { cfg.Engines.StreamIdle = 200 * time.Millisecond })
-		w.setWriterFaults(fault)
-		a := request(t, w.openSession(), meta("adjustment", name), 50)
-		if a.Kind() != "failed" || a.Tokens != 3 || w.applied(name) != 1 {
-			t.Errorf("%s: %+v, applied %d", name, a, w.applied(name))
+		tb := newTestbed(t, func(cfg *settings.File) { cfg.Engines.StreamIdle = 200 * time.Millisecond })
+		tb.setWriterFaults(fault)
+		a := request(t, tb.openSession(), meta("adjustment", name), 50)
+		if a.Kind() != "failed" || a.Tokens != 3 || tb.applied(name) != 1 {
+			t.Errorf("%s: %+v, applied %d", name, a, tb.applied(name))
 		}
 	}
 }
 
-// A writer dies while its answer waits there: a safe request goes on elsewhere, an unsafe one is failed.
+// A writer dies before it answers: a safe request is retried and served, an unsafe one fails.
 func TestWriterDies(t *testing.T) {
-	w := newTestbed(t, nil)
-	w.setWriterFaults(func(f *standin.Faults) { f.Hang = true })
-	safe, unsafe := w.openSession(), w.openSession()
+	tb := newTestbed(t, nil)
+	tb.setWriterFaults(func(f *standin.Faults) { f.Hang = true })
+	safe, unsafe := tb.openSession(), tb.openSession()
 	for s, class := range map[*client.Session]string{safe: "question", unsafe: "adjustment"} {
 		s.Say("hello")
 		s.Request(meta(class, class), 5)
 	}
-	at := map[string]string{}
+	writerOf := map[string]string{}
 	for _, class := range []string{"question", "adjustment"} {
-		at[class] = w.waitForEvent(class+" at a writer", func(e record.Event) bool {
+		writerOf[class] = tb.waitForEvent(class+" at a writer", func(e record.Event) bool {
 			return e.Kind == record.Arrive && e.Note == "write" && e.Class == class
 		}).Who
 	}
-	w.setWriterFaults(func(f *standin.Faults) { f.Hang = false }) // for what comes from now on: one death for each request
+	tb.setWriterFaults(func(f *standin.Faults) { f.Hang = false }) // for later attempts: each request meets one dead writer
 	kill := func(who string) {
-		for _, e := range w.writers {
+		for _, e := range tb.writers {
 			if e.Addr() != who {
 				continue
 			}
@@ -478,43 +482,43 @@
 			}
 		}
 	}
-	kill(at["question"])
+	kill(writerOf["question"])
 	if a, err := safe.Wait(nil); err != nil || a.Kind() != "served" {
 		t.Errorf("safe: %+v, %v", a, err)
 	}
-	if at["adjustment"] != at["question"] {
-		kill(at["adjustment"])
+	if writerOf["adjustment"] != writerOf["question"] {
+		kill(writerOf["adjustment"])
 	}
-	if a, err := unsafe.Wait(nil); err != nil || a.Kind() != "failed" || w.applied("adjustment") != 0 {
+	if a, err := unsafe.Wait(nil); err != nil || a.Kind() != "failed" || tb.applied("adjustment") != 0 {
 		t.Errorf("unsafe: %+v, %v", a, err)
 	}
 }
 
-// A client that leaves while its request waits takes it back at once.
-func TestLeaveWhileWaiting(t *testing.T) {
-	w := newTestbed(t, nil)
-	w.setWriterFaults(func(f *standin.Faults) { f.Hang = true })
-	s := w.startResponse(meta("adjustment", "a"), 5)
-	w.waitForEvent("the attempt", func(e record.Event) bool { return e.Kind == record.Arrive && e.Note == "write" })
+// A client that disconnects while its request waits at a writer cancels it at once.
+func TestClientDisconnectsWhileWaiting(t *testing.T) {
+	tb := newTestbed(t, nil)
+	tb.setWriterFaults(func(f *standin.Faults) { f.Hang = true })
+	s := tb.startResponse(meta("adjustment", "a"), 5)
+	tb.waitForEvent("the attempt", func(e record.Event) bool { return e.Kind == record.Arrive && e.Note == "write" })
 	s.Cut()
-	w.waitForEvent("its end, long before the client's time is up", kind(record.End, "hung"))
+	tb.waitForEvent("the end of the attempt, long before the deadline of the request", kind(record.End, "hung"))
 }
 
-// A user who thinks for longer than the idle time keeps the session: pings are answered.
-func TestThinkingUser(t *testing.T) {
-	w := newTestbed(t, func(cfg *settings.File) { cfg.Sessions.Idle = 400 * time.Millisecond })
-	s := w.openSession()
-	time.Sleep(1300 * time.Millisecond) // several idle times; nothing is proved by it alone
+// A session without requests outlasts the idle time because the client answers pings.
+func TestPingsKeepIdleSession(t *testing.T) {
+	tb := newTestbed(t, func(cfg *settings.File) { cfg.Sessions.Idle = 400 * time.Millisecond })
+	s := tb.openSession()
+	time.Sleep(1300 * time.Millisecond) // about three idle times
 	if a := request(t, s, meta("question", "q"), 2); a.Kind() != "served" {
 		t.Errorf("%+v", a)
 	}
 }
 
-// The roster says gone while a stream runs there: the stream may end, nothing new goes there.
-func TestGoneWhileStreaming(t *testing.T) {
-	w := newTestbed(t, nil)
-	w.setWriterFaults(func(f *standin.Faults) { f.Slow = 20 })
-	s := w.startResponse(meta("question", "q"), 20)
+// Discovery removes a writer while a stream runs there: the stream finishes, and new requests go elsewhere.
+func TestServerRemovedWhileStreaming(t *testing.T) {
+	tb := newTestbed(t, nil)
+	tb.setWriterFaults(func(f *standin.Faults) { f.Slow = 20 })
+	s := tb.startResponse(meta("question", "q"), 20)
 	first := make(chan struct{}, 1000)
 	done := make(chan *client.Answer, 1)
 	go func() {
@@ -522,33 +526,33 @@
 		done <- a
 	}()
 	<-first
-	at := w.waitForEvent("the stream", kind(record.Apply, "")).Who
-	w.roster.Set(standin.Listed{Addr: at, Kind: "answer", Zone: "north", State: "gone"})
-	w.waitForEvent("the router is told", func(e record.Event) bool { return e.Kind == record.Told && e.Key == at && e.Note == "gone" })
-	other := w.openSession()
+	removed := tb.waitForEvent("the stream", kind(record.Apply, "")).Who
+	tb.roster.Set(standin.Listed{Addr: removed, Kind: "answer", Zone: "north", State: "gone"})
+	tb.waitForEvent("the router received the update", func(e record.Event) bool { return e.Kind == record.Told && e.Key == removed && e.Note == "gone" })
+	other := tb.openSession()
 	for i := range 10 {
 		request(t, other, meta("question", fmt.Sprint("n", i)), 1)
 	}
 	if a := <-done; a.Kind() != "served" {
 		t.Errorf("the stream: %+v", a)
 	}
-	for _, e := range w.log.Events() {
-		if e.Kind == record.Arrive && e.Who == at && strings.HasPrefix(e.Req, "n") && e.Req != "n0" {
-			t.Errorf("new work at a server that is gone: %v", e)
+	for _, e := range tb.log.Events() {
+		if e.Kind == record.Arrive && e.Who == removed && strings.HasPrefix(e.Req, "n") && e.Req != "n0" {
+			t.Errorf("new attempt at a removed server: %v", e)
 		}
 	}
 }
 
-// A stop lets open answers end and turns new ones away; the sessions are closed with 1001.
+// A stop lets open responses finish, closes the sessions with 1001 and closes the port.
 func TestStop(t *testing.T) {
-	w := newTestbed(t, nil)
-	w.setWriterFaults(func(f *standin.Faults) { f.Slow = 10 })
-	s := w.startResponse(meta("adjustment", "a"), 20)
+	tb := newTestbed(t, nil)
+	tb.setWriterFaults(func(f *standin.Faults) { f.Slow = 10 })
+	s := tb.startResponse(meta("adjustment", "a"), 20)
 	started := make(chan struct{})
 	stopped := make(chan struct{})
 	go func() {
 		<-started
-		w.d.Stop(context.Background())
+		tb.d.Stop(context.Background())
 		close(stopped)
 	}()
 	n := 0
@@ -557,52 +561,52 @@
 			close(started)
 		}
 	})
-	if err != nil || a.Kind() != "served" || w.applied("a") != 1 {
+	if err != nil || a.Kind() != "served" || tb.applied("a") != 1 {
 		t.Fatalf("%+v, %v", a, err)
 	}
 	if _, err := s.Next(); err == nil || !strings.Contains(err.Error(), "1001") {
 		t.Errorf("the session ended with %v", err)
 	}
 	<-stopped
-	if _, err := client.Open(context.Background(), w.d.Addr(), ""); err == nil {
-		t.Error("a stopped router takes sessions")
+	if _, err := client.Open(context.Background(), tb.d.Addr(), ""); err == nil {
+		t.Error("a stopped router accepts a session")
 	}
 }
 
-// A router that is cut short still gives every open request its answer.
+// At the end of the drain time of a stop, every open request gets a failed response.
 func TestStopCutShort(t *testing.T) {
-	w := newTestbed(t, func(cfg *settings.File) { cfg.Sessions.Drain = 50 * time.Millisecond })
-	w.setWriterFaults(func(f *standin.Faults) { f.Hang = true })
-	s := w.startResponse(meta("adjustment", "a"), 20)
-	w.waitForEvent("the attempt", func(e record.Event) bool { return e.Kind == record.Arrive && e.Note == "write" })
-	go w.d.Stop(context.Background())
+	tb := newTestbed(t, func(cfg *settings.File) { cfg.Sessions.Drain = 50 * time.Millisecond })
+	tb.setWriterFaults(func(f *standin.Faults) { f.Hang = true })
+	s := tb.startResponse(meta("adjustment", "a"), 20)
+	tb.waitForEvent("the attempt", func(e record.Event) bool { return e.Kind == record.Arrive && e.Note == "write" })
+	go tb.d.Stop(context.Background())
 	a, err := s.Wait(nil)
 	if err != nil || a.Kind() != "failed" {
 		t.Errorf("%+v, %v", a, err)
 	}
 }
 
-// exchangeRaw sends bytes and reads what comes until the router closes.
-func (w *testbed) exchangeRaw(send string) string {
-	w.t.Helper()
-	nc, err := net.Dial("tcp", w.d.Addr())
+// exchangeRaw sends bytes and reads until the router closes the connection.
+func (tb *testbed) exchangeRaw(send string) string {
+	tb.t.Helper()
+	nc, err := net.Dial("tcp", tb.d.Addr())
 	if err != nil {
-		w.t.Fatal(err)
+		tb.t.Fatal(err)
 	}
 	defer nc.Close()
 	nc.SetDeadline(time.Now().Add(5 * time.Second))
 	io.WriteString(nc, send)
 	b, err := io.ReadAll(nc)
 	if ne, ok := err.(net.Error); ok && ne.Timeout() {
-		w.t.Fatalf("%.40q: the router keeps the connection", send)
+		tb.t.Fatalf("%.40q: the router did not close the connection", send)
 	}
 	return string(b)
 }
 
-// Bad heads, floods and drips end; the router goes on.
+// The router closes connections with malformed, oversized or incomplete input and goes on serving.
 func TestHostileConnections(t *testing.T) {
-	w := newTestbed(t, func(cfg *settings.File) { cfg.Sessions.Handshake = 500 * time.Millisecond })
-	up := "GET /v1/realtime HTTP/1.1\r\nHost: x\r\nUpgrade: websocket\r\nConnection: Upgrade\r\nSec-WebSocket-Version: 13\r\n" +
+	tb := newTestbed(t, func(cfg *settings.File) { cfg.Sessions.Handshake = 500 * time.Millisecond })
+	upgrade := "GET /v1/realtime HTTP/1.1\r\nHost: x\r\nUpgrade: websocket\r\nConnection: Upgrade\r\nSec-WebSocket-Version: 13\r\n" +
 		"Sec-WebSocket-Key: dGhlIHNhbXBsZSBub25jZQ==\r\n\r\n"
 	for name, c := range map[string]struct{ send, want string }{
 		"not HTTP":           {"hello\r\n\r\n", "400"},
@@ -612,23 +616,23 @@
 		"no WebSocket":       {"GET /v1/realtime HTTP/1.1\r\nHost: x\r\n\r\n", "426"},
 		"a slow loris":       {"GET / HTTP/1.1\r\nA:", ""},
 		"silence":            {"", ""},
-		"a frame of 1 GB":    {up + "\x81\xff\x00\x00\x00\x00\x40\x00\x00\x00\x01\x02\x03\x04", "\x03\xf1"},
-		"a frame not masked": {up + "\x81\x01x", "\x03\xea"},
-		"bad UTF-8":          {up + "\x81\x81\x00\x00\x00\x00\xff", "\x03\xef"},
+		"a frame of 1 GB":    {upgrade + "\x81\xff\x00\x00\x00\x00\x40\x00\x00\x00\x01\x02\x03\x04", "\x03\xf1"},
+		"a frame not masked": {upgrade + "\x81\x01x", "\x03\xea"},
+		"bad UTF-8":          {upgrade + "\x81\x81\x00\x00\x00\x00\xff", "\x03\xef"},
 	} {
-		if got := w.exchangeRaw(c.send); !strings.Contains(got, c.want) {
+		if got := tb.exchangeRaw(c.send); !strings.Contains(got, c.want) {
 			t.Errorf("%s: %.80q, want %q in it", name, got, c.want)
 		}
 	}
-	nc, _ := net.Dial("tcp", w.d.Addr()) // half-closed after the handshake
-	io.WriteString(nc, up)
+	nc, _ := net.Dial("tcp", tb.d.Addr()) // half-closed after the handshake
+	io.WriteString(nc, upgrade)
 	nc.(*net.TCPConn).CloseWrite()
 	nc.SetDeadline(time.Now().Add(5 * time.Second))
 	if _, err := io.ReadAll(nc); err != nil {
 		t.Errorf("half-closed: %v", err)
 	}
 	nc.Close()
-	if a := request(t, w.openSession(), meta("question", "q"), 2); a.Kind() != "served" {
-		t.Errorf("after all that: %+v", a)
+	if a := request(t, tb.openSession(), meta("question", "q"), 2); a.Kind() != "served" {
+		t.Errorf("request afterwards: %+v", a)
 	}
 }
--- a/internal/daemon/http_test.go
+++ b/internal/daemon/http_test.go
@@ -23,16 +23,16 @@
 	"gannethook/internal/standin"
 )
 
-// rawConn is a raw connection to the router.
+// rawConn is a TCP connection to the router for requests as raw text.
 type rawConn struct {
 	t  *testing.T
 	nc net.Conn
 	br *bufio.Reader
 }
 
-func (w *testbed) dial(t *testing.T) *rawConn {
+func (tb *testbed) dial(t *testing.T) *rawConn {
 	t.Helper()
-	nc, err := net.Dial("tcp", w.d.Addr())
+	nc, err := net.Dial("tcp", tb.d.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,7 +43,7 @@
 
 func (c *rawConn) send(text string) { io.WriteString(c.nc, text) }
 
-// readResponse reads one answer, whole.
+// readResponse reads one response with its body.
 func (c *rawConn) readResponse() (*http.Response, string) {
 	c.t.Helper()
 	res, err := http.ReadResponse(c.br, nil)
@@ -57,7 +57,7 @@
 	return res, string(body)
 }
 
-// closedByRouter tells whether the router has closed and sent nothing more.
+// closedByRouter reports whether the router closes the connection without sending more.
 func (c *rawConn) closedByRouter() bool {
 	_, err := c.br.ReadByte()
 	return errors.Is(err, io.EOF)
@@ -73,11 +73,11 @@
 	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: x\r\n%sContent-Length: %d\r\n\r\n%s", path, h, len(body), body)
 }
 
-// A connection is kept from request to request, whatever the body's form; a
-// client that asks for it is told to go on first.
-func TestKeptConnection(t *testing.T) {
-	w := newTestbed(t, nil)
-	c := w.dial(t)
+// A connection is kept alive over requests with every kind of body and closed after
+// HTTP/1.0; a client that expects 100 Continue gets it.
+func TestKeepAlive(t *testing.T) {
+	tb := newTestbed(t, nil)
+	c := tb.dial(t)
 	for range 3 {
 		c.send(post("/v1/embeddings", embedding))
 		if res, body := c.readResponse(); res.StatusCode != 200 || res.Close || !strings.Contains(body, `"index":0`) {
@@ -87,7 +87,7 @@
 	c.send("POST /v1/embeddings HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n" + embedding[:5] + "\r\n" +
 		fmt.Sprintf("%x", len(embedding)-5) + ";ext=1\r\n" + embedding[5:] + "\r\n0\r\nTrailer: x\r\n\r\n")
 	if res, _ := c.readResponse(); res.StatusCode != 200 || res.Close {
-		t.Fatalf("chunks: %v", res)
+		t.Fatalf("chunked body: %v", res)
 	}
 	c.send(fmt.Sprintf("POST /v1/embeddings HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\nContent-Length: %d\r\n\r\n", len(embedding)))
 	if line, _ := c.br.ReadString('\n'); line != "HTTP/1.1 100 Continue\r\n" {
@@ -96,48 +96,48 @@
 	c.br.ReadString('\n')
 	c.send(embedding)
 	if res, _ := c.readResponse(); res.StatusCode != 200 || res.Close {
-		t.Fatalf("after 100: %v", res)
+		t.Fatalf("after 100 Continue: %v", res)
 	}
 	c.send(post("/v1/chat/completions", `{"model":"m","stream":true,"max_tokens":3,"messages":[{"role":"user","content":"x"}]}`))
 	if res, body := c.readResponse(); res.StatusCode != 200 || res.Close || !strings.HasSuffix(body, "data: [DONE]\n\n") {
-		t.Fatalf("a stream: %v %q", res, body)
+		t.Fatalf("streamed response: %v %q", res, body)
 	}
 	c.send("POST /v1/embeddings HTTP/1.0\r\nContent-Length: 25\r\n\r\n" + embedding)
 	if res, _ := c.readResponse(); res.StatusCode != 200 || !c.closedByRouter() {
-		t.Errorf("HTTP/1.0: %v, or its connection is kept", res)
+		t.Errorf("HTTP/1.0: %v, or the connection stays open", res)
 	}
 }
 
-// A request behind another that is not answered yet is not served: the first
-// answer ends the connection.
+// Pipelining is not supported: a request sent before the previous response is not
+// served, and that response closes the connection.
 func TestPipelining(t *testing.T) {
-	w := newTestbed(t, nil)
-	c := w.dial(t)
+	tb := newTestbed(t, nil)
+	c := tb.dial(t)
 	c.send(post("/v1/embeddings", embedding) + post("/v1/embeddings", `{"model":"m","input":"second"}`))
 	if res, _ := c.readResponse(); res.StatusCode != 200 || !res.Close || !c.closedByRouter() {
 		t.Errorf("%v", res)
 	}
-	wrong := w.dial(t)
-	wrong.send(post("/v1/embeddings", "{}") + post("/v1/embeddings", embedding))
-	if res, _ := wrong.readResponse(); res.StatusCode != 400 || !res.Close || !wrong.closedByRouter() {
-		t.Errorf("behind a wrong one: %v", res)
+	bad := tb.dial(t)
+	bad.send(post("/v1/embeddings", "{}") + post("/v1/embeddings", embedding))
+	if res, _ := bad.readResponse(); res.StatusCode != 400 || !res.Close || !bad.closedByRouter() {
+		t.Errorf("after a bad request: %v", res)
 	}
-	slow := w.dial(t) // the second comes while the first is under way
-	w.reader.Set(func(f *standin.Faults) { f.Slow = 200 })
+	slow := tb.dial(t) // the second arrives while the first is in flight
+	tb.reader.Set(func(f *standin.Faults) { f.Slow = 200 })
 	slow.send(post("/v1/embeddings", embedding))
-	w.waitForAttempts("whole", 2)
+	tb.waitForAttempts("whole", 2)
 	slow.send(post("/v1/embeddings", embedding))
 	if res, _ := slow.readResponse(); res.StatusCode != 200 || !res.Close || !slow.closedByRouter() {
 		t.Errorf("%v", res)
 	}
 }
 
-// waitForAttempts waits until so many attempts of a sort have come to engines.
-func (w *testbed) waitForAttempts(note string, n int) {
-	w.t.Helper()
+// waitForAttempts waits until n attempts with the note have arrived at engines.
+func (tb *testbed) waitForAttempts(note string, n int) {
+	tb.t.Helper()
 	for end := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
 		seen := 0
-		for _, e := range w.log.Events() {
+		for _, e := range tb.log.Events() {
 			if e.Kind == "arrive" && e.Note == note {
 				seen++
 			}
@@ -146,14 +146,14 @@
 			return
 		}
 		if time.Now().After(end) {
-			w.t.Fatalf("%d attempts, %d are due", seen, n)
+			tb.t.Fatalf("%d attempts, want %d", seen, n)
 		}
 	}
 }
 
-// Bad input gets its error, and nothing of it is read on.
+// A malformed or oversized request gets its error status and reaches no engine.
 func TestBadHTTP(t *testing.T) {
-	w := newTestbed(t, func(cfg *settings.File) {
+	tb := newTestbed(t, func(cfg *settings.File) {
 		cfg.HTTP.Body, cfg.HTTP.Read, cfg.Sessions.Handshake = 2000, 100*time.Millisecond, 300*time.Millisecond
 	})
 	big := fmt.Sprintf(`{"model":"m","input":"%s"}`, strings.Repeat("x", 3000))
@@ -163,43 +163,43 @@
 	}{
 		{"GET", "GET /v1/embeddings HTTP/1.1\r\nHost: x\r\n\r\n", 405},
 		{"no host", "POST /v1/embeddings HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}", 400},
-		{"too large, told", post("/v1/embeddings", big), 413},
-		{"too large, asked first", "POST /v1/embeddings HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\nContent-Length: 99999\r\n\r\n", 413},
+		{"too large by Content-Length", post("/v1/embeddings", big), 413},
+		{"too large with Expect: 100-continue", "POST /v1/embeddings HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\nContent-Length: 99999\r\n\r\n", 413},
 		{"too large in chunks", "POST /v1/embeddings HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\nBB8\r\n" + big + "\r\n0\r\n\r\n", 413},
-		{"length and chunks", "POST /v1/embeddings HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n{}", 400},
+		{"Content-Length with chunked body", "POST /v1/embeddings HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n{}", 400},
 		{"bad chunk", "POST /v1/embeddings HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", 400},
-		{"body that stops", "POST /v1/embeddings HTTP/1.1\r\nHost: x\r\nContent-Length: 50\r\n\r\n{", 408},
+		{"incomplete body", "POST /v1/embeddings HTTP/1.1\r\nHost: x\r\nContent-Length: 50\r\n\r\n{", 408},
 		{"other expectation", "POST /v1/embeddings HTTP/1.1\r\nHost: x\r\nExpect: wonders\r\nContent-Length: 2\r\n\r\n{}", 417},
 		{"not JSON", post("/v1/embeddings", "x"), 400},
 		{"no such class", post("/v1/embeddings", embedding, "X-Gannethook-Class: question"), 404},
-		{"a size that is none", post("/v1/embeddings", embedding, "X-Gannethook-Prompt-Tokens: many"), 400},
-		{"a key with spaces", post("/v1/embeddings", embedding, "Idempotency-Key: a b"), 400},
+		{"prompt size that is not a number", post("/v1/embeddings", embedding, "X-Gannethook-Prompt-Tokens: many"), 400},
+		{"idempotency key with a space", post("/v1/embeddings", embedding, "Idempotency-Key: a b"), 400},
 		{"no such path", "POST /v1/images HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n", 404},
 		{"not HTTP", "hello\r\n\r\n", 400},
 	} {
-		conn := w.dial(t)
+		conn := tb.dial(t)
 		conn.send(c.in)
 		res, body := conn.readResponse()
 		if res.StatusCode != c.status || strings.HasPrefix(res.Header.Get("Content-Type"), "application/json") && !strings.Contains(body, `"error"`) {
 			t.Errorf("%s: %d %s", c.name, res.StatusCode, body)
 		}
 	}
-	slow := w.dial(t) // its whole body is on its way before it reads
+	slow := tb.dial(t) // the client sends the whole body before it reads
 	slow.send(post("/v1/embeddings", `{"model":"m","input":"`+strings.Repeat("x", 800<<10)+`"}`))
 	if res, _ := slow.readResponse(); res.StatusCode != 413 {
-		t.Errorf("a large body: %v", res)
+		t.Errorf("large body: %v", res)
 	}
-	for _, e := range w.log.Events() {
+	for _, e := range tb.log.Events() {
 		if e.Kind == "arrive" {
-			t.Errorf("an engine got %v", e)
+			t.Errorf("request at an engine: %v", e)
 		}
 	}
 }
 
-// An answer that grows too large is told as failed; bodies beyond their memory are refused.
+// A response over the limit of the settings fails, and a request body over the limit of all bodies is refused.
 func TestTooLarge(t *testing.T) {
-	w := newTestbed(t, func(cfg *settings.File) { cfg.HTTP.Answer, cfg.HTTP.Bodies = 30, 300 })
-	c := w.dial(t)
+	tb := newTestbed(t, func(cfg *settings.File) { cfg.HTTP.Answer, cfg.HTTP.Bodies = 30, 300 })
+	c := tb.dial(t)
 	c.send(post("/v1/chat/completions", `{"model":"m","max_tokens":200,"messages":[{"role":"user","content":"x"}]}`))
 	if res, body := c.readResponse(); res.StatusCode != 500 || !strings.Contains(body, "too large") {
 		t.Errorf("%v %s", res, body)
@@ -208,25 +208,25 @@
 	if res, body := c.readResponse(); res.StatusCode != 503 || !strings.Contains(body, `"refused"`) {
 		t.Errorf("%v %s", res, body)
 	}
-	again := w.dial(t) // what was read of it is free again
+	again := tb.dial(t) // the memory of the refused body was released
 	again.send(post("/v1/embeddings", embedding))
-	if res, body := again.readResponse(); res.StatusCode != 500 || !strings.Contains(body, "too large") { // 30 bytes hold no embedding
+	if res, body := again.readResponse(); res.StatusCode != 500 || !strings.Contains(body, "too large") { // an embedding exceeds 30 bytes
 		t.Errorf("%v %s", res, body)
 	}
 }
 
-// A client that leaves takes its batch back: the engine's work is called off,
-// nothing stays open.
-func TestClientLeavesBatch(t *testing.T) {
-	w := newTestbed(t, nil)
-	w.reader.Set(func(f *standin.Faults) { f.Hang = true })
-	c := w.dial(t)
+// A client that disconnects cancels its batch: the attempts at engines end and
+// admission counts nothing for it any more.
+func TestClientDisconnectsDuringBatch(t *testing.T) {
+	tb := newTestbed(t, nil)
+	tb.reader.Set(func(f *standin.Faults) { f.Hang = true })
+	c := tb.dial(t)
 	c.send(post("/v1/embeddings", `{"model":"m","input":["`+strings.Repeat(`a","`, 500)+`b"]}`))
-	w.waitForAttempts("whole", 4)
+	tb.waitForAttempts("whole", 4)
 	c.nc.Close()
 	for end := time.Now().Add(5 * time.Second); ; time.Sleep(time.Millisecond) {
-		v, ended := w.d.Limits(), 0
-		for _, e := range w.log.Events() {
+		v, ended := tb.d.Limits(), 0
+		for _, e := range tb.log.Events() {
 			if e.Kind == "end" {
 				ended++
 			}
@@ -240,67 +240,68 @@
 	}
 }
 
-// A client that stops reading its answer is cut in the time of a write; its
-// writer's slot is free again, and others are served meanwhile.
-func TestStalledReader(t *testing.T) {
-	w := newTestbed(t, func(cfg *settings.File) {
+// A client that stops reading its response is disconnected after the write timeout,
+// which cancels its stream at the writer; other clients are served meanwhile.
+func TestClientStopsReading(t *testing.T) {
+	tb := newTestbed(t, func(cfg *settings.File) {
 		cfg.HTTP.Write = 200 * time.Millisecond
 		cfg.Classes[0].MaxTokens = 1 << 20
 	}, func(c *standin.Config) { c.TokenGap, c.Memory = 0, 1e8 })
-	c := w.dial(t)
+	c := tb.dial(t)
 	c.nc.(*net.TCPConn).SetReadBuffer(4096)
 	c.send(post("/v1/chat/completions", `{"model":"m","stream":true,"max_tokens":1000000,"messages":[{"role":"user","content":"x"}]}`))
-	w.waitForAttempts("write", 1)
-	official := w.openAIClient(option.WithMaxRetries(0))
-	if _, err := official.Embeddings.New(context.Background(), openai.EmbeddingNewParams{Model: "m",
+	tb.waitForAttempts("write", 1)
+	cl := tb.openAIClient(option.WithMaxRetries(0))
+	if _, err := cl.Embeddings.New(context.Background(), openai.EmbeddingNewParams{Model: "m",
 		Input: openai.EmbeddingNewParamsInputUnion{OfString: openai.String("x")}}); err != nil {
-		t.Errorf("another client: %v", err)
+		t.Errorf("other client: %v", err)
 	}
 	for end := time.Now().Add(8 * time.Second); ; time.Sleep(time.Millisecond) {
-		for _, e := range w.log.Events() {
+		for _, e := range tb.log.Events() {
 			if e.Kind == "end" && e.Note == "called off" {
 				return
 			}
 		}
 		if time.Now().After(end) {
-			t.Fatal("the stalled client's stream goes on")
+			t.Fatal("the stream of the stalled client was not cancelled")
 		}
 	}
 }
 
-// A draining router answers what is open, on kept connections too, closes those
-// that are idle, and takes nothing more.
+// A draining router answers open requests, also on kept-alive connections, closes
+// idle connections and refuses new requests.
 func TestDrainHTTP(t *testing.T) {
-	w := newTestbed(t, nil)
-	idle, busy := w.dial(t), w.dial(t)
+	tb := newTestbed(t, nil)
+	idle, busy := tb.dial(t), tb.dial(t)
 	idle.send(post("/v1/embeddings", embedding))
 	idle.readResponse()
-	w.reader.Set(func(f *standin.Faults) { f.Slow = 300 })
+	tb.reader.Set(func(f *standin.Faults) { f.Slow = 300 })
 	busy.send(post("/v1/embeddings", embedding))
-	w.waitForAttempts("whole", 2)
-	r, err := w.d.Command(context.Background(), lifecycle.Command{ID: "d", Op: lifecycle.Drain, Limit: 5 * time.Second})
+	tb.waitForAttempts("whole", 2)
+	r, err := tb.d.Command(context.Background(), lifecycle.Command{ID: "d", Op: lifecycle.Drain, Limit: 5 * time.Second})
 	if err != nil || !r.Done || r.Cut {
 		t.Fatalf("%+v, %v", r, err)
 	}
 	if !idle.closedByRouter() {
-		t.Error("an idle connection stays open")
+		t.Error("idle connection not closed")
 	}
 	if res, _ := busy.readResponse(); res.StatusCode != 200 || !res.Close {
-		t.Errorf("what was open: %v", res)
+		t.Errorf("open request: %v", res)
 	}
-	late := w.dial(t)
+	late := tb.dial(t)
 	late.send(post("/v1/embeddings", embedding))
 	if res, body := late.readResponse(); res.StatusCode != 503 || !strings.Contains(body, `"refused"`) || !res.Close {
 		t.Errorf("%v %s", res, body)
 	}
 }
 
-// The effects of classes hold over HTTP: a key that may have run is not run
-// again, and clients that try again by themselves are told not to.
+// Requests of a class with effect unsafe run at most once over HTTP as well: one whose
+// idempotency key may have run is not run again, and X-Should-Retry tells clients
+// with automatic retries not to retry.
 func TestIdempotencyKey(t *testing.T) {
-	w := newTestbed(t, nil)
+	tb := newTestbed(t, nil)
 	chat := `{"model":"m","max_tokens":4,"messages":[{"role":"user","content":"x"}],"metadata":{"class":"adjustment"}}`
-	c := w.dial(t)
+	c := tb.dial(t)
 	c.send(post("/v1/chat/completions", chat, "Idempotency-Key: k1"))
 	if res, body := c.readResponse(); res.StatusCode != 200 {
 		t.Fatalf("%v %s", res, body)
@@ -308,31 +309,31 @@
 	c.send(post("/v1/chat/completions", chat, "Idempotency-Key: k1", "X-Stainless-Retry-Count: 1"))
 	res, body := c.readResponse()
 	if res.StatusCode != 500 || res.Header.Get("X-Should-Retry") != "false" || !strings.Contains(body, `"failed"`) {
-		t.Errorf("a key that has run: %v %s", res, body)
+		t.Errorf("key that has run: %v %s", res, body)
 	}
-	if n := w.applied("k1"); n != 1 {
-		t.Errorf("its effect happened %d times", n)
+	if n := tb.applied("k1"); n != 1 {
+		t.Errorf("effect applied %d times", n)
 	}
-	w.setWriterFaults(func(f *standin.Faults) { f.Draining = true })
-	w.reader.Set(func(f *standin.Faults) { f.Draining = true })
+	tb.setWriterFaults(func(f *standin.Faults) { f.Draining = true })
+	tb.reader.Set(func(f *standin.Faults) { f.Draining = true })
 	c.send(post("/v1/chat/completions", chat, "Idempotency-Key: k2"))
 	if res, body = c.readResponse(); res.StatusCode != 503 || res.Header.Get("X-Should-Retry") != "false" || res.Header.Get("Retry-After") == "" {
 		t.Errorf("refused: %v %s", res, body)
 	}
 }
 
-// Clients are told by their certificates: a tenant's is let in as that tenant,
-// another's and none are held to what the settings ask.
+// A client certificate identifies its tenant. Without one a client is served outside
+// of the tenant, and a certificate of another authority is rejected.
 func TestClientCertificates(t *testing.T) {
 	ca := newAuthority(t)
 	cert, key := ca.issue(t, "router", "r")
-	w := newTestbed(t, func(cfg *settings.File) {
+	tb := newTestbed(t, func(cfg *settings.File) {
 		cfg.TLS = settings.TLS{Domain: "fleet.example", Cert: cert, Key: key, Authority: ca.file}
 		cfg.Tenants = []settings.Tenant{{Name: "a", Identity: []string{"spiffe://fleet.example/client/a"},
 			Budgets: []settings.Budget{{Requests: 1, Burst: 1}}}}
 	})
-	ask := func(hc *http.Client) (*http.Response, error) {
-		res, err := hc.Post("https://"+w.d.Addr()+"/v1/embeddings", "application/json", strings.NewReader(embedding))
+	embed := func(hc *http.Client) (*http.Response, error) {
+		res, err := hc.Post("https://"+tb.d.Addr()+"/v1/embeddings", "application/json", strings.NewReader(embedding))
 		if err == nil {
 			io.Copy(io.Discard, res.Body)
 			res.Body.Close()
@@ -340,22 +341,22 @@
 		return res, err
 	}
 	a, none := ca.client(t, "a"), ca.client(t, "")
-	if res, err := ask(a); err != nil || res.StatusCode != 200 || res.Header.Get("X-Ratelimit-Limit-Requests") != "1" {
+	if res, err := embed(a); err != nil || res.StatusCode != 200 || res.Header.Get("X-Ratelimit-Limit-Requests") != "1" {
 		t.Errorf("%v, %v", res, err)
 	}
-	if res, err := ask(a); err != nil || res.StatusCode != 429 {
-		t.Errorf("the tenant's second: %v, %v", res, err)
+	if res, err := embed(a); err != nil || res.StatusCode != 429 {
+		t.Errorf("second request of the tenant: %v, %v", res, err)
 	}
-	if res, err := ask(none); err != nil || res.StatusCode != 200 || res.Header.Get("X-Ratelimit-Limit-Requests") != "" {
+	if res, err := embed(none); err != nil || res.StatusCode != 200 || res.Header.Get("X-Ratelimit-Limit-Requests") != "" {
 		t.Errorf("no certificate: %v, %v", res, err)
 	}
 	stranger := newAuthority(t).client(t, "a")
-	if _, err := ask(stranger); err == nil {
-		t.Error("a certificate of another authority is let in")
+	if _, err := embed(stranger); err == nil {
+		t.Error("a certificate of another authority was accepted")
 	}
 }
 
-// authority makes certificates of fleet.example.
+// authority is a certificate authority for fleet.example.
 type authority struct {
 	*certs.Authority
 	dir, file string
@@ -380,10 +381,10 @@
 	return cert, key
 }
 
-// client speaks TLS with a client's certificate, or with none.
+// client returns a TLS client with the certificate of a client of that name, or without one if name is "".
 func (a *authority) client(t *testing.T, name string) *http.Client {
 	t.Helper()
-	cfg := &tls.Config{InsecureSkipVerify: true} // a router's certificate names no host
+	cfg := &tls.Config{InsecureSkipVerify: true} // the router's certificate has no host name
 	if name != "" {
 		pair, err := tls.LoadX509KeyPair(a.issue(t, "client", name))
 		if err != nil {
--- a/internal/daemon/runner.go
+++ b/internal/daemon/runner.go
@@ -44,8 +44,8 @@
 }
 
 func newLifecycleRunner(limits lifecycle.Limits, handler effectHandler) *lifecycleRunner {
-	return &lifecycleRunner{machine: lifecycle.New(limits, 0), started: time.Now(), inbox: make(chan func(), 64), openChanged: make(chan struct{}, 1),
-		handler: handler, waiters: map[string][]chan lifecycle.Result{}, ended: make(chan struct{}), quit: make(chan struct{}),
+	return &lifecycleRunner{machine: lifecycle.New(limits, 0), started: time.Now(), inbox: make(chan func(), 64),
+		openChanged: make(chan struct{}, 1), handler: handler, waiters: map[string][]chan lifecycle.Result{}, ended: make(chan struct{}), quit: make(chan struct{}),
 		stopped: make(chan struct{})}
 }
 
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -26,7 +26,7 @@
 	return strings.Join(out, " ")
 }
 
-func TestLives(t *testing.T) {
+func TestTransitions(t *testing.T) {
 	command := func(at time.Duration, id string, op Op, limit time.Duration) func(*Machine) []Effect {
 		return func(m *Machine) []Effect { return m.Command(at, Command{ID: id, Op: op, Limit: limit}) }
 	}
@@ -46,55 +46,55 @@
 		last  string
 		state State
 	}{
-		{"it starts", []func(*Machine) []Effect{started}, "Announce{ready} Accept{}", Ready},
-		{"it can't start", []func(*Machine) []Effect{func(m *Machine) []Effect { return m.Started(0, errors.New("x")) }}, "Announce{failed} Exit{1}", Failed},
-		{"it takes too long to start", []func(*Machine) []Effect{tick(5 * second)}, "Announce{failed} Exit{1}", Failed},
-		{"a drain with nothing open", []func(*Machine) []Effect{started, command(1*second, "a", Drain, 0)}, "Announce{draining} StopAccepting{}", Draining},
-		{"once that is counted", []func(*Machine) []Effect{started, command(1*second, "a", Drain, 0), open(1*second, 0)},
+		{"start", []func(*Machine) []Effect{started}, "Announce{ready} Accept{}", Ready},
+		{"failed start", []func(*Machine) []Effect{func(m *Machine) []Effect { return m.Started(0, errors.New("x")) }}, "Announce{failed} Exit{1}", Failed},
+		{"start past its deadline", []func(*Machine) []Effect{tick(5 * second)}, "Announce{failed} Exit{1}", Failed},
+		{"drain before the open sessions are counted", []func(*Machine) []Effect{started, command(1*second, "a", Drain, 0)}, "Announce{draining} StopAccepting{}", Draining},
+		{"drain with nothing open", []func(*Machine) []Effect{started, command(1*second, "a", Drain, 0), open(1*second, 0)},
 			"Announce{drained} Reply{{a true false }}", Drained},
-		{"a drain with open answers", []func(*Machine) []Effect{started, open(0, 2), command(1*second, "a", Drain, 0), open(2*second, 0)},
+		{"drain with open requests", []func(*Machine) []Effect{started, open(0, 2), command(1*second, "a", Drain, 0), open(2*second, 0)},
 			"Announce{drained} Reply{{a true false }}", Drained},
-		{"a drain at its deadline", []func(*Machine) []Effect{started, open(0, 2), command(1*second, "a", Drain, 3*second), tick(4 * second)}, "FailOpenRequests{}", Draining},
-		{"and after the last words", []func(*Machine) []Effect{started, open(0, 2), command(1*second, "a", Drain, 3*second), tick(4 * second), tick(5 * second)},
+		{"drain at its deadline", []func(*Machine) []Effect{started, open(0, 2), command(1*second, "a", Drain, 3*second), tick(4 * second)}, "FailOpenRequests{}", Draining},
+		{"drain after the close grace", []func(*Machine) []Effect{started, open(0, 2), command(1*second, "a", Drain, 3*second), tick(4 * second), tick(5 * second)},
 			"CloseConnections{} Announce{drained} Reply{{a true true }}", Drained},
 		{"two drains share the earlier deadline", []func(*Machine) []Effect{started, open(0, 2), command(1*second, "a", Drain, 20*second), command(2*second, "b", Drain, 2*second), tick(4 * second), open(5*second, 0)},
 			"Announce{drained} Reply{{a true true }} Reply{{b true true }}", Drained},
-		{"a resume undoes a drain", []func(*Machine) []Effect{started, open(0, 2), command(1*second, "a", Drain, 0), command(2*second, "b", Resume, 0)},
+		{"resume cancels a drain", []func(*Machine) []Effect{started, open(0, 2), command(1*second, "a", Drain, 0), command(2*second, "b", Resume, 0)},
 			"Reply{{a false false resumed before it was drained}} Announce{ready} Accept{} Reply{{b true false }}", Ready},
-		{"a stop during a drain", []func(*Machine) []Effect{started, open(0, 2), command(1*second, "a", Drain, 0), command(2*second, "b", Stop, 0)},
+		{"stop during a drain", []func(*Machine) []Effect{started, open(0, 2), command(1*second, "a", Drain, 0), command(2*second, "b", Stop, 0)},
 			"Reply{{a false false a stop came}} Announce{stopping}", Stopping},
-		{"a stop ends it", []func(*Machine) []Effect{started, open(0, 1), command(1*second, "a", Stop, 0), open(2*second, 0)},
+		{"stop", []func(*Machine) []Effect{started, open(0, 1), command(1*second, "a", Stop, 0), open(2*second, 0)},
 			"Announce{ended} Reply{{a true false }} Exit{0}", Ended},
-		{"a second stop cuts it short", []func(*Machine) []Effect{started, open(0, 1), command(1*second, "a", Stop, 0), command(2*second, "b", Stop, 0)}, "FailOpenRequests{}", Stopping},
-		{"a repeat gets the first result", []func(*Machine) []Effect{started, command(1*second, "a", Drain, 0), open(1*second, 0), command(2*second, "b", Resume, 0), command(3*second, "a", Drain, 0)},
+		{"second stop fails the open requests", []func(*Machine) []Effect{started, open(0, 1), command(1*second, "a", Stop, 0), command(2*second, "b", Stop, 0)}, "FailOpenRequests{}", Stopping},
+		{"repeated ID gets the first result", []func(*Machine) []Effect{started, command(1*second, "a", Drain, 0), open(1*second, 0), command(2*second, "b", Resume, 0), command(3*second, "a", Drain, 0)},
 			"Reply{{a true false }}", Ready},
-		{"a drain while stopping", []func(*Machine) []Effect{started, open(0, 1), command(1*second, "a", Stop, 0), command(2*second, "b", Drain, 0)},
+		{"drain while stopping", []func(*Machine) []Effect{started, open(0, 1), command(1*second, "a", Stop, 0), command(2*second, "b", Drain, 0)},
 			"Reply{{b false false the router is stopping}}", Stopping},
-		{"a reload", []func(*Machine) []Effect{started, command(1*second, "a", Reload, 0)}, "Load{a}", Ready},
-		{"a second reload", []func(*Machine) []Effect{started, command(1*second, "a", Reload, 0), command(2*second, "b", Reload, 0)},
+		{"reload", []func(*Machine) []Effect{started, command(1*second, "a", Reload, 0)}, "Load{a}", Ready},
+		{"second reload", []func(*Machine) []Effect{started, command(1*second, "a", Reload, 0), command(2*second, "b", Reload, 0)},
 			"Reply{{b false false another reload runs}}", Ready},
-		{"a drain during a reload", []func(*Machine) []Effect{started, open(0, 1), command(1*second, "a", Reload, 0), command(2*second, "b", Drain, 0),
+		{"drain during a reload", []func(*Machine) []Effect{started, open(0, 1), command(1*second, "a", Reload, 0), command(2*second, "b", Drain, 0),
 			func(m *Machine) []Effect { return m.Loaded(3*second, "a", errors.New("f:1:1: bad")) }}, "Reply{{a false false f:1:1: bad}}", Draining},
-		{"a restart", []func(*Machine) []Effect{started, open(0, 1), command(1*second, "a", Restart, 0)}, "Spawn{a  false}", Ready},
-		{"a restart of a drained router", []func(*Machine) []Effect{started, command(1*second, "d", Drain, 0), open(1*second, 0), command(2*second, "a", Restart, 0)},
+		{"restart", []func(*Machine) []Effect{started, open(0, 1), command(1*second, "a", Restart, 0)}, "Spawn{a  false}", Ready},
+		{"restart of a drained router", []func(*Machine) []Effect{started, command(1*second, "d", Drain, 0), open(1*second, 0), command(2*second, "a", Restart, 0)},
 			"Spawn{a  true}", Drained},
-		{"a restart that comes up", []func(*Machine) []Effect{started, open(0, 1), command(1*second, "a", Restart, 0), spawned(2*second, nil)},
+		{"restart whose successor serves", []func(*Machine) []Effect{started, open(0, 1), command(1*second, "a", Restart, 0), spawned(2*second, nil)},
 			"Reply{{a true false }} Announce{stopping} StopAccepting{}", Stopping},
-		{"a restart that does not", []func(*Machine) []Effect{started, open(0, 1), command(1*second, "a", Restart, 0), spawned(2*second, errors.New("x"))},
+		{"restart whose successor fails", []func(*Machine) []Effect{started, open(0, 1), command(1*second, "a", Restart, 0), spawned(2*second, errors.New("x"))},
 			"Reply{{a false false x}}", Ready},
-		{"a stop during a restart", []func(*Machine) []Effect{started, open(0, 1), command(1*second, "a", Restart, 0), command(2*second, "b", Stop, 0)},
+		{"stop during a restart", []func(*Machine) []Effect{started, open(0, 1), command(1*second, "a", Restart, 0), command(2*second, "b", Stop, 0)},
 			"Abort{} Reply{{a false false a stop came}} Announce{stopping} StopAccepting{}", Stopping},
-		{"a drain during a restart", []func(*Machine) []Effect{started, open(0, 1), command(1*second, "a", Restart, 0), command(2*second, "b", Drain, 0), spawned(3*second, nil)},
+		{"drain during a restart", []func(*Machine) []Effect{started, open(0, 1), command(1*second, "a", Restart, 0), command(2*second, "b", Drain, 0), spawned(3*second, nil)},
 			"Reply{{a true false }} Reply{{b false false a restart came}} Announce{stopping}", Stopping},
-		{"a resume while a drained router restarts", []func(*Machine) []Effect{started, command(1*second, "d", Drain, 0), open(1*second, 0), command(1*second, "a", Restart, 0), command(2*second, "b", Resume, 0)},
+		{"resume while a drained router restarts", []func(*Machine) []Effect{started, command(1*second, "d", Drain, 0), open(1*second, 0), command(1*second, "a", Restart, 0), command(2*second, "b", Resume, 0)},
 			"Reply{{b false false a restart runs}}", Drained},
-		{"a reload during a restart", []func(*Machine) []Effect{started, command(1*second, "a", Restart, 0), command(2*second, "b", Reload, 0)},
+		{"reload during a restart", []func(*Machine) []Effect{started, command(1*second, "a", Restart, 0), command(2*second, "b", Reload, 0)},
 			"Reply{{b false false a restart runs; the successor reads the settings}}", Ready},
-		{"a successor of a drained router", []func(*Machine) []Effect{func(m *Machine) []Effect {
+		{"successor of a drained router", []func(*Machine) []Effect{func(m *Machine) []Effect {
 			m.Inherit([]Result{{ID: "a", Done: true}}, true)
 			return m.Started(0, nil)
 		}}, "Announce{drained} StopAccepting{}", Drained},
-		{"a repeat at a successor", []func(*Machine) []Effect{func(m *Machine) []Effect {
+		{"repeated ID at a successor", []func(*Machine) []Effect{func(m *Machine) []Effect {
 			m.Inherit([]Result{{ID: "a", Done: true}}, false)
 			return m.Started(0, nil)
 		}, command(1*second, "a", Restart, 0)}, "Reply{{a true false }}", Ready},
@@ -110,15 +110,16 @@
 	}
 }
 
-// Over random commands, openings and times: a command gets one reply (repeats
-// aside), the process ends once and for good, nothing is cut before it was
-// answered, and no drain or stop outlives its limit and the last words.
+// Invariants under random inputs and times: a command gets one reply (repeats
+// aside), the process exits at most once, only one successor runs at a time,
+// connections are closed only after the open requests were failed, and no drain or
+// stop outlasts its limit plus the close grace.
 func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := New(testLimits, 0)
 		now, exits, successors, requestsFailed := time.Duration(0), 0, 0, false
 		given, replies := map[string]bool{}, map[string]int{}
-		var endBy time.Duration // by when the present drain or stop is over
+		var endBy time.Duration // latest end of the current drain or stop
 		observe := func(list []Effect, repeat string) {
 			for _, e := range list {
 				switch e := e.(type) {
@@ -136,7 +137,7 @@
 					successors--
 				case CloseConnections:
 					if !requestsFailed {
-						t.Fatal("cut before the answers were given")
+						t.Fatal("connections closed before the open requests were failed")
 					}
 				case Reply:
 					if e.Result.ID != repeat {
@@ -151,7 +152,7 @@
 		}
 		for i := range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond
-			for at, ok := m.Deadline(); ok && at <= now; at, ok = m.Deadline() { // timers are kept
+			for at, ok := m.Deadline(); ok && at <= now; at, ok = m.Deadline() { // timers fire on time
 				observe(m.Tick(at), "")
 			}
 			switch rapid.IntRange(0, 6).Draw(t, "what") {
@@ -182,7 +183,7 @@
 				observe(m.Command(now, c), repeat)
 			}
 			if s := m.State(); (s == Draining || s == Stopping) && now > endBy {
-				t.Fatalf("%v at %v, due at %v", s, now, endBy)
+				t.Fatalf("%v at %v, must have ended by %v", s, now, endBy)
 			}
 			if exits > 1 || (exits == 1) != (m.State() == Ended || m.State() == Failed) {
 				t.Fatalf("%d exits in %v", exits, m.State())
@@ -196,10 +197,10 @@
 	})
 }
 
-// Over lives, hand-overs, deaths and reloads: a command's repeat gets the first
-// result for as long as lives hand it on; a life that came after a death knows
-// none; a drained router is drained in its successor.
-func TestRepeatsOverLives(t *testing.T) {
+// Over random restarts, crashes and reloads: a repeated command ID gets the first
+// result as long as successors inherit it, a process that starts after a crash
+// knows no results, and the successor of a drained router is drained.
+func TestRepeatedCommandsAcrossRestarts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := testLimits
 		limits.MaxResults = 100
@@ -266,7 +267,7 @@
 				}
 				observe(m.Command(now, Command{ID: id, Op: Op(rapid.IntRange(1, 5).Draw(t, "op"))}))
 			}
-			if m.State() == Ended || m.State() == Failed { // its supervisor starts it again
+			if m.State() == Ended || m.State() == Failed { // the supervisor starts a new process
 				clear(first)
 				startProcess(nil, false)
 			}
--- a/internal/reload/reload_test.go
+++ b/internal/reload/reload_test.go
@@ -86,7 +86,7 @@
 }
 
 // Every entry of liveSettings is the path of a setting: a misspelt one would never match.
-func TestLiveNames(t *testing.T) {
+func TestLiveSettingsExist(t *testing.T) {
 	known := map[string]bool{}
 	var walk func(pattern string, t reflect.Type)
 	walk = func(pattern string, typ reflect.Type) {
