--- a/internal/platform/config/config_test.go
+++ b/internal/platform/config/config_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// What the file lacks, the environment has.
+// Fields that the file lacks are taken from the environment.
 func TestEnvironment(t *testing.T) {
 	text := strings.Replace(validFile, `"listen":"10.0.0.4:3000",`, "", 1)
 	c, err := Parse([]byte(text), func(name string) string {
@@ -92,13 +92,13 @@
 	f.Add([]byte(`{"settings":{"peersTotal":1,"classes":[{}]}}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if c, err := Parse(text, emptyEnv); err == nil && (c.Profile == nil || c.Sockets < minSockets || c.Memory < minMemory) {
-			t.Errorf("taken: %+v", c)
+			t.Errorf("accepted: %+v", c)
 		}
 	})
 }
 
-// A file that can't be read for a while as the program starts is read once it can be; one that makes no sense is told at once.
-func TestLoadOutlastsFaults(t *testing.T) {
+// At startup, transient read errors and a truncated file are retried; an invalid file is an error at once.
+func TestLoadRetriesTransientFaults(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(validFile), 0o600); err != nil {
 		t.Fatal(err)
@@ -122,13 +122,13 @@
 	}
 	time.AfterFunc(100*time.Millisecond, func() { os.WriteFile(path, []byte(validFile), 0o600) })
 	if c, err := LoadAtStart(env); err != nil || c.Name != "n3" {
-		t.Errorf("half a file, then all of it: %+v, %v", c, err)
+		t.Errorf("a truncated file that becomes complete: %+v, %v", c, err)
 	}
 	if err := os.WriteFile(path, []byte("[]"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	start := time.Now()
 	if _, err := LoadAtStart(env); err == nil || time.Since(start) > time.Second {
-		t.Errorf("nonsense: %v after %v", err, time.Since(start))
+		t.Errorf("invalid file: %v after %v", err, time.Since(start))
 	}
 }
--- a/internal/platform/discovery/watch_test.go
+++ b/internal/platform/discovery/watch_test.go
@@ -17,14 +17,14 @@
 
 const ms = time.Millisecond
 
-// Where lists are asked for, each call costs what all routers share: an agent that answers late is waited for, and one that is
-// down is called seldom, by routers that do not keep step.
-func TestAskedForSeldom(t *testing.T) {
+// Where routers subscribe, each call costs work at a shared discovery service: a slow agent is waited for, one that is down
+// is called rarely, and the calls of all routers together stay within a rate.
+func TestCallRate(t *testing.T) {
 	list := `{"rev":1,"all":true,"targets":[]}`
 	whole := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
 	slow := startAgent(t, func(int, string) ([]string, time.Duration) { return []string{"", whole}, 800 * ms })
 	if revs := collectRevisions(t, PollTiming(6), slow, 1); len(revs) != 1 || revs[0] != 1 {
-		t.Errorf("told %v by an agent that answers after 0.8 s", revs)
+		t.Errorf("received revisions %v from an agent that answers after 0.8 s", revs)
 	}
 	var mu sync.Mutex
 	calls := 0
@@ -47,16 +47,17 @@
 		}
 	}
 	if PollTiming(6).Grace >= 2*time.Second {
-		t.Errorf("silence is noticed %v after the wait; it counts as told after 2 s", PollTiming(6).Grace)
+		t.Errorf("silence is detected %v after the wait; updates count as received after 2 s", PollTiming(6).Grace)
 	}
 }
 
-// Where lists are asked for, a router that knows a list asks what has changed since, at a moment of its own: whole lists
-// asked for by a fleet at once, at its start, are more than discovery answers. Where they are pushed, the whole is asked for.
+// Where routers subscribe, one that knows a list first asks for the changes since, after a random delay: if a whole fleet
+// asked for full lists at its start, discovery would be overloaded. Where updates are pushed, the first call asks for the
+// full list.
 func TestFirstCall(t *testing.T) {
 	timing := PollTiming(30)
 	if timing.FirstCallSpread < time.Second {
-		t.Errorf("30 routers call first within %v", timing.FirstCallSpread)
+		t.Errorf("the first calls of 30 routers are spread over %v", timing.FirstCallSpread)
 	}
 	timing.FirstCallSpread = time.Millisecond
 	for _, c := range []struct {
@@ -81,9 +82,9 @@
 	}
 }
 
-// An agent that counts anew, from less than what is known, is asked for the whole list: its changes since a number that
-// it has not reached would never come.
-func TestAgentThatCountsAnew(t *testing.T) {
+// An agent that restarts its revisions below the known one is asked for the full list: changes since a revision that it has
+// not reached would never come.
+func TestAgentRestartsRevisions(t *testing.T) {
 	answers := []string{`{"rev":41,"all":true,"targets":[]}`, `{"rev":3,"all":false,"targets":[]}`, `{"rev":3,"all":true,"targets":[]}`}
 	var targets []string
 	done := make(chan struct{})
@@ -107,14 +108,14 @@
 	select {
 	case <-done:
 	case <-time.After(5 * time.Second):
-		t.Error("the list that began anew is not told")
+		t.Error("the full list at the restarted revision did not arrive")
 	}
 	cancel()
 	wg.Wait()
 	if len(revs) != 2 || revs[0] != 41 || revs[1] != 3 || len(targets) < 3 || targets[2] != "/v1/endpoints" {
-		t.Errorf("told %v by %v", revs, targets)
+		t.Errorf("received revisions %v from calls %v", revs, targets)
 	}
-	// One that never gives the whole list is not called over and over without a pause; the last list stands.
+	// If the agent never sends the full list, calls are still paced and the last list is kept.
 	var calls atomic.Int32
 	stuck := startAgent(t, func(int, string) ([]string, time.Duration) {
 		calls.Add(1)
@@ -122,14 +123,15 @@
 	})
 	ctx, cancel = context.WithTimeout(context.Background(), 500*ms)
 	defer cancel()
-	w = &Watch{OnList: func(l *List) { t.Errorf("told %+v", l) }, Log: zap.NewNop(), Rev: 41}
+	w = &Watch{OnList: func(l *List) { t.Errorf("received %+v", l) }, Log: zap.NewNop(), Rev: 41}
 	w.Run(ctx, Source{stuck, PushTiming}, make(chan Source))
 	if n := calls.Load(); n > 15 {
 		t.Errorf("%d calls in half a second", n)
 	}
 }
 
-// startAgent answers calls as told, each connection's until it hangs up.
+// startAgent runs an agent that answers the nth call, counted from 1 over all connections, with the parts that answer
+// returns, with a delay between them.
 func startAgent(t *testing.T, answer func(n int, target string) (parts []string, delay time.Duration)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -179,13 +181,14 @@
 	return ln.Addr().String()
 }
 
-const reset = "reset" // in place of an answer
+const reset = "reset" // as the only part: reset the connection instead of answering
 
+// okResponse returns a response with a list as its body.
 func okResponse(list string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
 }
 
-// collectRevisions runs a watch until so many lists were told; it returns their revisions.
+// collectRevisions runs a watch until it has received so many lists, and returns their revisions.
 func collectRevisions(t *testing.T, timing Timing, addr string, lists int) []int64 {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
@@ -198,13 +201,13 @@
 	}}
 	w.Run(ctx, Source{addr, timing}, make(chan Source))
 	if len(revs) < lists {
-		t.Fatalf("told only %v", revs)
+		t.Fatalf("received only revisions %v", revs)
 	}
 	return revs
 }
 
-// A watch that falls silent, or is reset, is broken and opened anew, and what it missed is asked for without a wait, however long
-// the agent stays silent before.
+// A connection that falls silent or is reset is replaced, and missed updates are requested without a wait, as often as the
+// agent stays silent.
 func TestSilentWatch(t *testing.T) {
 	var targets []string
 	addr := startAgent(t, func(n int, target string) ([]string, time.Duration) {
@@ -215,7 +218,7 @@
 		case 2, 3: // silent
 			return nil, 0
 		}
-		if n == 5 { // a watch that is reset
+		if n == 5 { // a long poll that is reset
 			return []string{reset}, 0
 		}
 		return []string{okResponse(fmt.Sprintf(`{"rev":%d,"all":false,"targets":[]}`, n))}, 0
@@ -223,10 +226,10 @@
 	timing := Timing{PollWait: 150 * ms, Grace: 100 * ms, ResponseTimeout: time.Second, RetryDelay: 50 * ms, MaxRetryDelay: 400 * ms}
 	start := time.Now()
 	if revs := collectRevisions(t, timing, addr, 3); revs[0] != 1 || revs[1] != 4 || revs[2] != 6 {
-		t.Errorf("told %v", revs)
+		t.Errorf("received revisions %v", revs)
 	}
 	if elapsed := time.Since(start); elapsed > 5*time.Second {
-		t.Errorf("took %v", elapsed)
+		t.Errorf("took %v, at most 5 s expected", elapsed)
 	}
 	want := []string{"/v1/endpoints", "?since=1&timeout_ms=150", "?since=1&timeout_ms=1", "?since=1&timeout_ms=1", "?since=4&timeout_ms=150",
 		"?since=4&timeout_ms=1"}
@@ -237,7 +240,7 @@
 	}
 }
 
-// A list that comes in pieces, indented, is heard out as long as it goes on; one that stops is asked for again.
+// An indented list that arrives in pieces is read as long as it keeps arriving; one that stops is requested again.
 func TestListInPieces(t *testing.T) {
 	list := okResponse("{\n  \"rev\": 1,\n  \"all\": true,\n  \"targets\": [\n    {\"uid\": \"a\", \"state\": \"SERVING\"}\n  ]\n}\n")
 	var parts []string
@@ -248,12 +251,12 @@
 		if n == 1 {
 			return parts[:5], 0 // and no more
 		}
-		return parts, 30 * ms // longer in all than any one silence may be
+		return parts, 30 * ms // together longer than the grace between two parts
 	})
 	if revs := collectRevisions(t, Timing{PollWait: 100 * ms, Grace: 200 * ms, ResponseTimeout: 10 * time.Second, RetryDelay: 50 * ms, MaxRetryDelay: 400 * ms}, addr, 1); revs[0] != 1 {
-		t.Errorf("told %v", revs)
+		t.Errorf("received revisions %v", revs)
 	}
 	if PushTiming.PollWait+PushTiming.Grace > 4*time.Second {
-		t.Errorf("silence is noticed after %v; it counts as told after 6 s", PushTiming.PollWait+PushTiming.Grace)
+		t.Errorf("silence is detected after %v; updates count as received after 6 s", PushTiming.PollWait+PushTiming.Grace)
 	}
 }
--- a/internal/platform/held_test.go
+++ b/internal/platform/held_test.go
@@ -12,28 +12,28 @@
 	"gannethook/internal/platform/standin"
 )
 
-// maxHeld is for how long something may be held with no attempt out: the stand-in's pin limit and 300 ms.
+// maxHeld is how long something may be held with no attempt in flight: the stand-in's pin limit of 500 ms plus 300 ms.
 const maxHeld = 800 * ms
 
-// wantReleased fails the test if anything of a request is still held when the limit, counted from now, is over.
+// wantReleased fails the test unless everything held for a request is released within maxHeld from now.
 func (s *harness) wantReleased(id string) {
 	s.t.Helper()
 	start, lateness := time.Now(), s.fleet.Lateness()
 	for s.isHeld(id) {
 		if held := time.Since(start) - (s.fleet.Lateness() - lateness); held > maxHeld {
-			s.t.Errorf("after %v still held: %v", held, s.fleet.Left())
+			s.t.Errorf("still held after %v: %v", held, s.fleet.Left())
 			return
 		}
 		time.Sleep(5 * ms)
 	}
 }
 
-// isHeld tells whether anything is held for a request.
+// isHeld reports whether anything is held for a request.
 func (s *harness) isHeld(id string) bool {
 	return slices.ContainsFunc(s.fleet.Left(), func(held string) bool { return strings.HasSuffix(held, " of "+id) })
 }
 
-// queuedScript has a writer's queue not move: what arrives there waits until its router gives up.
+// queuedScript keeps a write in its writer's queue until the router cancels it.
 func queuedScript(int, string) standin.Script { return standin.Script{Delay: time.Minute} }
 
 // sendAndDisconnect sends a request and closes the connection after a time.
@@ -44,9 +44,9 @@
 	nc.Close()
 }
 
-// A write that waits in its writer's queue leaves the state at the reader. Once it is called off the state is let
-// go, however long the write was out, whatever called it off, and however late the writer notices.
-func TestStateOfAWriteCalledOff(t *testing.T) {
+// While a write waits in its writer's queue, the state stays at the reader. Once the write is cancelled, by a timeout or
+// because the client disconnects, the state is released in time, however late the writer observes the close.
+func TestStateOfACancelledWrite(t *testing.T) {
 	for _, closeDelay := range []time.Duration{0, 10 * ms, 25 * ms} {
 		t.Run(fmt.Sprintf("close noticed after %v", closeDelay), func(t *testing.T) {
 			s := startRouter(t, func(f *standin.Fleet) {
@@ -55,17 +55,17 @@
 				f.Add(standin.Answer, queuedScript)
 			})
 			var requests sync.WaitGroup
-			for _, out := range []time.Duration{290 * ms, 700 * ms, 1490 * ms} {
+			for _, timeout := range []time.Duration{290 * ms, 700 * ms, 1490 * ms} {
 				for class, effect := range map[string]string{"question": "", "adjustment": standin.Unsafe} {
-					id := fmt.Sprintf("%sout-%v", effect, out)
+					id := fmt.Sprintf("%sout-%v", effect, timeout)
 					requests.Go(func() {
-						if a := s.send(id, class, int(out/ms)); a.status == 200 || a.status == 0 {
+						if a := s.send(id, class, int(timeout/ms)); a.status == 200 || a.status == 0 {
 							t.Errorf("%s: %+v", id, a)
 						}
 						s.wantReleased(id)
 					})
 					requests.Go(func() {
-						s.sendAndDisconnect(id+"-left", class, out)
+						s.sendAndDisconnect(id+"-left", class, timeout)
 						s.wantReleased(id + "-left")
 					})
 				}
@@ -75,26 +75,27 @@
 	}
 }
 
-// What was held at a worker that hung or was cut off, or is begun there as it runs again, is let go once it is back.
-func TestHeldAtAWorkerThatIsBack(t *testing.T) {
+// What a frozen or partitioned worker holds, or a request that it starts as it recovers leaves there, is released once it
+// is back.
+func TestReleaseAfterWorkerRecovers(t *testing.T) {
 	t.Run("a read begun late, given up", func(t *testing.T) { testReadStartedLate(t, false) })
 	t.Run("a read begun late, served elsewhere", func(t *testing.T) { testReadStartedLate(t, true) })
 	t.Run("a hung writer", testStateOfFrozenWriter)
 	t.Run("a cut", testStateAfterPartition)
 }
 
-// A read that waited in the socket of a worker that hung, and whose connection was closed, is begun as the worker
-// runs again. What it leaves is let go, whether the request was served elsewhere or given up.
+// A read waits in the socket of a frozen worker and its connection is closed. The worker starts it at the thaw and leaves a
+// state, which must be released whether the request was served by another worker or has failed.
 func testReadStartedLate(t *testing.T, served bool) {
-	var hung *standin.Worker
+	var frozen *standin.Worker
 	s := startRouter(t, func(f *standin.Fleet) {
-		hung = f.Add(standin.Prompt, nil)
+		frozen = f.Add(standin.Prompt, nil)
 		f.Add(standin.Answer, nil)
 	})
-	for n := range 40 { // so that silence tells something
+	for n := range 40 { // so that the router knows usual response times and silence is suspect
 		s.send(fmt.Sprint("before-", n), "question", 2500)
 	}
-	hung.Freeze()
+	frozen.Freeze()
 	answered := make(chan response, 1)
 	go func() { answered <- s.send("1", "question", 2500) }()
 	time.Sleep(100 * ms)
@@ -105,14 +106,14 @@
 		t.Errorf("%+v", a)
 	}
 	time.Sleep(300 * ms)
-	hung.Thaw()
-	s.waitFor("the read is begun", func() bool { return s.fleet.Started("1", hung) })
+	frozen.Thaw()
+	s.waitFor("the read is started", func() bool { return s.fleet.Started("1", frozen) })
 	time.Sleep(40 * ms)
 	s.wantReleased("1")
 }
 
-// A writer that hangs notices neither the close of an attempt nor a release until it runs again: the state it
-// waits for is let go then.
+// A frozen writer observes neither the close of an attempt nor a release until the thaw. The state that its queued write
+// waits for must be released then.
 func testStateOfFrozenWriter(t *testing.T) {
 	var writer *standin.Worker
 	s := startRouter(t, func(f *standin.Fleet) {
@@ -128,7 +129,7 @@
 	s.wantReleased("1")
 }
 
-// What is held on workers that were cut off for longer than any release is tried is let go once they are back.
+// Workers are partitioned for longer than releases are retried. What they hold must be released once they are back.
 func testStateAfterPartition(t *testing.T) {
 	var reader, writer *standin.Worker
 	s := startRouter(t, func(f *standin.Fleet) {
@@ -137,7 +138,7 @@
 	})
 	answered := make(chan response, 1)
 	go func() { answered <- s.send("1", "question", 800) }()
-	s.waitFor("its state waits", func() bool { return s.isHeld("1") })
+	s.waitFor("its state is held", func() bool { return s.isHeld("1") })
 	time.Sleep(100 * ms)
 	reader.Freeze()
 	writer.Freeze()
@@ -151,9 +152,9 @@
 	s.wantReleased("1")
 }
 
-// A writer runs, answers on other connections, and does not notice for two seconds that the connection of a write in its queue
-// was closed, as where that connection alone has fallen silent. Until then releases spare the state; after it the state is let
-// go in time.
+// A writer answers on other connections but observes only after two seconds that the connection of a queued write was
+// closed, as when that connection alone is silent. Until then releases preserve the state; after that it must be released
+// in time.
 func TestStateBehindALostClose(t *testing.T) {
 	const closeDelay = 2 * time.Second
 	s := startRouter(t, func(f *standin.Fleet) {
@@ -168,7 +169,7 @@
 	})
 	stop := make(chan struct{})
 	var others sync.WaitGroup
-	others.Go(func() { // so that the writer is heard
+	others.Go(func() { // so that the writer keeps answering on other connections
 		for n := 0; ; n++ {
 			select {
 			case <-stop:
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -31,7 +31,7 @@
 
 const ms = time.Millisecond
 
-// harness is one router on a stand-in platform.
+// harness runs one router on a stand-in platform.
 type harness struct {
 	t          *testing.T
 	fleet      *standin.Fleet
@@ -43,8 +43,9 @@
 	router     *Router
 }
 
-// startRouter starts a router on a platform that setUp makes. At the test's end the
-// router is stopped, and the rules are checked from the platform's side.
+// startRouter starts a router on a stand-in platform that setUp prepares. At the end of
+// the test the router is stopped; nothing may be held then, and neither the guard nor the
+// stand-in may have seen a violation.
 func startRouter(t *testing.T, setUp func(*standin.Fleet)) *harness {
 	return startRouterWith(t, options{}, setUp)
 }
@@ -92,31 +93,31 @@
 	select {
 	case err := <-s.done:
 		if err != nil {
-			s.t.Errorf("the router ended with %v", err)
+			s.t.Errorf("the router returned %v", err)
 		}
 	case <-time.After(20 * time.Second):
-		s.t.Error("the router does not end")
+		s.t.Error("the router does not stop within 20 s")
 	}
 	if n := s.router.monitor.Violations(); n != 0 {
-		s.t.Errorf("%d violations: %v", n, s.router.monitor.Counts())
+		s.t.Errorf("the guard counted %d violations: %v", n, s.router.monitor.Counts())
 	}
 	if left := s.fleet.Left(); len(left) > 0 {
 		s.t.Errorf("still held: %v", left)
 	}
 	for _, b := range s.fleet.Breaks() {
-		s.t.Errorf("a rule is broken: %s", b)
+		s.t.Errorf("violation seen by the stand-in: %s", b)
 	}
 	s.fleet.Close()
 }
 
-// configure writes the configuration; change may spoil it.
+// configure writes the configuration file; change, if not nil, edits it.
 func (s *harness) configure(change func(map[string]any)) {
 	if err := os.WriteFile(s.configFile, s.fleet.Config(s.addr, change), 0o600); err != nil {
 		s.t.Fatal(err)
 	}
 }
 
-// waitFor waits for what must come true soon.
+// waitFor waits until a condition is true, for 5 s at most.
 func (s *harness) waitFor(what string, ok func() bool) {
 	s.t.Helper()
 	for start := time.Now(); time.Since(start) < 5*time.Second; time.Sleep(10 * ms) {
@@ -127,10 +128,10 @@
 	s.t.Fatalf("%s: not within 5 s", what)
 }
 
-// waitUntilNotAccepting waits until the router takes no more connections.
+// waitUntilNotAccepting waits until the router accepts no more connections.
 func (s *harness) waitUntilNotAccepting() {
 	s.t.Helper()
-	s.waitFor("it takes no more connections", func() bool {
+	s.waitFor("the listener is closed", func() bool {
 		nc, err := net.Dial("tcp", s.addr)
 		if err == nil {
 			nc.Close()
@@ -148,7 +149,7 @@
 	return res.StatusCode
 }
 
-// request is a request as the platform's clients send it.
+// request returns a request as the platform's clients send it.
 func request(id, class string, timeout int, body string, more ...string) string {
 	return fmt.Sprintf("POST /v1/chat/completions?q=1 HTTP/1.1\r\nHost: service.internal\r\nX-Request-ID: %s\r\nX-Priority-Class: %s\r\n"+
 		"X-Route-Key: 7f3a\r\nX-Timeout-Ms: %d\r\nX-Attrs: prefix=5c0f,prompt_len=512,prefix_len=204,max_out=80\r\n"+
@@ -157,7 +158,7 @@
 
 const body = `{"model":"chat","stream":true,"messages":[]}`
 
-// response is what a client got.
+// response is what a client received.
 type response struct {
 	status     int
 	text       string
@@ -166,7 +167,7 @@
 	elapsed    time.Duration
 }
 
-// dial opens a connection that ends with the test.
+// dial opens a connection that is closed at the end of the test.
 func (s *harness) dial() net.Conn {
 	s.t.Helper()
 	nc, err := net.Dial("tcp", s.addr)
@@ -177,7 +178,7 @@
 	return nc
 }
 
-// send sends a request on a connection of its own.
+// send sends a request on a new connection.
 func (s *harness) send(id, class string, timeout int) response {
 	s.t.Helper()
 	nc := s.dial()
@@ -185,7 +186,7 @@
 	return s.exchange(nc, bufio.NewReader(nc), request(id, class, timeout, body))
 }
 
-// exchange sends raw bytes and reads one answer.
+// exchange sends raw bytes and reads one response.
 func (s *harness) exchange(nc net.Conn, br *bufio.Reader, raw string) (a response) {
 	start := time.Now()
 	nc.SetDeadline(start.Add(20 * time.Second))
@@ -212,7 +213,7 @@
 	}
 }
 
-// wantServedMany asks one after the other, each on a connection of its own.
+// wantServedMany sends requests one after the other, each on a new connection.
 func (s *harness) wantServedMany(n int) {
 	s.t.Helper()
 	for i := range n {
@@ -230,7 +231,7 @@
 	s := startRouter(t, addReaderAndWriter)
 	nc := s.dial()
 	br := bufio.NewReader(nc)
-	for i := range 3 { // on one kept connection
+	for i := range 3 { // on one persistent connection
 		id := fmt.Sprint("r", i)
 		s.wantServed(s.exchange(nc, br, request(id, "question", 4000, body)), id)
 	}
@@ -238,10 +239,9 @@
 		fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(body), body), 1)), "c")
 }
 
-// One connection may bring requests ahead; they are served in turn.
-// What goes end to end passes on as it came, to reader and writer alike: a worker knows a keyed request's repeat by
-// a field that this router has no name for. What concerns the client's connection alone stays behind.
-func TestFieldsPassOn(t *testing.T) {
+// End-to-end header fields are forwarded unchanged to reader and writer, including fields that the router does not know:
+// workers recognise the repeat of a keyed request by one. Hop-by-hop fields are dropped.
+func TestHeadersAreForwarded(t *testing.T) {
 	var workers []*standin.Worker
 	s := startRouter(t, func(f *standin.Fleet) {
 		workers = append(workers, f.Add(standin.Prompt, nil), f.Add(standin.Answer, nil))
@@ -255,19 +255,20 @@
 				h.Get("Content-Type") != "application/json" || h.Get("Host") != "service.internal" || len(h.Values("X-Request-ID")) != 1 {
 				t.Errorf("%s: not as the client sent it: %v", w.Kind, h)
 			}
-			for _, own := range []string{"X-Private", "Keep-Alive", "Te", "Connection"} {
-				if h.Get(own) != "" {
-					t.Errorf("%s: %s concerns the client's connection alone", w.Kind, own)
+			for _, name := range []string{"X-Private", "Keep-Alive", "Te", "Connection"} {
+				if h.Get(name) != "" {
+					t.Errorf("%s: the hop-by-hop field %s was forwarded", w.Kind, name)
 				}
 			}
 			if len(h.Values("X-Timeout-Ms")) != 1 || h.Get("X-Timeout-Ms") == "4000" {
-				t.Errorf("%s: told time %v", w.Kind, h.Values("X-Timeout-Ms"))
+				t.Errorf("%s: X-Timeout-Ms is %v", w.Kind, h.Values("X-Timeout-Ms"))
 			}
 		}
 	}
 }
 
-func TestAhead(t *testing.T) {
+// Pipelined requests on one connection are served in order.
+func TestPipelinedRequests(t *testing.T) {
 	s := startRouter(t, addReaderAndWriter)
 	nc := s.dial()
 	br := bufio.NewReader(nc)
@@ -277,8 +278,7 @@
 	}
 }
 
-// What can't be read or makes no sense gets an error or a close in time; nothing of it is sent on, and a
-// usual client beside is served.
+// Malformed or invalid requests get an error or a close in time and are not forwarded; valid requests are still served.
 func TestBadRequests(t *testing.T) {
 	var reader, writer *standin.Worker
 	s := startRouter(t, func(f *standin.Fleet) {
@@ -289,7 +289,7 @@
 	with := func(old, new string) string { return strings.Replace(good, old, new, 1) }
 	for _, c := range []struct {
 		name, raw string
-		status    int // 0: a close will do
+		status    int // 0: the connection closes without a response
 	}{
 		{"noise", "\x00\x01\x02\r\n\r\n", 400},
 		{"endless head", "POST / HTTP/1.1\r\n" + strings.Repeat("A: b\r\n", 20000), 431},
@@ -329,16 +329,16 @@
 		})
 	}
 	if n, _, _ := reader.Count(); n != 0 {
-		t.Errorf("%d were sent on", n)
+		t.Errorf("the reader got %d invalid requests", n)
 	}
 	s.wantServed(s.send("x", "question", 4000), "x")
 	if n, _, _ := writer.Count(); n != 1 {
-		t.Errorf("the writer got %d", n)
+		t.Errorf("the writer got %d requests, 1 expected", n)
 	}
 }
 
-// An id that is open is refused; the request that has it goes on.
-func TestOpenID(t *testing.T) {
+// A request with the id of an open request is refused; the open one goes on.
+func TestDuplicateOpenID(t *testing.T) {
 	var reader *standin.Worker
 	s := startRouter(t, func(f *standin.Fleet) {
 		reader = f.Add(standin.Prompt, func(int, string) standin.Script { return standin.Script{Delay: time.Second} })
@@ -346,14 +346,14 @@
 	})
 	got := make(chan response, 1)
 	go func() { got <- s.send("x", "question", 4000) }()
-	s.waitFor("the first is out", func() bool { n, _, _ := reader.Count(); return n == 1 })
+	s.waitFor("the reader has the first", func() bool { n, _, _ := reader.Count(); return n == 1 })
 	if a := s.send("x", "adjustment", 4000); a.status != 409 {
 		t.Errorf("%+v", a)
 	}
 	s.wantServed(<-got, "x")
 }
 
-// Hundreds of silent clients are closed in time, and usual clients are served among them.
+// Hundreds of clients that send nothing are closed in time, and others are served meanwhile.
 func TestSilentClients(t *testing.T) {
 	s := startRouter(t, addReaderAndWriter)
 	var silent []net.Conn
@@ -370,13 +370,13 @@
 	}
 }
 
-// What comes back from a first writer, and what its client gets for a safe and for an unsafe request. A
-// second writer is well.
+// The first writer fails in various ways, the second answers normally: a safe request is always served, an unsafe one
+// gets the given status.
 func TestOutcomes(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		script standin.Script
-		unsafe int // status; a safe request is served always
+		unsafe int // status of an unsafe request; a safe one is always served
 	}{
 		{"error", standin.Script{Status: 500}, 500},
 		{"turned away", standin.Script{Status: 503, NotProcessed: true}, 200},
@@ -395,20 +395,20 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var mu sync.Mutex
-			bad := map[string]bool{}
-			first := func(_ int, id string) standin.Script { // whichever writer is first
+			seen := map[string]bool{}
+			firstScript := func(_ int, id string) standin.Script { // for the writer that gets a request first
 				mu.Lock()
 				defer mu.Unlock()
-				if bad[id] {
+				if seen[id] {
 					return standin.Script{}
 				}
-				bad[id] = true
+				seen[id] = true
 				return c.script
 			}
 			s := startRouter(t, func(f *standin.Fleet) {
 				f.Add(standin.Prompt, nil)
-				f.Add(standin.Answer, first)
-				f.Add(standin.Answer, first)
+				f.Add(standin.Answer, firstScript)
+				f.Add(standin.Answer, firstScript)
 			})
 			s.t = t
 			s.wantServed(s.send("s", "question", 4000), "s")
@@ -420,8 +420,9 @@
 	}
 }
 
-// A stream that is spoilt behind its first event ends with its connection, without the last chunk, in time.
-func TestSpoiltStreams(t *testing.T) {
+// If a worker's stream becomes malformed, breaks or falls silent after its first events, the client's stream ends in time:
+// the connection closes without the last chunk.
+func TestMalformedStreams(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		script standin.Script
@@ -445,8 +446,8 @@
 	}
 }
 
-// Whatever the settings name and allow, a request is served by them, and one of a class that they lack is an error.
-func TestStrangeSettings(t *testing.T) {
+// Requests are served under unusual but valid settings, and a request of an unknown class is an error.
+func TestUnusualSettings(t *testing.T) {
 	many := make([]map[string]any, 500)
 	for i := range many {
 		many[i] = map[string]any{"name": fmt.Sprint("inquilino ", i), "quotaPerS": 0.01}
@@ -499,44 +500,44 @@
 			nc := s.dial()
 			s.wantServed(s.exchange(nc, bufio.NewReader(nc), request("b", c.class, 4000, body, "X-Tenant-Id: inquilino 7\r\n")), "b")
 			if a := s.send("c", "no such class", 4000); a.status != 400 {
-				t.Errorf("a class of nobody's: %+v", a)
+				t.Errorf("unknown class: %+v", a)
 			}
 		})
 	}
 }
 
-// A time that the settings do not tell is the platform's, not the least there is: connections come up late there.
-func TestTimesNotTold(t *testing.T) {
-	for told, want := range map[float64]time.Duration{0: time.Second, 1: 50 * ms, 250: 250 * ms} {
-		if got := dialTimeout(told); got != want {
-			t.Errorf("told %v ms: %v to connect, want %v", told, got, want)
+// A timeout that the settings lack gets a default that fits the platform, where connecting is slow, not the minimum.
+func TestDefaultTimeouts(t *testing.T) {
+	for configuredMS, want := range map[float64]time.Duration{0: time.Second, 1: 50 * ms, 250: 250 * ms} {
+		if got := dialTimeout(configuredMS); got != want {
+			t.Errorf("configured %v ms: dial timeout %v, want %v", configuredMS, got, want)
 		}
 	}
 	if got := idleTimeout(0); got != 10*time.Second {
-		t.Errorf("unused connections are kept for %v", got)
+		t.Errorf("default idle timeout %v, 10 s expected", got)
 	}
 }
 
-// A new configuration may be another customer's: requests under way end as they came, new ones find its classes,
-// limits and kinds alone, also where discovery says nothing since.
-func TestReloadToOthers(t *testing.T) {
-	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(0)) // the new limits are this process's
+// A reload may bring the settings of another customer: open requests finish under the old ones, new requests use only the
+// new classes, limits and kinds, also while discovery is silent.
+func TestReloadToOtherSettings(t *testing.T) {
+	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(0)) // the reload changes the limits of this process
 	defer debug.SetMemoryLimit(debug.SetMemoryLimit(-1))
-	hold := make(chan struct{})
+	resume := make(chan struct{})
 	var reader *standin.Worker
 	s := startRouter(t, func(f *standin.Fleet) {
 		reader = f.Add(standin.Prompt, func(_ int, id string) standin.Script {
 			if id == "u-old" {
-				return standin.Script{Until: hold}
+				return standin.Script{Until: resume}
 			}
 			return standin.Script{}
 		})
 		f.Add(standin.Answer, nil)
 	})
 	s.wantServed(s.send("first", "question", 4000), "first")
-	old := make(chan response, 1)
-	go func() { old <- s.send("u-old", "adjustment", 8000) }()
-	s.waitFor("it is being read", func() bool { n, _, _ := reader.Count(); return n == 2 })
+	oldAnswer := make(chan response, 1)
+	go func() { oldAnswer <- s.send("u-old", "adjustment", 8000) }()
+	s.waitFor("the reader has the old request", func() bool { n, _, _ := reader.Count(); return n == 2 })
 	s.fleet.SetMuted(true)
 	s.configure(func(c map[string]any) {
 		c["settings"] = json.RawMessage(strings.NewReplacer(`"name":"question"`, `"name":"pregunta"`, `"name":"adjustment"`, `"name":"ajuste"`,
@@ -545,22 +546,22 @@
 		c["limits"] = map[string]any{"cores": 1.0, "memory_mb": 64, "sockets": 128}
 	})
 	s.signals <- syscall.SIGHUP
-	s.waitFor("it is taken up", func() bool { return s.logs.FilterMessage("new configuration").Len() > 0 })
+	s.waitFor("the new configuration is applied", func() bool { return s.logs.FilterMessage("new configuration").Len() > 0 })
 	s.wantServed(s.send("u-new", "ajuste", 4000), "u-new")
 	s.wantServed(s.send("new", "pregunta", 4000), "new")
 	for _, class := range []string{"question", "adjustment"} {
 		if a := s.send("gone", class, 4000); a.status != 400 {
-			t.Errorf("class %s of the former customer: %+v", class, a)
+			t.Errorf("class %s of the old settings: %+v", class, a)
 		}
 	}
-	close(hold)
-	s.wantServed(<-old, "u-old")
+	close(resume)
+	s.wantServed(<-oldAnswer, "u-old")
 	s.fleet.SetMuted(false)
 }
 
-// A request whose first byte came before the router turned its clients away is answered, on a new connection or one
-// that was used, wherever in it the turn falls; on one that rests nothing is taken any more, and it ends in order.
-func TestStopAcrossRequests(t *testing.T) {
+// A request whose first byte arrived before the listener closed is answered, on a new or a used connection, wherever the
+// close splits it. An idle connection is closed with EOF, and no request on it is forwarded.
+func TestStopDuringPartialRequests(t *testing.T) {
 	s := startRouter(t, addReaderAndWriter)
 	type half struct {
 		name, raw string
@@ -595,23 +596,23 @@
 		if _, err := h.br.ReadByte(); !errors.Is(err, io.EOF) {
 			t.Errorf("%s: %v", h.name, err)
 		}
-		io.WriteString(h.nc, h.raw) // read behind the shutdown, or not at all
+		io.WriteString(h.nc, h.raw) // discarded during the close, or never read
 	}
 	for _, id := range []string{"h3-false", "h3-true"} {
 		if n := s.fleet.Executions(id); n != 0 {
-			t.Errorf("%s was sent on after its connection had ended", id)
+			t.Errorf("%s was forwarded after its connection had closed", id)
 		}
 	}
 }
 
-// A request that was read behind another one is answered although the router stops in between.
-func TestStopAnswersWhatWasSentAhead(t *testing.T) {
-	hold := make(chan struct{})
+// A request that was pipelined after an open one is answered although the router stops in between.
+func TestStopAnswersPipelinedRequests(t *testing.T) {
+	resume := make(chan struct{})
 	var reader *standin.Worker
 	s := startRouter(t, func(f *standin.Fleet) {
 		reader = f.Add(standin.Prompt, func(_ int, id string) standin.Script {
 			if id == "first" {
-				return standin.Script{Until: hold}
+				return standin.Script{Until: resume}
 			}
 			return standin.Script{}
 		})
@@ -620,18 +621,18 @@
 	nc := s.dial()
 	br := bufio.NewReader(nc)
 	io.WriteString(nc, request("first", "question", 6000, body)+request("second", "question", 6000, body))
-	s.waitFor("the first is being read", func() bool { n, _, _ := reader.Count(); return n == 1 })
+	s.waitFor("the reader has the first", func() bool { n, _, _ := reader.Count(); return n == 1 })
 	s.signals <- syscall.SIGTERM
 	s.waitUntilNotAccepting()
-	close(hold)
+	close(resume)
 	for _, id := range []string{"first", "second"} {
 		s.wantServed(s.exchange(nc, br, ""), id)
 	}
 }
 
-// Each event is passed on before the next is written, in many streams at once on one core: none is held back until
-// others come.
-func TestEventsNeverWaitForOthers(t *testing.T) {
+// Guards against buffering of events: in many concurrent streams on one core, each event reaches the client before the
+// worker writes the next.
+func TestEventsAreForwardedAtOnce(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	const streams, events = 20, 50
 	steps := make(map[string]chan struct{}, streams)
@@ -665,14 +666,14 @@
 					t.Errorf("%s, event %d: %q, %v", id, n, event, err)
 					return
 				}
-				step <- struct{}{} // only now may the worker write the next
+				step <- struct{}{} // lets the worker write the next event
 			}
 		})
 	}
 	wg.Wait()
 }
 
-// smallBuffers has the system hold little of what is written to a client.
+// smallBuffers accepts connections with a small send buffer.
 type smallBuffers struct{ net.Listener }
 
 func (l smallBuffers) Accept() (net.Conn, error) {
@@ -683,13 +684,13 @@
 	return nc, err
 }
 
-// A stream that its worker has finished is passed on to its end although the router stops and its client is slow:
-// the router does not end it as it does streams whose clients go on elsewhere.
+// A stream that its worker has finished is forwarded completely although the router stops and the client is slow: it is not
+// among the streams that a stopping router ends for their clients to go on elsewhere.
 func TestFinishedStreamOutlivesStop(t *testing.T) {
-	dialer := net.Dialer{Control: func(_, _ string, c syscall.RawConn) error { // a client with a small window
+	dialer := net.Dialer{Control: func(_, _ string, c syscall.RawConn) error { // a client with a small receive buffer
 		return c.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 2048) })
 	}}
-	const events = 3000 // about 200 KiB, far more than the system holds
+	const events = 3000 // about 200 KiB, far more than the socket buffers hold
 	finished := make(chan struct{})
 	s := startRouterWith(t, options{listen: func(ln net.Listener) net.Listener { return smallBuffers{ln} }}, func(f *standin.Fleet) {
 		f.Add(standin.Prompt, nil)
@@ -705,10 +706,10 @@
 	select {
 	case <-finished:
 	case <-time.After(5 * time.Second):
-		t.Fatal("the worker can't finish while the client takes nothing")
+		t.Fatal("the worker can't finish while the client reads nothing")
 	}
 	s.signals <- syscall.SIGTERM
-	time.Sleep(3300 * ms) // beyond the last moment of a planned end, 0.87 of the time to the kill
+	time.Sleep(3300 * ms) // after the last planned end of a stream, at 0.87 of the time to the kill
 	nc.(*net.TCPConn).SetReadBuffer(1 << 20)
 	res, err := http.ReadResponse(bufio.NewReader(nc), nil)
 	if err != nil {
@@ -720,15 +721,15 @@
 	}
 }
 
-// A client that leaves ends its attempt, and what was held for it is let go.
-func TestClientLeaves(t *testing.T) {
+// If a client disconnects, its attempt is cancelled and what is held for it is released.
+func TestClientDisconnects(t *testing.T) {
 	var writer *standin.Worker
 	s := startRouter(t, func(f *standin.Fleet) {
 		f.Add(standin.Prompt, nil)
 		writer = f.Add(standin.Answer, func(int, string) standin.Script { return standin.Script{Delay: 10 * time.Second} })
 	})
 	for i, pipelined := range []string{"", "\r\n", strings.Repeat(request("y", "question", 4000, body), 20),
-		strings.Repeat(request("y", "question", 4000, body), 3000)} { // also if it had sent ahead, far more than is kept
+		strings.Repeat(request("y", "question", 4000, body), 3000)} { // also with pipelined data, up to far more than is buffered
 		nc := s.dial()
 		io.WriteString(nc, request(fmt.Sprint("x", i), "question", 4000, body)+pipelined)
 		s.waitFor("the writer has it", func() bool { n, _, _ := writer.Count(); return n == i+1 })
@@ -737,8 +738,9 @@
 	}
 }
 
-// What outlasts its client's time is answered in time, what was given up on at once, with when to come back.
-func TestGivenUp(t *testing.T) {
+// A request that can't be answered by its deadline gets an error before it; one that the only writer rejects is refused at
+// once, with Retry-After.
+func TestDeadlineAndRetryAfter(t *testing.T) {
 	for _, c := range []struct {
 		script      standin.Script
 		timeout     int
@@ -759,8 +761,8 @@
 	}
 }
 
-// Changes are followed while discovery speaks, the list stands while it is silent, and another address is
-// taken up on SIGHUP; a file that can't be used changes nothing.
+// Updates of discovery are applied, the last list stays in use while discovery is silent, and a new address is applied on
+// SIGHUP. An invalid configuration changes nothing.
 func TestDiscovery(t *testing.T) {
 	var old *standin.Worker
 	s := startRouter(t, func(f *standin.Fleet) {
@@ -770,24 +772,24 @@
 	s.wantServed(s.send("a", "question", 4000), "a")
 	next := s.fleet.Add(standin.Answer, nil)
 	s.fleet.Set(old, "DRAINING")
-	asked := 0
+	sent := 0
 	served := func(w *standin.Worker) bool {
-		asked++
-		id := fmt.Sprint("d", asked)
-		was, _, _ := w.Count()
+		sent++
+		id := fmt.Sprint("d", sent)
+		before, _, _ := w.Count()
 		s.wantServed(s.send(id, "question", 4000), id)
-		now, _, _ := w.Count()
-		return now > was
+		after, _, _ := w.Count()
+		return after > before
 	}
 	s.waitFor("the new writer serves", func() bool { return served(next) })
 	s.fleet.SetMuted(true)
 	if !served(next) {
-		t.Error("another writer while discovery is silent")
+		t.Error("the writer changed while discovery is silent")
 	}
 	s.fleet.SetMuted(false)
 	s.configure(func(c map[string]any) { c["seed"] = "x" })
 	s.signals <- syscall.SIGHUP
-	s.waitFor("a bad file is told", func() bool { return s.logs.FilterMessage("the new configuration is not taken up").Len() > 0 })
+	s.waitFor("the invalid file is logged", func() bool { return s.logs.FilterMessage("the new configuration is not taken up").Len() > 0 })
 	agent := s.fleet.NewAgent()
 	defer func() {
 		agent.CloseClientConnections()
@@ -795,14 +797,14 @@
 	}()
 	s.configure(func(c map[string]any) { c["discovery"] = agent.Listener.Addr().String() })
 	s.signals <- syscall.SIGHUP
-	s.waitFor("the new address is told", func() bool { return s.logs.FilterMessage("discovery has another address").Len() > 0 })
+	s.waitFor("the new address is logged", func() bool { return s.logs.FilterMessage("discovery has another address").Len() > 0 })
 	s.fleet.Set(old, "SERVING")
 	s.fleet.Set(next, "DELETED")
 	s.waitFor("the former writer serves again", func() bool { return served(old) })
 }
 
-// A router that stops is not ready, answers all that it has taken, still takes what comes for a while, ends
-// long streams for their clients to go on elsewhere, and ends.
+// A stopping router reports that it is not ready, still accepts requests for a while, answers all that it has accepted, ends
+// long streams for their clients to go on elsewhere, and closes idle connections.
 func TestStop(t *testing.T) {
 	var reader *standin.Worker
 	s := startRouter(t, func(f *standin.Fleet) {
@@ -819,9 +821,9 @@
 	taken, long := make(chan response, 1), make(chan response, 1)
 	go func() { long <- s.send("long", "question", 4000) }()
 	go func() { taken <- s.send("taken", "question", 4000) }()
-	s.waitFor("both are read", func() bool { n, _, _ := reader.Count(); return n == 3 })
+	s.waitFor("the reader has both", func() bool { n, _, _ := reader.Count(); return n == 3 })
 	s.signals <- syscall.SIGTERM
-	s.signals <- syscall.SIGTERM // twice changes nothing
+	s.signals <- syscall.SIGTERM // a second one is ignored
 	s.waitFor("not ready", func() bool { return s.getStatus("/ready") == 503 })
 	s.wantServed(s.send("late", "question", 4000), "late")
 	s.wantServed(<-taken, "taken")
@@ -830,11 +832,11 @@
 	}
 	kept.SetReadDeadline(time.Now().Add(time.Second))
 	if _, err := kept.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Errorf("the kept connection: %v", err)
+		t.Errorf("the idle connection: %v, EOF expected", err)
 	}
 }
 
-// While connections to a reader that died fail, its request goes on, and nothing stays pinned.
+// Requests are served by other workers while connections to a dead reader fail, and nothing stays held.
 func TestDeadReader(t *testing.T) {
 	var dead *standin.Worker
 	s := startRouter(t, func(f *standin.Fleet) {
@@ -846,10 +848,10 @@
 	s.wantServedMany(20)
 }
 
-// Many at once are all answered, in bounded memory and descriptors: all that was read is served, and each client without
-// an answer is one whose connection closed unread for want of room. Aims and dials have time to spare, so that how fast the
-// machine is decides nothing.
-func TestManyAtOnce(t *testing.T) {
+// With more concurrent clients than connections, every request that was read is served, and every other client was refused
+// with 503 or its connection closed unread at the connection limit. Target latencies and the dial timeout are long, so that
+// the result does not depend on the speed of the machine.
+func TestManyConcurrentClients(t *testing.T) {
 	const clients, maxConns = 300, 256 * 45 / 100
 	s := startRouterWith(t, options{configure: func(c map[string]any) {
 		slow := strings.NewReplacer(`"aimMs":1500`, `"aimMs":60000`, `"deadlineMs":6000`, `"deadlineMs":60000`, `"dialTimeoutMs":250`, `"dialTimeoutMs":15000`)
@@ -858,7 +860,7 @@
 		addReaderAndWriter(f)
 		addReaderAndWriter(f)
 	})
-	s.waitFor("the connections that asked whether it is ready have closed", func() bool { return s.router.clients.Open() == 0 })
+	s.waitFor("the connections of the readiness checks have closed", func() bool { return s.router.clients.Open() == 0 })
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	got := map[string]int64{}
@@ -876,52 +878,52 @@
 	}
 	wg.Wait()
 	closed := s.router.clients.Closes()
-	served, told, unread := got["200 "], got["503 too many connections\n"], got["0 "]
-	if served < maxConns || served+told+unread != clients {
+	served, rejected, unread := got["200 "], got["503 too many connections\n"], got["0 "]
+	if served < maxConns || served+rejected+unread != clients {
 		t.Errorf("%v; closed: %v", got, closed)
 	}
-	if told != closed["no room, told"] || unread != closed["no room, not told"]+closed["evicted for room, new"] {
-		t.Errorf("clients without an answer: %v; closed: %v", got, closed)
+	if rejected != closed["no room, told"] || unread != closed["no room, not told"]+closed["evicted for room, new"] {
+		t.Errorf("clients that were not served: %v; closed: %v", got, closed)
 	}
 	s.wantServed(s.send("after", "question", 4000), "after")
 }
 
-// With a request on its way on every connection, the next client is told so, whatever it has sent; the others go on.
-func TestNoRoom(t *testing.T) {
+// With a partial request on every connection, the next client is refused with 503; the others are served.
+func TestConnectionLimit(t *testing.T) {
 	s := startRouter(t, addReaderAndWriter)
-	var begun []net.Conn
+	var partial []net.Conn
 	for range 256 * 45 / 100 {
 		nc := s.dial()
 		io.WriteString(nc, "P")
-		begun = append(begun, nc)
+		partial = append(partial, nc)
 	}
 	if a := s.send("x", "question", 4000); a.status != 503 || !a.complete {
 		t.Errorf("%+v", a)
 	}
-	last := begun[len(begun)-1]
+	last := partial[len(partial)-1]
 	s.wantServed(s.exchange(last, bufio.NewReader(last), request("y", "question", 4000, body)[1:]), "y")
-	for _, nc := range begun {
+	for _, nc := range partial {
 		nc.Close()
 	}
-	s.waitFor("there is room", func() bool { return s.send("z", "question", 4000).status == 200 })
+	s.waitFor("a connection is free", func() bool { return s.send("z", "question", 4000).status == 200 })
 }
 
-// Events go on byte for byte whatever they hold.
+// Events are forwarded byte for byte, including bytes that are no valid text.
 func TestBytes(t *testing.T) {
-	odd := "data: \xff\x00\xfe \r\n\n"
+	event := "data: \xff\x00\xfe \r\n\n"
 	s := startRouter(t, func(f *standin.Fleet) {
 		f.Add(standin.Prompt, nil)
 		f.Add(standin.Answer, func(int, string) standin.Script {
-			return standin.Script{Raw: fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n%x;a=b\r\n%s\r\n0\r\n\r\n", len(odd), odd)}
+			return standin.Script{Raw: fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n%x;a=b\r\n%s\r\n0\r\n\r\n", len(event), event)}
 		})
 	})
-	if a := s.send("x", "question", 4000); !a.complete || !bytes.Equal([]byte(a.text), []byte(odd)) {
+	if a := s.send("x", "question", 4000); !a.complete || !bytes.Equal([]byte(a.text), []byte(event)) {
 		t.Errorf("%+v", a)
 	}
 }
 
-// A router is ready at once by what it knew, and soon where it knew nothing, though discovery says nothing; idle clients
-// that take every connection that clients may have cost neither its work nor the news once discovery is back.
+// A router that knows workers at its start is ready while discovery is silent. Idle clients that take every client
+// connection block neither requests nor the updates of discovery once it answers again.
 func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
 	var old, next *standin.Worker
 	s := startRouter(t, func(f *standin.Fleet) {
@@ -945,7 +947,7 @@
 	s.fleet.Set(old, "DRAINING")
 	s.fleet.SetMuted(false)
 	served := 0
-	s.waitFor("the news is followed", func() bool {
+	s.waitFor("the update is applied", func() bool {
 		served++
 		s.send(fmt.Sprint("n", served), "question", 4000)
 		n, _, _ := next.Count()
@@ -953,16 +955,16 @@
 	})
 }
 
-// A router that knows no worker, and whose discovery says nothing, is ready all the same.
-func TestReadyKnowingNothing(t *testing.T) {
+// A router that knows no worker becomes ready although discovery is silent.
+func TestReadyWithoutWorkers(t *testing.T) {
 	s := startRouter(t, func(f *standin.Fleet) { f.SetMuted(true) })
 	s.fleet.Add(standin.Prompt, nil)
 	s.fleet.Add(standin.Answer, nil)
 	s.fleet.SetMuted(false)
-	s.waitFor("it serves once discovery speaks", func() bool { return s.send("x", "question", 4000).status == 200 })
+	s.waitFor("it serves once discovery answers", func() bool { return s.send("x", "question", 4000).status == 200 })
 }
 
-// A client that takes a long stream late gets it whole, and others are served meanwhile.
+// A client that reads a long stream late receives all of it, and others are served meanwhile.
 func TestSlowReader(t *testing.T) {
 	const events = 2000
 	s := startRouter(t, func(f *standin.Fleet) {
--- a/internal/platform/hunt_test.go
+++ b/internal/platform/recovery_test.go
@@ -14,9 +14,9 @@
 	"gannethook/internal/platform/standin"
 )
 
-// A send that has not arrived does not stop the clock for the state that waits at the reader: where a writer's open
-// connection has fallen silent, the state is let go in time, although the attempt is not given up.
-func TestStateOutlivesNoSilentWriter(t *testing.T) {
+// A write that has not arrived must not extend how long the state is held at the reader: if the connection to the writer is
+// silent, the state is released in time although the attempt is still in flight.
+func TestStateReleasedWhileWriterIsSilent(t *testing.T) {
 	var reader *standin.Worker
 	s := startRouter(t, func(f *standin.Fleet) {
 		reader = f.Add(standin.Prompt, nil)
@@ -24,10 +24,10 @@
 	})
 	answered := make(chan response, 1)
 	go func() { answered <- s.send(standin.Unsafe+"1", "adjustment", 3000) }()
-	s.waitFor("it is read", func() bool { n, _, _ := reader.Count(); return n == 1 })
-	s.waitFor("its state waits", func() bool { return len(s.fleet.Left()) > 0 })
+	s.waitFor("the reader has the request", func() bool { n, _, _ := reader.Count(); return n == 1 })
+	s.waitFor("its state is held", func() bool { return len(s.fleet.Left()) > 0 })
 	start, lateness := time.Now(), s.fleet.Lateness()
-	s.waitFor("its state is let go", func() bool { return len(s.fleet.Left()) == 0 })
+	s.waitFor("its state is released", func() bool { return len(s.fleet.Left()) == 0 })
 	if held := time.Since(start) - (s.fleet.Lateness() - lateness); held > 800*ms {
 		t.Errorf("the state was held for %v", held)
 	}
@@ -36,9 +36,9 @@
 	}
 }
 
-// A configuration that can't be read as SIGHUP comes, because it is still being written or for a fault that passes, is
-// taken up as soon as it can be.
-func TestReloadIsTriedAgain(t *testing.T) {
+// A configuration that can't be read at SIGHUP, because it is still being written or because of a transient fault, is
+// applied as soon as it can be read. The error is logged once.
+func TestReloadIsRetried(t *testing.T) {
 	s := startRouter(t, addReaderAndWriter)
 	agent := s.fleet.NewAgent()
 	defer func() {
@@ -50,18 +50,18 @@
 		t.Fatal(err)
 	}
 	s.signals <- syscall.SIGHUP
-	s.waitFor("half a file is told", func() bool { return s.logs.FilterMessage("the new configuration is not taken up").Len() > 0 })
+	s.waitFor("the truncated file is logged", func() bool { return s.logs.FilterMessage("the new configuration is not taken up").Len() > 0 })
 	if err := os.WriteFile(s.configFile, complete, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	s.waitFor("the whole one is taken up", func() bool { return s.logs.FilterMessage("discovery has another address").Len() > 0 })
+	s.waitFor("the complete file is applied", func() bool { return s.logs.FilterMessage("discovery has another address").Len() > 0 })
 	if n := s.logs.FilterMessage("the new configuration is not taken up").Len(); n != 1 {
-		t.Errorf("it was told %d times", n)
+		t.Errorf("the error was logged %d times", n)
 	}
 }
 
-// A router whose port is still taken as it starts, as by its former process, waits for it.
-func TestListenWaitsForItsPort(t *testing.T) {
+// A router whose port is still in use at startup, as by its previous process, retries until the port is free.
+func TestListenWaitsForPort(t *testing.T) {
 	f := standin.New()
 	defer f.Close()
 	addReaderAndWriter(f)
--- a/internal/platform/reload.go
+++ b/internal/platform/reload.go
@@ -30,12 +30,14 @@
 // discovery and the listener.
 func maxConns(cfg *config.Config) int { return cfg.Sockets * 45 / 100 }
 
+// workerLimits returns the limits of connections and calls to workers.
 func workerLimits(cfg *config.Config) workers.Limits {
 	return workers.Limits{Conns: maxConns(cfg), IdlePerWorker: cfg.Sockets / 8,
 		Dial: dialTimeout(float64(cfg.Profile.DialTimeout)), Idle: idleTimeout(float64(cfg.Profile.Settings.ConnIdle)),
 		ReuseDelay: 50 * time.Millisecond, StreamIdle: 4500 * time.Millisecond, ReservationTimeout: time.Second, ReleaseTimeout: 120 * time.Millisecond}
 }
 
+// clientLimits returns the limits of connections and requests of clients.
 func clientLimits(cfg *config.Config) clients.Limits {
 	return clients.Limits{Conns: maxConns(cfg), Rejections: cfg.Sockets / 20, Body: 256 << 10, Bodies: cfg.Memory / 5,
 		Head: 2 * time.Second, Idle: 20 * time.Second, Write: 4 * time.Second, Shutdown: 500 * time.Millisecond}
@@ -51,6 +53,7 @@
 	return discovery.Source{Addr: cfg.Discovery, Timing: timing}
 }
 
+// names returns the names that requests refer to classes and tenants by.
 func names(cfg *config.Config) driver.Names {
 	return driver.Names{Classes: cfg.Profile.Classes, Tenants: cfg.Profile.Tenants}
 }
--- a/internal/platform/silence_test.go
+++ b/internal/platform/silence_test.go
@@ -11,7 +11,7 @@
 	"gannethook/internal/platform/standin"
 )
 
-// warmUp has so many requests served, so that silence tells something and connections to all workers stay open.
+// warmUp sends so many requests, so that the router knows usual response times and has open connections to all workers.
 func (s *harness) warmUp(requests int) {
 	s.t.Helper()
 	for n := range requests {
@@ -21,7 +21,7 @@
 	}
 }
 
-// wantReleasedWhileOpen waits until something is held for a request, and fails the test unless it is let go in time although
+// wantReleasedWhileOpen waits until something is held for a request, and fails the test unless it is released in time while
 // the request is still open.
 func (s *harness) wantReleasedWhileOpen(id string, answered <-chan response) {
 	s.t.Helper()
@@ -29,36 +29,36 @@
 	s.wantReleased(id)
 	select {
 	case a := <-answered:
-		s.t.Errorf("%s was answered before: %+v", id, a)
+		s.t.Errorf("%s was answered before the release: %+v", id, a)
 	default:
 	}
 }
 
-// sendAsync sends a request; its answer comes by the channel.
+// sendAsync sends a request and returns a channel that receives the response.
 func (s *harness) sendAsync(id, class string, timeout int) <-chan response {
 	answered := make(chan response, 1)
 	go func() { answered <- s.send(id, class, timeout) }()
 	return answered
 }
 
-// A place is held behind an answer of 204, while its read was written to readers that have fallen silent and never arrives.
-// It is let go in time although the read is out for the router, on new connections and on open ones.
-func TestPlaceBesideAReadThatNeverArrives(t *testing.T) {
-	for _, opened := range []bool{false, true} {
-		t.Run(fmt.Sprintf("on open connections %v", opened), func(t *testing.T) {
+// A place is held although its hold was answered with 204, and its read, written to silent readers, never arrives. The place
+// must be released in time although the router counts the read as in flight, on new and on open connections.
+func TestPlaceReleasedWhileReadIsLost(t *testing.T) {
+	for _, connected := range []bool{false, true} {
+		t.Run(fmt.Sprintf("on open connections %v", connected), func(t *testing.T) {
 			var readers []*standin.Worker
 			s := startRouter(t, func(f *standin.Fleet) {
 				f.Add(standin.Answer, nil)
 				f.Add(standin.Answer, nil)
 				for range 3 {
-					if opened {
+					if connected {
 						readers = append(readers, f.Add(standin.Prompt, nil))
 					} else {
 						f.AddSilent(standin.Prompt)
 					}
 				}
 			})
-			if opened {
+			if connected {
 				s.warmUp(30)
 			}
 			for _, r := range readers {
@@ -83,22 +83,22 @@
 	}
 }
 
-// manyAttempts allows a request more attempts than the stand-in's settings do, so that the module doesn't give a state up
-// for want of attempts.
+// manyAttempts raises the limit of attempts, so that the module does not abandon a state because no attempt is left.
 func manyAttempts(config map[string]any) {
 	text := strings.Replace(standin.Settings, `"maxAttempts":4`, `"maxAttempts":9`, 1)
 	config["settings"] = json.RawMessage(text)
 }
 
-// A state that a release spared for a write is let go once that write was called off, although the next attempt has been
-// sent and never arrives: whether it reads, as on the text of the report with one writer, or writes.
-func TestStateBesideAnAttemptThatNeverArrives(t *testing.T) {
+// A release preserves the state for a queued write. Once that write is cancelled the state must be released, although the
+// next attempt, a read or a write, has been sent and never arrives.
+func TestStateReleasedWhileAttemptIsLost(t *testing.T) {
 	t.Run("one writer", func(t *testing.T) { testPreservedState(t, 1) })
 	t.Run("another writer that is silent", func(t *testing.T) { testPreservedState(t, 2) })
 }
 
-// testPreservedState has all workers fall silent but the writer where a write waits. With that writer alone the next attempt may
-// be a write that waits there, so that the platform's own judgement counts; else all is to be let go while the request is open.
+// testPreservedState freezes all workers but the writer where a write is queued. With one writer the next attempt may be
+// queued there again, so only the stand-in's own checks apply; with two the state must be released while the request is
+// open.
 func testPreservedState(t *testing.T, writers int) {
 	var workers []*standin.Worker
 	const warmUpRequests = 60
@@ -117,7 +117,7 @@
 	})
 	s.warmUp(warmUpRequests)
 	answered := s.sendAsync("1", "question", 6000)
-	s.waitFor("its write waits", func() bool { return s.fleet.WriteQueued("1") })
+	s.waitFor("its write is queued", func() bool { return s.fleet.WriteQueued("1") })
 	var silent []*standin.Worker
 	for _, w := range workers {
 		if w.Kind == standin.Prompt || !s.fleet.Started("1", w) {
@@ -125,7 +125,7 @@
 			silent = append(silent, w)
 		}
 	}
-	s.waitFor("its write is called off", func() bool { return !s.fleet.WriteQueued("1") })
+	s.waitFor("its write is cancelled", func() bool { return !s.fleet.WriteQueued("1") })
 	if writers > 1 {
 		s.wantReleasedWhileOpen("1", answered)
 	}
@@ -135,30 +135,30 @@
 	}
 }
 
-// Guards against a second copy of a request that may not run twice: its reader hangs, the read is called off, and the worker that gets it next
-// begins it before the first can have noticed.
-func TestNoSecondCopyBeforeTheCloseIsNoticed(t *testing.T) {
-	for _, notice := range []time.Duration{0, 20 * ms} {
-		t.Run(fmt.Sprint("noticed after ", notice), func(t *testing.T) {
+// Guards against a second attempt of a request that must not run twice while the first is in flight: its reader freezes, the
+// read is cancelled, and another worker starts it before the first can have observed the close.
+func TestNoSecondAttemptBeforeCloseIsObserved(t *testing.T) {
+	for _, closeDelay := range []time.Duration{0, 20 * ms} {
+		t.Run(fmt.Sprint("noticed after ", closeDelay), func(t *testing.T) {
 			var once sync.Once
 			id := standin.Unsafe + "1"
-			hangs := func(_ int, of string) (s standin.Script) {
-				if of == id {
+			freezeOnce := func(_ int, requestID string) (s standin.Script) {
+				if requestID == id {
 					once.Do(func() { s.Freeze = true })
 				}
 				return s
 			}
 			var readers [2]*standin.Worker
 			s := startRouter(t, func(f *standin.Fleet) {
-				f.SetCloseDelay(notice)
-				readers[0], readers[1] = f.Add(standin.Prompt, hangs), f.Add(standin.Prompt, hangs)
+				f.SetCloseDelay(closeDelay)
+				readers[0], readers[1] = f.Add(standin.Prompt, freezeOnce), f.Add(standin.Prompt, freezeOnce)
 				f.Add(standin.Answer, nil)
 			})
 			s.warmUp(20)
 			s.wantServed(s.send(id, "adjustment", 8000), id)
 			for _, w := range readers {
 				if requests, _, _ := w.Count(); requests == 0 {
-					t.Errorf("%s was not asked", w.UID)
+					t.Errorf("%s got no request", w.UID)
 				}
 				if w.Frozen() {
 					w.Thaw()
--- a/internal/platform/wallclock_test.go
+++ b/internal/platform/wallclock_test.go
@@ -10,11 +10,11 @@
 	"testing"
 )
 
-// wallClock matches what reads the wall clock, or strips a time of its monotonic reading.
+// wallClock matches code that reads the wall clock, or strips the monotonic reading from a time.
 var wallClock = regexp.MustCompile(`\.Unix(Milli|Micro|Nano)?\(|\.Round\(0\)|WallClock\(|\.UTC\(|\.Local\(`)
 
-// Guards against a second reading of the wall clock, which may be stepped at any time: spans are of the monotonic clock. It is read once,
-// at the driver's start, and runs on from there by the monotonic one.
+// Guards against further readings of the wall clock, which may be stepped at any time. Durations must come from the
+// monotonic clock; the driver reads the wall clock once, at its start, and advances it by the monotonic clock.
 func TestTheWallClockIsReadOnce(t *testing.T) {
 	var found []string
 	for _, dir := range []string{".", "../driver", "../heldstate", "../holdmonitor", "../connpool", "../connreuse", "../streamdrain", "../attempt", "../guard",
