--- a/internal/platform/discovery/watch.go
+++ b/internal/platform/discovery/watch.go
@@ -49,7 +49,7 @@
 const (
 	pollWaitMin       = 3 * time.Second
 	pollWaitMax       = 20 * time.Second
-	pollWaitPerRouter = 400 * time.Millisecond // all routers together make two or three calls a second
+	pollWaitPerRouter = 400 * time.Millisecond // 8 to 50 routers together make 2.5 calls a second
 	pollGrace         = 1200 * time.Millisecond
 
 	// Spread of the first calls after a simultaneous start of the fleet, and of those
@@ -76,7 +76,7 @@
 
 const (
 	dialTimeout = 500 * time.Millisecond
-	maxBody     = 32 << 20
+	maxBody     = 32 << 20 // bytes of a list
 
 	maxTimeoutFactor = 8 // bound of the response timeout after slow responses, in multiples of ResponseTimeout
 )
--- a/internal/platform/standin/fleet.go
+++ b/internal/platform/standin/fleet.go
@@ -60,27 +60,27 @@
 	agent *httptest.Server
 
 	mu            sync.Mutex
-	listChanged   chan struct{}
-	rev           int64
+	listChanged   chan struct{} // closed and replaced at each change of the list
+	rev           int64         // of the list
 	workers       []*Worker
-	muted         bool
+	muted         bool                 // discovery does not answer
 	states        map[string]string    // by request: UID of the worker that has its state
 	places        map[string]string    // by request: UID of the worker that holds a place for it
 	inFlight      map[string]int       // by request: attempts in flight
 	readsInFlight map[string]int       // of these, the reads
 	queuedWrites  map[string]int       // of these, the writes in a writer's queue, which have not fetched the state yet
 	started       map[string][]*Worker // by request: workers that started an attempt of it
-	idle          map[string]idleSince
-	executions    map[string]int // by request: attempts at writers that may have run
-	bodies        map[string]string
+	idle          map[string]idleSince // by request: since when no attempt is in flight
+	executions    map[string]int       // by request: attempts at writers that may have run
+	bodies        map[string]string    // by request: target and body, the same for all attempts
 	violations    []string
 	closed        chan struct{}
 	lateness      atomic.Int64 // ns by which timers of this process were late, in total
 
-	closeDelay     time.Duration // after which a worker observes that a connection was closed
-	unsafeAttempts map[string][]*unsafeAttempt
-	discardedReads map[string]bool // requests with a read in flight whose state was released meanwhile: the read leaves none
-	denyUnknown    bool            // hold no place for a read that is not known
+	closeDelay     time.Duration               // after which a worker observes that a connection was closed
+	unsafeAttempts map[string][]*unsafeAttempt // by request
+	discardedReads map[string]bool             // requests with a read in flight whose state was released meanwhile: the read leaves none
+	denyUnknown    bool                        // hold no place for a read that is not known
 }
 
 // idleSince records when the last attempt of a request ended, and the lateness of the process at that time.
@@ -94,9 +94,9 @@
 	UID, Kind       string
 	fleet           *Fleet
 	server          *httptest.Server
-	state           string
-	boot            int64
-	rev             int64
+	state           string // in the list: SERVING, DRAINING or DELETED
+	boot            int64  // start time in Unix ms; 0: long ago
+	rev             int64  // of the list when the state last changed
 	script          func(n int, id string) Script
 	onStreamEnd     func(id string) // called after a stream is written completely
 	frozen          chan struct{}   // closed at the thaw; nil: not frozen
@@ -191,7 +191,7 @@
 	return c.Conn.Close()
 }
 
-// Set changes a worker's state in the list.
+// Set changes a worker's state in the list and notifies discovery's callers.
 func (f *Fleet) Set(w *Worker, state string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
