--- a/internal/endpoints/file.go
+++ b/internal/endpoints/file.go
@@ -14,16 +14,17 @@
 	"gannethook/internal/sexp"
 )
 
-// File follows a roster file (docs/settings.md): (server "host:port" (kind K)
-// (zone Z) (cell N) (state ready|draining) (started TIME)) forms.
+// File watches a file with the list of servers, in the form of docs/settings.md:
+// (server "host:port" (kind K) (zone Z) (cell N) (state ready|draining) (started TIME)).
 type File struct {
 	Path    string
-	Every   time.Duration // between two looks
+	Every   time.Duration // polling interval
 	Names   Names
-	Publish func(gannethook.Membership)
-	Report  func(error)
+	Publish func(gannethook.Membership) // called with each changed list
+	Report  func(error)                 // called once per distinct error
 }
 
+// fileEntry is a (server ...) form.
 type fileEntry struct {
 	At      sexp.Pos
 	Addr    string    `gann:"#,need"`
@@ -34,6 +35,7 @@
 	Started startTime `gann:"started"`
 }
 
+// fileState is the state of a server, as written in the file.
 type fileState gannethook.ServerState
 
 func (s *fileState) UnmarshalText(t []byte) error {
@@ -48,7 +50,7 @@
 	return nil
 }
 
-// startTime is in Unix milliseconds.
+// startTime is a time in Unix milliseconds, written in RFC 3339.
 type startTime float64
 
 func (s *startTime) UnmarshalText(t []byte) error {
@@ -60,7 +62,7 @@
 	return nil
 }
 
-// ParseFile reads a roster's text; path names it in errors.
+// ParseFile parses the text of a server file; path is used in errors only.
 func ParseFile(path, text string, names Names) ([]gannethook.Server, error) {
 	var f struct {
 		Servers []fileEntry `gann:"server"`
@@ -84,6 +86,7 @@
 	return list, nil
 }
 
+// server checks an entry and converts it.
 func (e *fileEntry) server(names Names) (gannethook.Server, error) {
 	s := gannethook.Server{ID: gannethook.ServerID(e.Addr), Kind: slices.Index(names.Kinds, e.Kind), Cell: e.Cell,
 		State: gannethook.ServerState(e.State), Since: gannethook.Millis(e.Started)}
@@ -104,28 +107,29 @@
 	return s, nil
 }
 
-// Run looks at the file until the context ends. A bad file changes nothing and is reported once.
+// Run polls the file until the context is done. An invalid file is reported once and leaves the list as it is.
 func (f *File) Run(ctx context.Context) {
 	table := NewTable(f.Names)
-	last, failed := "", ""
+	lastText, lastError := "", ""
 	for ctx.Err() == nil {
 		text, err := os.ReadFile(f.Path)
-		if err == nil && string(text) != last {
+		if err == nil && string(text) != lastText {
 			var list []gannethook.Server
 			if list, err = ParseFile(f.Path, string(text), f.Names); err == nil {
-				last, failed = string(text), ""
-				f.Publish(table.Set(list))
+				lastText, lastError = string(text), ""
+				f.Publish(table.SetServers(list))
 			}
 		}
-		if err != nil && err.Error() != failed {
-			failed = err.Error()
+		if err != nil && err.Error() != lastError {
+			lastError = err.Error()
 			f.Report(err)
 		}
-		pause(ctx, f.Every)
+		sleep(ctx, f.Every)
 	}
 }
 
-// SaveCache keeps a list for the next life: written whole beside the file, then put in its place.
+// SaveCache writes a list for the next start of the router. It writes a temporary file in the same
+// directory and renames it, so that readers never see a partial one.
 func SaveCache(path string, list []gannethook.Server) error {
 	text, err := json.Marshal(list)
 	if err != nil {
@@ -146,7 +150,8 @@
 	return os.Rename(tmp.Name(), path)
 }
 
-// LoadCache reads a kept list; none is no error. A damaged one is.
+// LoadCache reads a list written by SaveCache. A missing file or an empty path is no error, a malformed file
+// is. Servers that are Gone or whose kind is not in the settings any more are dropped.
 func LoadCache(path string, names Names) ([]gannethook.Server, error) {
 	text, err := os.ReadFile(path)
 	if os.IsNotExist(err) || path == "" {
--- a/internal/endpoints/table.go
+++ b/internal/endpoints/table.go
@@ -1,6 +1,8 @@
-// Package endpoints follows the list of engines: the Kubernetes EndpointSlice
-// watch (discovery.k8s.io/v1), or a file where a fleet has no such list.
-// Table is the pure part: objects in, changes out, no I/O and no clock.
+// Package endpoints discovers the servers that a router sends work to: Watch lists
+// and watches the EndpointSlices of a service through the Kubernetes API
+// (discovery.k8s.io/v1), and File polls a file in clusters without that API. Both
+// publish changes as gannethook.Membership. Table turns objects into changes,
+// without I/O and without reading the clock.
 package endpoints
 
 import (
@@ -16,7 +18,7 @@
 	"gannethook"
 )
 
-// Labels and annotations that tell what an EndpointSlice has no field for.
+// Labels and annotations for what an EndpointSlice has no field for.
 const (
 	ServiceLabel      = "kubernetes.io/service-name"
 	KindLabel         = "gannethook.dev/kind"
@@ -24,18 +26,18 @@
 	StartedAnnotation = "gannethook.dev/started" // JSON: "address:port" to RFC 3339 time
 )
 
-// maxServers bounds the table; what lies beyond is left out and told.
+// maxServers bounds the table; servers beyond it are skipped and reported.
 const maxServers = 10000
 
-// Slice is the part of an EndpointSlice that a router needs.
-type Slice struct {
-	Metadata  Meta       `json:"metadata"`
-	Endpoints []Endpoint `json:"endpoints"`
-	Ports     []Port     `json:"ports"`
+// EndpointSlice has the fields of the API's EndpointSlice that a router needs.
+type EndpointSlice struct {
+	Metadata  ObjectMeta     `json:"metadata"`
+	Endpoints []Endpoint     `json:"endpoints"`
+	Ports     []EndpointPort `json:"ports"`
 }
 
-// Meta is an object's metadata.
-type Meta struct {
+// ObjectMeta is the metadata of an API object or list.
+type ObjectMeta struct {
 	Name            string            `json:"name,omitempty"`
 	Namespace       string            `json:"namespace,omitempty"`
 	ResourceVersion string            `json:"resourceVersion,omitempty"`
@@ -43,34 +45,35 @@
 	Annotations     map[string]string `json:"annotations,omitempty"`
 }
 
-// Endpoint is one endpoint of a slice.
+// Endpoint is an endpoint of a slice; only its first address is used.
 type Endpoint struct {
-	Addresses  []string   `json:"addresses"`
-	Conditions Conditions `json:"conditions"`
-	Zone       string     `json:"zone,omitempty"`
-	TargetRef  *Ref       `json:"targetRef,omitempty"`
+	Addresses  []string         `json:"addresses"`
+	Conditions Conditions       `json:"conditions"`
+	Zone       string           `json:"zone,omitempty"`
+	TargetRef  *ObjectReference `json:"targetRef,omitempty"`
 }
 
-// Conditions of an endpoint; a missing one has its documented meaning.
+// Conditions of an endpoint. By the API, a missing ready means true, a missing
+// serving the value of ready, and a missing terminating false.
 type Conditions struct {
 	Ready       *bool `json:"ready,omitempty"`
 	Serving     *bool `json:"serving,omitempty"`
 	Terminating *bool `json:"terminating,omitempty"`
 }
 
-// Ref names the pod behind an endpoint.
-type Ref struct {
+// ObjectReference refers to the pod of an endpoint.
+type ObjectReference struct {
 	UID string `json:"uid"`
 }
 
-// Port is one port of a slice.
-type Port struct {
+// EndpointPort is a port of a slice; only the first one is used.
+type EndpointPort struct {
 	Name string `json:"name,omitempty"`
 	Port int    `json:"port"`
 }
 
-// state maps conditions to the module's: ready is Ready; terminating, or no
-// longer ready but serving, is Draining; the rest is Gone.
+// state maps the conditions to a server state: ready and not terminating is Ready;
+// terminating, or serving but not ready, is Draining; everything else is Gone.
 func (c Conditions) state() gannethook.ServerState {
 	ready := c.Ready == nil || *c.Ready
 	serving := c.Serving == nil && ready || c.Serving != nil && *c.Serving
@@ -84,113 +87,117 @@
 	return gannethook.Gone
 }
 
-// Names are the settings' names, whose places the module knows.
+// Names are the names of kinds and zones in the settings. Servers refer to them
+// by index.
 type Names struct {
 	Kinds, Zones []string
-	Any          bool // kinds are not told: all are one
+	Any          bool // ignore the kind label: every server has kind 0
 }
 
-// entry is a server with what tells one life of it from the next.
+// entry is a server with the UID of its pod, which distinguishes incarnations at one address.
 type entry struct {
 	gannethook.Server
 	uid string
 }
 
-// Table is the list of servers as the slices tell it.
+// Table is the list of servers, computed from EndpointSlices. It is not safe for concurrent use.
 type Table struct {
-	names  Names
-	slices map[string]Slice
-	known  map[gannethook.ServerID]entry
-	listed bool
-	Faults []string // what the last call had to leave out, and why
+	names   Names
+	slices  map[string]EndpointSlice
+	servers map[gannethook.ServerID]entry
+	listed  bool     // a list was received
+	Skipped []string // what the last update could not use, and why
 }
 
 // NewTable returns an empty table.
 func NewTable(names Names) *Table {
-	return &Table{names: names, slices: map[string]Slice{}, known: map[gannethook.ServerID]entry{}}
+	return &Table{names: names, slices: map[string]EndpointSlice{}, servers: map[gannethook.ServerID]entry{}}
 }
 
-// List takes the whole list; now, in Unix milliseconds, is when servers that are
-// new since an earlier list are taken to have started unless told otherwise.
-func (t *Table) List(items []Slice, now gannethook.Millis) gannethook.Membership {
+// Replace takes the result of a list request. now, in Unix milliseconds, is the
+// assumed start time of servers that were not in an earlier list and have no
+// annotated start time; in the first list, their start time is unknown (0).
+func (t *Table) Replace(items []EndpointSlice, now gannethook.Millis) gannethook.Membership {
 	clear(t.slices)
 	for _, s := range items {
 		t.slices[s.key()] = s
 	}
-	t.apply(now)
-	return t.Whole()
+	t.recompute(now)
+	return t.Snapshot()
 }
 
-// Change takes one object of the watch: ADDED, MODIFIED or DELETED.
-func (t *Table) Change(kind string, s Slice, now gannethook.Millis) (gannethook.Membership, error) {
+// ApplyEvent takes an event of the watch, ADDED, MODIFIED or DELETED, and returns the changes.
+func (t *Table) ApplyEvent(kind string, s EndpointSlice, now gannethook.Millis) (gannethook.Membership, error) {
 	switch kind {
 	case "ADDED", "MODIFIED":
 		t.slices[s.key()] = s
 	case "DELETED":
 		delete(t.slices, s.key())
 	default:
-		return gannethook.Membership{}, fmt.Errorf("roster: event type %q is not known", kind)
+		return gannethook.Membership{}, fmt.Errorf("watch: unknown event type %q", kind)
 	}
-	return gannethook.Membership{Servers: t.apply(now)}, nil
+	return gannethook.Membership{Servers: t.recompute(now)}, nil
 }
 
-// Set takes a whole list that is not made of slices: a file's, or a cache's. It
-// does not count as an earlier list: what a router slept through is not news.
-func (t *Table) Set(servers []gannethook.Server) gannethook.Membership {
-	clear(t.known)
+// SetServers takes a complete list from a file or a cache. It does not count as an
+// earlier list in Replace: a server that is missing in a cache may have started
+// while the router was down, so its start time stays unknown.
+func (t *Table) SetServers(servers []gannethook.Server) gannethook.Membership {
+	clear(t.servers)
 	for _, s := range servers {
-		t.known[s.ID] = entry{Server: s}
+		t.servers[s.ID] = entry{Server: s}
 	}
-	return t.Whole()
+	return t.Snapshot()
 }
 
-// Whole is the whole list, in order of id.
-func (t *Table) Whole() gannethook.Membership {
+// Snapshot returns the complete list, ordered by ID.
+func (t *Table) Snapshot() gannethook.Membership {
 	m := gannethook.Membership{Whole: true}
-	for _, id := range slices.Sorted(maps.Keys(t.known)) {
-		m.Servers = append(m.Servers, t.known[id].Server)
+	for _, id := range slices.Sorted(maps.Keys(t.servers)) {
+		m.Servers = append(m.Servers, t.servers[id].Server)
 	}
 	return m
 }
 
-func (s *Slice) key() string { return s.Metadata.Namespace + "/" + s.Metadata.Name }
+func (s *EndpointSlice) key() string { return s.Metadata.Namespace + "/" + s.Metadata.Name }
 
-// apply works out the servers anew and returns what changed, in order of id.
-func (t *Table) apply(now gannethook.Millis) []gannethook.Server {
-	t.Faults = t.Faults[:0]
-	fresh := map[gannethook.ServerID]entry{}
+// recompute derives the servers from the slices and returns the changes, ordered by ID.
+func (t *Table) recompute(now gannethook.Millis) []gannethook.Server {
+	t.Skipped = t.Skipped[:0]
+	current := map[gannethook.ServerID]entry{}
 	for _, key := range slices.Sorted(maps.Keys(t.slices)) {
 		s := t.slices[key]
-		t.addSlice(&s, fresh)
+		t.addSlice(&s, current)
 	}
 	var changed []gannethook.Server
-	for id, e := range fresh {
-		old, was := t.known[id]
-		e.Since = t.since(e, old, was, now)
-		fresh[id] = e
-		if !was || old.Server != e.Server {
+	for id, e := range current {
+		old, known := t.servers[id]
+		e.Since = t.startedAt(e, old, known, now)
+		current[id] = e
+		if !known || old.Server != e.Server {
 			changed = append(changed, e.Server)
 		}
 	}
-	for id, old := range t.known {
-		if _, is := fresh[id]; !is {
+	for id, old := range t.servers {
+		if _, present := current[id]; !present {
 			old.State = gannethook.Gone
 			changed = append(changed, old.Server)
 		}
 	}
-	t.known, t.listed = fresh, true
+	t.servers, t.listed = current, true
 	slices.SortFunc(changed, func(a, b gannethook.Server) int { return cmp.Compare(a.ID, b.ID) })
 	return changed
 }
 
-// since is when a server started: as annotated, else as it was, else now for one
-// that came or changed its pod after the first list. Rule 4 needs it: a pod
-// that is new to a router is taken to be cold.
-func (t *Table) since(e, old entry, was bool, now gannethook.Millis) gannethook.Millis {
+// startedAt returns the start time of a server: the annotated one, else that of the
+// same pod before, else now for a server or pod that appeared after the first
+// list, else 0 (unknown). Slow start needs it: a pod that appears later is taken
+// to have just started.
+func (t *Table) startedAt(e, old entry, known bool, now gannethook.Millis) gannethook.Millis {
 	switch {
 	case e.Since > 0:
 		return e.Since
-	case was && (e.uid == old.uid || old.uid == ""):
+	case known && (e.uid == old.uid || old.uid == ""):
 		return old.Since
 	case t.listed:
 		return now
@@ -198,25 +205,26 @@
 	return 0
 }
 
-func (t *Table) addSlice(s *Slice, into map[gannethook.ServerID]entry) {
+// addSlice adds the endpoints of a slice that are not Gone.
+func (t *Table) addSlice(s *EndpointSlice, servers map[gannethook.ServerID]entry) {
 	kind := slices.Index(t.names.Kinds, s.Metadata.Labels[KindLabel])
 	if t.names.Any {
 		kind = 0
 	}
 	if kind < 0 {
-		t.Faults = append(t.Faults, fmt.Sprintf("slice %s: label %s=%q is no kind of the settings", s.key(),
+		t.Skipped = append(t.Skipped, fmt.Sprintf("slice %s skipped: label %s=%q is not a kind of the settings", s.key(),
 			KindLabel, s.Metadata.Labels[KindLabel]))
 		return
 	}
 	if len(s.Ports) == 0 {
-		t.Faults = append(t.Faults, fmt.Sprintf("slice %s: no port", s.key()))
+		t.Skipped = append(t.Skipped, fmt.Sprintf("slice %s skipped: no port", s.key()))
 		return
 	}
 	cell, _ := strconv.Atoi(s.Metadata.Labels[CellLabel])
 	started := map[string]time.Time{}
 	if text := s.Metadata.Annotations[StartedAnnotation]; text != "" {
 		if err := json.Unmarshal([]byte(text), &started); err != nil {
-			t.Faults = append(t.Faults, fmt.Sprintf("slice %s: %s: %v", s.key(), StartedAnnotation, err))
+			t.Skipped = append(t.Skipped, fmt.Sprintf("slice %s: malformed annotation %s: %v", s.key(), StartedAnnotation, err))
 		}
 	}
 	for _, ep := range s.Endpoints {
@@ -232,18 +240,19 @@
 		if ep.TargetRef != nil {
 			e.uid = ep.TargetRef.UID
 		}
-		t.add(e, into)
+		t.addServer(e, servers)
 	}
 }
 
-// add keeps the better of two entries of one server: slices overlap while an endpoint moves between them.
-func (t *Table) add(e entry, into map[gannethook.ServerID]entry) {
-	if old, twice := into[e.ID]; twice && old.State <= e.State {
+// addServer adds an entry. Slices overlap while an endpoint moves between them; of two entries of one
+// server it keeps the one in the better state.
+func (t *Table) addServer(e entry, servers map[gannethook.ServerID]entry) {
+	if old, duplicate := servers[e.ID]; duplicate && old.State <= e.State {
 		return
 	}
-	if len(into) >= maxServers {
-		t.Faults = append(t.Faults, fmt.Sprintf("server %s: over %d servers", e.ID, maxServers))
+	if len(servers) >= maxServers {
+		t.Skipped = append(t.Skipped, fmt.Sprintf("server %s skipped: more than %d servers", e.ID, maxServers))
 		return
 	}
-	into[e.ID] = e
+	servers[e.ID] = e
 }
--- a/internal/endpoints/watch.go
+++ b/internal/endpoints/watch.go
@@ -16,66 +16,69 @@
 	"gannethook/internal/http1"
 )
 
-// Bounds of the roster's answers.
+// Size limits of the API's responses.
 const (
-	maxList  = 32 << 20
-	maxEvent = 4 << 20
+	maxListBytes  = 32 << 20 // a list response
+	maxEventBytes = 4 << 20  // an event of a watch
 )
 
-var errGone = errors.New("roster: the watch's version is too old")
+// errVersionExpired is the API's 410 Gone: the resource version is no longer available.
+var errVersionExpired = errors.New("resource version expired (410); listing again")
 
-// Watch follows the EndpointSlices of a service. A lost watch leaves the last
-// list as it is and is taken up again after a growing, jittered wait.
+// Watch lists and watches the EndpointSlices of a service. While the connection is
+// lost, the last list stays valid; the watch is resumed from the last resource
+// version, after an exponential backoff with jitter.
 type Watch struct {
-	Addr      string // host:port of the API
+	Addr      string // host:port of the Kubernetes API
 	Namespace string
-	Service   string
-	Agent     string        // names this router to the API
-	Silence   time.Duration // a watch without a line for so long is taken as lost; bookmarks come more often
-	Seed      uint64
+	Service   string        // "": all slices of the namespace
+	Agent     string        // name of this router, for the User-Agent header
+	Silence   time.Duration // idle timeout of a watch; must exceed the API's interval of bookmarks
+	Seed      uint64        // of the jitter
 	Names     Names
-	Start     []gannethook.Server // the last list of an earlier life
-	Publish   func(gannethook.Membership)
-	Keep      func([]gannethook.Server) // called with each new whole list
-	Report    func(error)               // what went wrong, for the log
+	Start     []gannethook.Server         // cached list of an earlier run, published first
+	Publish   func(gannethook.Membership) // called with each list and change
+	Keep      func([]gannethook.Server)   // called with the complete list after each change; may be nil
+	Report    func(error)                 // called with errors, for the log
 
-	heard int // lists and events
+	received int // lists and events received, to reset the backoff
 }
 
-// Run follows until the context ends.
+// Run watches until the context is done.
 func (w *Watch) Run(ctx context.Context) {
 	table := NewTable(w.Names)
 	if len(w.Start) > 0 {
-		w.Publish(table.Set(w.Start))
+		w.Publish(table.SetServers(w.Start))
 	}
 	rnd := rand.New(rand.NewPCG(w.Seed, 0x726f73746572))
-	version, tries := "", 0
+	resourceVersion, attempt := "", 0
 	for ctx.Err() == nil {
-		heard := w.heard
-		next, err := w.follow(ctx, table, version)
-		if w.heard != heard {
-			tries = 0
+		before := w.received
+		next, err := w.listAndWatch(ctx, table, resourceVersion)
+		if w.received != before {
+			attempt = 0
 		}
-		if version = next; errors.Is(err, errGone) {
-			version = ""
+		if resourceVersion = next; errors.Is(err, errVersionExpired) {
+			resourceVersion = ""
 		}
 		if ctx.Err() != nil {
 			return
 		}
 		w.Report(err)
-		pause(ctx, Backoff(tries, rnd.Float64()))
-		tries++
+		sleep(ctx, Backoff(attempt, rnd.Float64()))
+		attempt++
 	}
 }
 
-// Backoff is the wait before try n: 100 ms, doubled up to 6.4 s, of which a
-// random half is taken off so that routers do not come back together.
+// Backoff returns the wait before retry n, counted from 0: 100 ms, doubled up to
+// 6.4 s, of which up to half is subtracted at random so that the routers of a
+// fleet do not reconnect at the same time. unit is a random number from 0 to 1.
 func Backoff(n int, unit float64) time.Duration {
 	full := 100 * time.Millisecond << min(n, 6)
 	return full/2 + time.Duration(unit*float64(full/2))
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -84,19 +87,20 @@
 	}
 }
 
-// follow lists unless a version is known, then watches. It returns the version
-// to go on from; "" if nothing was heard.
-func (w *Watch) follow(ctx context.Context, table *Table, version string) (string, error) {
-	if version == "" {
+// listAndWatch lists, unless a resource version is known, then watches. It returns
+// the resource version to resume from; "" if the list failed.
+func (w *Watch) listAndWatch(ctx context.Context, table *Table, resourceVersion string) (string, error) {
+	if resourceVersion == "" {
 		var err error
-		if version, err = w.list(ctx, table); err != nil {
+		if resourceVersion, err = w.list(ctx, table); err != nil {
 			return "", err
 		}
 	}
-	return w.watch(ctx, table, version)
+	return w.watch(ctx, table, resourceVersion)
 }
 
-func (w *Watch) path(watch bool, version string) string {
+// requestPath returns the path of a list or watch request.
+func (w *Watch) requestPath(watch bool, resourceVersion string) string {
 	q := url.Values{}
 	if w.Service != "" {
 		q.Set("labelSelector", ServiceLabel+"="+w.Service)
@@ -104,25 +108,25 @@
 	if watch {
 		q.Set("watch", "1")
 		q.Set("allowWatchBookmarks", "true")
-		q.Set("resourceVersion", version)
+		q.Set("resourceVersion", resourceVersion)
 	}
 	return "/apis/discovery.k8s.io/v1/namespaces/" + url.PathEscape(w.Namespace) + "/endpointslices?" + q.Encode()
 }
 
-// get sends a request; the returned close ends the connection.
-func (w *Watch) get(ctx context.Context, path string) (body io.Reader, nc net.Conn, shut func(), err error) {
+// get sends a request on a new connection; the returned closeConn closes it.
+func (w *Watch) get(ctx context.Context, path string) (body io.Reader, nc net.Conn, closeConn func(), err error) {
 	d := net.Dialer{Timeout: 2 * time.Second}
 	if nc, err = d.DialContext(ctx, "tcp", w.Addr); err != nil {
 		return nil, nil, nil, err
 	}
-	stop, opened := context.AfterFunc(ctx, func() { nc.Close() }), nc
-	shut = func() { stop(); opened.Close() }
-	defer func(shut func()) {
+	stop, conn := context.AfterFunc(ctx, func() { nc.Close() }), nc
+	closeConn = func() { stop(); conn.Close() }
+	defer func(closeConn func()) {
 		if err != nil {
-			shut()
+			closeConn()
 		}
-	}(shut)
-	nc.SetDeadline(time.Now().Add(10 * time.Second))
+	}(closeConn)
+	nc.SetDeadline(time.Now().Add(10 * time.Second)) // for the whole list; watch extends it with each event
 	bw := bufio.NewWriter(nc)
 	http1.WriteHead(bw, "GET "+path+" HTTP/1.1", http1.Header{{Name: "Host", Value: w.Addr},
 		{Name: "Accept", Value: "application/json"}, {Name: "User-Agent", Value: "gannethook/" + w.Agent}})
@@ -135,35 +139,37 @@
 		return nil, nil, nil, err
 	}
 	if res.Status == 410 {
-		return nil, nil, nil, errGone
+		return nil, nil, nil, errVersionExpired
 	}
 	if res.Status != 200 {
-		return nil, nil, nil, fmt.Errorf("roster: status %d", res.Status)
+		return nil, nil, nil, fmt.Errorf("unexpected status %d", res.Status)
 	}
 	b, err := http1.ResponseBody(br, res)
-	return b, nc, shut, err
+	return b, nc, closeConn, err
 }
 
-func (w *Watch) list(ctx context.Context, table *Table) (version string, err error) {
-	body, _, shut, err := w.get(ctx, w.path(false, ""))
+// list replaces the table by a full list and returns its resource version.
+func (w *Watch) list(ctx context.Context, table *Table) (resourceVersion string, err error) {
+	body, _, closeConn, err := w.get(ctx, w.requestPath(false, ""))
 	if err != nil {
 		return "", fmt.Errorf("list: %w", err)
 	}
-	defer shut()
+	defer closeConn()
 	var list struct {
-		Metadata Meta    `json:"metadata"`
-		Items    []Slice `json:"items"`
+		Metadata ObjectMeta      `json:"metadata"`
+		Items    []EndpointSlice `json:"items"`
 	}
-	if err := json.NewDecoder(io.LimitReader(body, maxList)).Decode(&list); err != nil {
+	if err := json.NewDecoder(io.LimitReader(body, maxListBytes)).Decode(&list); err != nil {
 		return "", fmt.Errorf("list: %w", err)
 	}
-	w.heard++
-	w.publish(table, table.List(list.Items, wall()))
+	w.received++
+	w.publish(table, table.Replace(list.Items, nowMillis()))
 	return list.Metadata.ResourceVersion, nil
 }
 
+// publish reports what the table skipped, and publishes m unless it is an empty change.
 func (w *Watch) publish(table *Table, m gannethook.Membership) {
-	for _, f := range table.Faults {
+	for _, f := range table.Skipped {
 		w.Report(errors.New(f))
 	}
 	if !m.Whole && len(m.Servers) == 0 {
@@ -171,34 +177,35 @@
 	}
 	w.Publish(m)
 	if w.Keep != nil {
-		w.Keep(table.Whole().Servers)
+		w.Keep(table.Snapshot().Servers)
 	}
 }
 
-// watch reads changes until the connection ends; each line is one event.
-func (w *Watch) watch(ctx context.Context, table *Table, version string) (string, error) {
-	body, nc, shut, err := w.get(ctx, w.path(true, version))
+// watch reads events, one per line, until the connection ends. It returns the last resource version.
+func (w *Watch) watch(ctx context.Context, table *Table, resourceVersion string) (string, error) {
+	body, nc, closeConn, err := w.get(ctx, w.requestPath(true, resourceVersion))
 	if err != nil {
-		return version, fmt.Errorf("watch: %w", err)
+		return resourceVersion, fmt.Errorf("watch: %w", err)
 	}
-	defer shut()
+	defer closeConn()
 	lines := bufio.NewScanner(body)
-	lines.Buffer(make([]byte, 0, 16<<10), maxEvent)
+	lines.Buffer(make([]byte, 0, 16<<10), maxEventBytes)
 	for {
 		nc.SetDeadline(time.Now().Add(w.Silence))
 		if !lines.Scan() {
-			return version, fmt.Errorf("watch ended: %w", orEOF(lines.Err()))
+			return resourceVersion, fmt.Errorf("watch ended: %w", orEOF(lines.Err()))
 		}
-		next, err := w.event(table, lines.Bytes())
+		next, err := w.handleEvent(table, lines.Bytes())
 		if err != nil {
-			return version, err
+			return resourceVersion, err
 		}
 		if next != "" {
-			version = next
+			resourceVersion = next
 		}
 	}
 }
 
+// orEOF replaces the nil error of a Scanner at its end by io.EOF.
 func orEOF(err error) error {
 	if err == nil {
 		return io.EOF
@@ -206,8 +213,8 @@
 	return err
 }
 
-// event takes one line of the watch and returns its version.
-func (w *Watch) event(table *Table, line []byte) (version string, err error) {
+// handleEvent processes an event and returns the resource version of its object.
+func (w *Watch) handleEvent(table *Table, line []byte) (resourceVersion string, err error) {
 	var ev struct {
 		Type   string          `json:"type"`
 		Object json.RawMessage `json:"object"`
@@ -216,25 +223,25 @@
 		return "", fmt.Errorf("watch: %w", err)
 	}
 	if ev.Type != "ERROR" {
-		w.heard++
+		w.received++
 	} else {
 		var status struct {
 			Code    int    `json:"code"`
 			Message string `json:"message"`
 		}
 		if json.Unmarshal(ev.Object, &status); status.Code == 410 {
-			return "", errGone
+			return "", errVersionExpired
 		}
-		return "", fmt.Errorf("watch: error %d %s", status.Code, status.Message)
+		return "", fmt.Errorf("watch: error event: %d %s", status.Code, status.Message)
 	}
-	var s Slice
+	var s EndpointSlice
 	if err := json.Unmarshal(ev.Object, &s); err != nil {
 		return "", fmt.Errorf("watch: %w", err)
 	}
 	if ev.Type == "BOOKMARK" {
 		return s.Metadata.ResourceVersion, nil
 	}
-	m, err := table.Change(ev.Type, s, wall())
+	m, err := table.ApplyEvent(ev.Type, s, nowMillis())
 	if err != nil {
 		return "", err
 	}
@@ -242,4 +249,5 @@
 	return s.Metadata.ResourceVersion, nil
 }
 
-func wall() gannethook.Millis { return gannethook.Millis(float64(time.Now().UnixMicro()) / 1000) }
+// nowMillis returns the wall clock in Unix milliseconds.
+func nowMillis() gannethook.Millis { return gannethook.Millis(float64(time.Now().UnixMicro()) / 1000) }
--- a/internal/fleet/file.go
+++ b/internal/fleet/file.go
@@ -1,6 +1,8 @@
-// Package fleet is the operators' tool: it knows a fleet's routers from a file,
-// shows them, gives them commands and carries out rollouts. What a router did
-// is taken from the router alone; where that is not known, it says so.
+// Package fleet is the library of the operators' fleet tool. It reads the routers
+// of a fleet from a file, shows their status, sends them commands over their
+// control planes, and runs rollouts with a journal on disk. The outcome of a
+// command is only what the router itself reports; if it can't be learnt from the
+// router, the outcome is Unknown.
 package fleet
 
 import (
@@ -16,19 +18,19 @@
 	"gannethook/internal/sexp"
 )
 
-// File is a fleet file; docs/fleet.md has its forms.
+// File is a fleet file; its forms are described in docs/fleet.md.
 type File struct {
 	At        sexp.Pos
 	Name      string   `gann:"fleet,need"`
 	Domain    string   `gann:"domain"` // trust domain of the certificates
-	Cert      string   `gann:"cert"`   // the operator's, PEM files; beside the fleet file
+	Cert      string   `gann:"cert"`   // the operator's, PEM files; relative to the fleet file
 	Key       string   `gann:"key"`
 	Authority string   `gann:"authority"`
 	Routers   []Router `gann:"router,need"`
 	Times     Times    `gann:"times"`
 	Rollout   Rollout  `gann:"rollout"`
 
-	dir string
+	dir string // of the fleet file
 }
 
 // Router is one router of the fleet.
@@ -39,19 +41,19 @@
 	Centre   string        `gann:"centre,need"`
 	Labels   []string      `gann:"labels"`
 	Capacity float64       `gann:"capacity"`
-	Expect   time.Duration `gann:"expect"` // of a restart; 0: the rollout's
+	Expect   time.Duration `gann:"expect"` // expected duration of a restart; 0: that of (rollout ...)
 }
 
-// Times bound what the tool waits for.
+// Times are the timeouts of calls and commands.
 type Times struct {
-	Call  time.Duration `gann:"call"`  // an answer to a question
-	Drain time.Duration `gann:"drain"` // of drains, stops and restarts, unless the command says
-	Start time.Duration `gann:"start"` // a successor is ready by then
-	Hang  time.Duration `gann:"hang"`  // beyond a limit, before a router is taken to hang
-	Again time.Duration `gann:"again"` // a router that broke off is looked for so long
+	Call  time.Duration `gann:"call"`  // of a status or other query
+	Drain time.Duration `gann:"drain"` // default limit of drains, stops and restarts
+	Start time.Duration `gann:"start"` // until the successor of a restart is ready, or a reload is done
+	Hang  time.Duration `gann:"hang"`  // added to a limit before a router is assumed to hang
+	Again time.Duration `gann:"again"` // how long a command's result is queried after its call broke
 }
 
-// Rollout has the constraints of rollouts.
+// Rollout has the constraints of rollouts; rollout.Limits explains them.
 type Rollout struct {
 	Share       float64       `gann:"share"`
 	CentreShare float64       `gann:"centre-share"`
@@ -66,9 +68,10 @@
 	Service     float64       `gann:"service"`
 	Window      time.Duration `gann:"window"`
 	Enough      int           `gann:"enough"`
-	Look        time.Duration `gann:"look"` // between two looks at a router
+	Look        time.Duration `gann:"look"` // polling interval of a router's status
 }
 
+// defaults returns the values of what a file leaves out.
 func defaults() *File {
 	return &File{
 		Times: Times{Call: 3 * time.Second, Drain: 30 * time.Second, Start: 15 * time.Second, Hang: 5 * time.Second,
@@ -79,14 +82,14 @@
 	}
 }
 
-// Load reads and checks a fleet file. Relative paths in it start at its folder.
+// Load reads and checks a fleet file. Relative paths in it are relative to its directory.
 func Load(path string) (*File, error) {
 	f := defaults()
 	f.dir = filepath.Dir(path)
 	return sexp.Checked(f, sexp.ReadFile(path, f), f.check)
 }
 
-// Parse reads and checks a text; name stands for its file in errors.
+// Parse reads and checks the text of a fleet file; name is used in errors.
 func Parse(name, text string) (*File, error) {
 	f := defaults()
 	return sexp.Checked(f, sexp.Read(name, text, f), f.check)
@@ -106,12 +109,12 @@
 		case seen[r.Name]:
 			return sexp.Errorf(r.At, "router %q is given twice", r.Name)
 		case strings.ContainsAny(r.Name, "=/ "):
-			return sexp.Errorf(r.At, "router %q: a name has no =, / or space", r.Name)
+			return sexp.Errorf(r.At, "router %q: a name must not contain =, / or space", r.Name)
 		}
 		seen[r.Name] = true
 		if path, ok := strings.CutPrefix(r.Control, "unix:"); ok {
 			if path == "" {
-				return sexp.Errorf(r.At, "(at ...): a path is due after unix:")
+				return sexp.Errorf(r.At, "(at ...): unix: needs a path")
 			}
 			continue
 		}
@@ -130,52 +133,53 @@
 	o := &f.Rollout
 	switch {
 	case o.Share > 1 || o.CentreShare > 1 || o.Service > 1:
-		return sexp.Errorf(f.At, "(rollout ...): share, centre-share and service are 1 at the most")
+		return sexp.Errorf(f.At, "(rollout ...): share, centre-share and service must be at most 1")
 	case o.Look <= 0 || o.Silence < 2*o.Look:
-		return sexp.Errorf(f.At, "(rollout ...): silence is two looks at the least, and a look above 0")
+		return sexp.Errorf(f.At, "(rollout ...): look must be above 0, and silence at least twice look")
 	case slices.ContainsFunc(f.Routers, func(r Router) bool { return o.Patience > 0 && r.Expect >= o.Patience }):
-		return sexp.Errorf(f.At, "(rollout ...): patience is longer than a restart is expected to take")
+		return sexp.Errorf(f.At, "(rollout ...): patience must be longer than any router's expected restart")
 	case o.Service > 0 && (o.Window <= 0 || o.Enough < 1):
-		return sexp.Errorf(f.At, "(rollout ...): service needs a window and enough")
+		return sexp.Errorf(f.At, "(rollout ...): service needs a window above 0 and enough of at least 1")
 	case f.Times.Call <= 0 || f.Times.Drain <= 0 || f.Times.Start <= 0:
-		return sexp.Errorf(f.At, "(times ...): call, drain and start are above 0")
+		return sexp.Errorf(f.At, "(times ...): call, drain and start must be above 0")
 	}
 	return nil
 }
 
-// Possible tells which of the routers no rollout can restart. It is no error
-// of the file: a fleet may be too small for rollouts and take drains all the same.
+// Possible returns an error that names the routers which no rollout can restart
+// within the constraints. Load accepts such a file: a fleet that is too small for
+// rollouts can still be drained and restarted by single commands.
 func (f *File) Possible(todo []Router) error {
 	var names []string
-	for _, name := range rollout.Impossible(f.Members(f.Routers), f.Limits()) {
+	for _, name := range rollout.Infeasible(f.Members(f.Routers), f.Limits()) {
 		if slices.ContainsFunc(todo, func(r Router) bool { return r.Name == name }) {
 			names = append(names, name)
 		}
 	}
 	if len(names) > 0 {
-		return sexp.Errorf(f.At, "(rollout ...): %s can never be down under share, centre-share and down", strings.Join(names, ", "))
+		return sexp.Errorf(f.At, "(rollout ...): %s can't be restarted within share, centre-share and down", strings.Join(names, ", "))
 	}
 	return nil
 }
 
-// Limits are the rollout's constraints, as the planner takes them.
+// Limits returns the constraints of rollouts for the planner.
 func (f *File) Limits() rollout.Limits {
 	o := f.Rollout
-	return rollout.Limits{Share: o.Share, CentreShare: o.CentreShare, Down: o.Down, Canaries: o.Canaries, Watch: o.Watch,
-		Settle: o.Settle, Silence: o.Silence, Patience: o.Patience, Failures: o.Failures, Service: o.Service,
-		Window: o.Window, Enough: o.Enough}
+	return rollout.Limits{MinCapacity: o.Share, MinCentreCapacity: o.CentreShare, MaxDown: o.Down, Canaries: o.Canaries, CanaryWatch: o.Watch,
+		SettleTime: o.Settle, StatusTimeout: o.Silence, ProgressDeadline: o.Patience, MaxFailures: o.Failures, MinServed: o.Service,
+		ServedWindow: o.Window, MinRequests: o.Enough}
 }
 
-// Members are routers as the planner takes them.
+// Members converts routers for the planner.
 func (f *File) Members(list []Router) []rollout.Router {
 	var out []rollout.Router
 	for _, r := range list {
-		out = append(out, rollout.Router{Name: r.Name, Centre: r.Centre, Capacity: r.Capacity, Expect: r.Expect})
+		out = append(out, rollout.Router{Name: r.Name, Centre: r.Centre, Capacity: r.Capacity, RestartTime: r.Expect})
 	}
 	return out
 }
 
-// Certs opens the operator's certificate; nil where every router is on a unix socket.
+// Certs opens the operator's certificate; nil if the file has none.
 func (f *File) Certs() (*certs.Files, error) {
 	if f.Cert == "" {
 		return nil, nil
@@ -189,19 +193,20 @@
 	return certs.Open(f.Domain, at(f.Cert), at(f.Key), at(f.Authority))
 }
 
-// Pick finds routers: by name, by centre=NAME, by label=NAME, or all. Several
-// words add up; the order is the file's. A word that finds nothing is an error.
-func (f *File) Pick(words []string) ([]Router, error) {
+// Pick selects routers by name, centre=NAME, label=NAME, or all. It returns the
+// union of several selectors, in the order of the file. A selector that matches
+// no router is an error.
+func (f *File) Pick(selectors []string) ([]Router, error) {
 	found := make([]bool, len(f.Routers))
-	for _, w := range words {
-		any := false
+	for _, selector := range selectors {
+		matched := false
 		for i, r := range f.Routers {
-			if matches(&r, w) {
-				found[i], any = true, true
+			if matches(&r, selector) {
+				found[i], matched = true, true
 			}
 		}
-		if !any {
-			return nil, fmt.Errorf("no router of fleet %s is %q", f.Name, w)
+		if !matched {
+			return nil, fmt.Errorf("no router of fleet %s is %q", f.Name, selector)
 		}
 	}
 	var list []Router
@@ -213,12 +218,12 @@
 	return list, nil
 }
 
-func matches(r *Router, word string) bool {
-	if c, ok := strings.CutPrefix(word, "centre="); ok {
+func matches(r *Router, selector string) bool {
+	if c, ok := strings.CutPrefix(selector, "centre="); ok {
 		return r.Centre == c
 	}
-	if l, ok := strings.CutPrefix(word, "label="); ok {
+	if l, ok := strings.CutPrefix(selector, "label="); ok {
 		return slices.Contains(r.Labels, l)
 	}
-	return word == "all" || r.Name == word
+	return selector == "all" || r.Name == selector
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -23,23 +23,23 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const good = `(fleet f) (router a (at "unix:/tmp/a") (centre north) (labels blue)) (router b (at "unix:/tmp/b") (centre south))
+const fleetText = `(fleet f) (router a (at "unix:/tmp/a") (centre north) (labels blue)) (router b (at "unix:/tmp/b") (centre south))
 (router c (at "unix:/tmp/c") (centre south) (labels blue))`
 
 func TestFile(t *testing.T) {
 	for change, want := range map[string]string{
 		"":                                     "",
 		`(router a (at "unix:/x") (centre n))`: "f:3:1: router \"a\" is given twice",
-		`(router "a=b" (at "unix:/x") (centre n))`:            `f:3:1: router "a=b": a name has no =, / or space`,
-		`(router d (at "unix:") (centre n))`:                  "f:3:1: (at ...): a path is due after unix:",
+		`(router "a=b" (at "unix:/x") (centre n))`:            `f:3:1: router "a=b": a name must not contain =, / or space`,
+		`(router d (at "unix:") (centre n))`:                  "f:3:1: (at ...): unix: needs a path",
 		`(router d (at "here") (centre n))`:                   `f:3:1: (at ...): "here" is neither unix:PATH nor host:port`,
 		`(router d (at "h:1") (centre n))`:                    "f:1:1: routers at host:port need (domain ...), (cert ...), (key ...) and (authority ...)",
 		`(router d (centre n))`:                               "f:3:1: (at ...) is missing",
-		`(rollout (share 1.5))`:                               "f:1:1: (rollout ...): share, centre-share and service are 1 at the most",
-		`(rollout (share 0.5) (centre-share 0) (silence 1s))`: "f:1:1: (rollout ...): silence is two looks at the least, and a look above 0",
+		`(rollout (share 1.5))`:                               "f:1:1: (rollout ...): share, centre-share and service must be at most 1",
+		`(rollout (share 0.5) (centre-share 0) (silence 1s))`: "f:1:1: (rollout ...): look must be above 0, and silence at least twice look",
 		`(rolout (share 0.5))`:                                `f:3:2: "rolout" is not known here; is "rollout" meant?`,
 	} {
-		text := good + "\n" + change
+		text := fleetText + "\n" + change
 		_, err := Parse("f", text)
 		if want == "" && err != nil || want != "" && (err == nil || err.Error() != want) {
 			t.Errorf("%s: %v; want %s", change, err, want)
@@ -48,11 +48,11 @@
 }
 
 func TestPossible(t *testing.T) {
-	f, err := Parse("f", good)
+	f, err := Parse("f", fleetText)
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := "f:1:1: (rollout ...): a, b, c can never be down under share, centre-share and down"
+	want := "f:1:1: (rollout ...): a, b, c can't be restarted within share, centre-share and down"
 	if err := f.Possible(f.Routers); err == nil || err.Error() != want {
 		t.Errorf("%v, want %s", err, want)
 	}
@@ -62,7 +62,7 @@
 }
 
 func TestPick(t *testing.T) {
-	f, err := Parse("f", good)
+	f, err := Parse("f", fleetText)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -83,42 +83,42 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add(good)
+	f.Add(fleetText)
 	f.Add(`(fleet f) (router a (at "h:1") (centre n)) (domain d) (cert c) (key k) (authority a) (rollout (down 0))`)
 	f.Fuzz(func(t *testing.T, in string) {
 		if _, err := Parse("f", in); err != nil && !strings.HasPrefix(err.Error(), "f:") {
-			t.Fatalf("the error has no place: %v", err)
+			t.Fatalf("the error has no file position: %v", err)
 		}
 	})
 }
 
-// router is a scripted control plane. do says how a command goes; nil results
-// in a broken call.
-type router struct {
+// fakeRouter is a scripted control plane. handle answers commands without a
+// stored result that are not recalls.
+type fakeRouter struct {
 	pb.UnimplementedControlServer
-	mu     sync.Mutex
-	st     pb.Status
-	ahead  time.Duration
-	known  map[string]bool // ids with a result, for recalls
-	do     func(r *router, c *pb.Command, stream grpc.ServerStreamingServer[pb.News]) error
-	given  int
-	server *grpc.Server
-	path   string
+	mu         sync.Mutex
+	status     pb.Status
+	clockAhead time.Duration
+	results    map[string]bool // ids of commands with a result, which recalls find
+	handle     func(r *fakeRouter, c *pb.Command, stream grpc.ServerStreamingServer[pb.News]) error
+	commands   int
+	server     *grpc.Server
+	path       string
 }
 
-func (r *router) GetStatus(context.Context, *pb.StatusRequest) (*pb.Status, error) {
+func (r *fakeRouter) GetStatus(context.Context, *pb.StatusRequest) (*pb.Status, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	st := pb.Status{Name: r.st.Name, Boot: r.st.Boot, State: r.st.State, Release: r.st.Release, Pid: r.st.Pid, Predecessor: r.st.Predecessor}
-	st.WallUnixMs = time.Now().Add(r.ahead).UnixMilli()
+	st := pb.Status{Name: r.status.Name, Boot: r.status.Boot, State: r.status.State, Release: r.status.Release, Pid: r.status.Pid, Predecessor: r.status.Predecessor}
+	st.WallUnixMs = time.Now().Add(r.clockAhead).UnixMilli()
 	return &st, nil
 }
 
-func (r *router) Do(c *pb.Command, stream grpc.ServerStreamingServer[pb.News]) error {
+func (r *fakeRouter) Do(c *pb.Command, stream grpc.ServerStreamingServer[pb.News]) error {
 	r.mu.Lock()
-	known := r.known[c.Id]
+	known := r.results[c.Id]
 	if !c.Recall {
-		r.given++
+		r.commands++
 	}
 	r.mu.Unlock()
 	if c.Recall && !known {
@@ -127,20 +127,20 @@
 	if known {
 		return stream.Send(&pb.News{Result: &pb.Result{Done: true}})
 	}
-	return r.do(r, c, stream)
+	return r.handle(r, c, stream)
 }
 
-func (r *router) change(f func(r *router)) {
+func (r *fakeRouter) change(f func(r *fakeRouter)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f(r)
 }
 
-func serve(t *testing.T, r *router) *Link {
+func serve(t *testing.T, r *fakeRouter) *Link {
 	t.Helper()
 	r.path = filepath.Join(t.TempDir(), "s")
-	r.known = map[string]bool{}
-	r.st.Name, r.st.Boot, r.st.State, r.st.Pid = "a", "boot-1", "ready", 7
+	r.results = map[string]bool{}
+	r.status.Name, r.status.Boot, r.status.State, r.status.Pid = "a", "boot-1", "ready", 7
 	r.listen(t)
 	t.Cleanup(func() { r.server.Stop() })
 	f := defaults()
@@ -154,7 +154,7 @@
 	return l
 }
 
-func (r *router) listen(t *testing.T) {
+func (r *fakeRouter) listen(t *testing.T) {
 	t.Helper()
 	os.Remove(r.path)
 	ln, err := net.Listen("unix", r.path)
@@ -166,75 +166,75 @@
 	go r.server.Serve(ln)
 }
 
-var errCut = status.Error(codes.Unavailable, "cut")
+var errBroken = status.Error(codes.Unavailable, "cut")
 
-func done(r *router, c *pb.Command, s grpc.ServerStreamingServer[pb.News]) error {
+func completeCommand(r *fakeRouter, c *pb.Command, s grpc.ServerStreamingServer[pb.News]) error {
 	return s.Send(&pb.News{Result: &pb.Result{Done: true}})
 }
 
-// What a router does with a command, and what the tool may say of it.
+// The outcome that the tool reports for each way a router can handle a command. A command is sent once.
 func TestOutcomes(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		op   pb.Command_Op
-		do   func(r *router, c *pb.Command, s grpc.ServerStreamingServer[pb.News]) error
+		do   func(r *fakeRouter, c *pb.Command, s grpc.ServerStreamingServer[pb.News]) error
 		want Outcome
 		note string
 	}{
-		{"it does it", pb.Command_DRAIN, done, Done, ""},
-		{"it says no", pb.Command_DRAIN, func(r *router, c *pb.Command, s grpc.ServerStreamingServer[pb.News]) error {
+		{"it does it", pb.Command_DRAIN, completeCommand, Done, ""},
+		{"it says no", pb.Command_DRAIN, func(r *fakeRouter, c *pb.Command, s grpc.ServerStreamingServer[pb.News]) error {
 			return s.Send(&pb.News{Result: &pb.Result{Note: "the router is stopping"}})
 		}, Refused, "the router is stopping"},
-		{"the caller may not", pb.Command_DRAIN, func(*router, *pb.Command, grpc.ServerStreamingServer[pb.News]) error {
+		{"the caller may not", pb.Command_DRAIN, func(*fakeRouter, *pb.Command, grpc.ServerStreamingServer[pb.News]) error {
 			return status.Error(codes.PermissionDenied, "no")
 		}, Refused, "PermissionDenied: no"},
-		{"it hangs", pb.Command_DRAIN, func(r *router, c *pb.Command, s grpc.ServerStreamingServer[pb.News]) error {
+		{"it hangs", pb.Command_DRAIN, func(r *fakeRouter, c *pb.Command, s grpc.ServerStreamingServer[pb.News]) error {
 			<-s.Context().Done()
 			return s.Context().Err()
 		}, Unknown, "process 7 gave no result in its time: it may hang"},
-		{"the call breaks, the result is there", pb.Command_DRAIN, func(r *router, c *pb.Command, s grpc.ServerStreamingServer[pb.News]) error {
-			r.change(func(r *router) { r.known[c.Id] = true })
-			return errCut
+		{"the call breaks, the result is there", pb.Command_DRAIN, func(r *fakeRouter, c *pb.Command, s grpc.ServerStreamingServer[pb.News]) error {
+			r.change(func(r *fakeRouter) { r.results[c.Id] = true })
+			return errBroken
 		}, Done, ""},
-		{"the call breaks before the command arrives", pb.Command_DRAIN, func(r *router, c *pb.Command, s grpc.ServerStreamingServer[pb.News]) error {
-			return errCut
+		{"the call breaks before the command arrives", pb.Command_DRAIN, func(r *fakeRouter, c *pb.Command, s grpc.ServerStreamingServer[pb.News]) error {
+			return errBroken
 		}, Refused, "the command did not arrive"},
-		{"it dies and is back", pb.Command_DRAIN, func(r *router, c *pb.Command, s grpc.ServerStreamingServer[pb.News]) error {
-			r.change(func(r *router) { r.st.Boot = "boot-2" })
-			return errCut
+		{"it dies and is back", pb.Command_DRAIN, func(r *fakeRouter, c *pb.Command, s grpc.ServerStreamingServer[pb.News]) error {
+			r.change(func(r *fakeRouter) { r.status.Boot = "boot-2" })
+			return errBroken
 		}, Unknown, "died in the middle; seen again in another life, ready"},
-		{"it dies and stays away", pb.Command_DRAIN, func(r *router, c *pb.Command, s grpc.ServerStreamingServer[pb.News]) error {
+		{"it dies and stays away", pb.Command_DRAIN, func(r *fakeRouter, c *pb.Command, s grpc.ServerStreamingServer[pb.News]) error {
 			go r.server.Stop()
 			<-s.Context().Done()
-			return errCut
+			return errBroken
 		}, Unknown, "not seen again"},
-		{"a restart", pb.Command_RESTART, func(r *router, c *pb.Command, s grpc.ServerStreamingServer[pb.News]) error {
-			r.change(func(r *router) { r.st.Boot, r.known[c.Id] = "boot-2", true })
-			return done(r, c, s)
+		{"a restart", pb.Command_RESTART, func(r *fakeRouter, c *pb.Command, s grpc.ServerStreamingServer[pb.News]) error {
+			r.change(func(r *fakeRouter) { r.status.Boot, r.results[c.Id] = "boot-2", true })
+			return completeCommand(r, c, s)
 		}, Done, ""},
-		{"a restart that nobody sees", pb.Command_RESTART, done, Unknown, "the successor was not seen"},
-		{"a restart, and a death after it", pb.Command_RESTART, func(r *router, c *pb.Command, s grpc.ServerStreamingServer[pb.News]) error {
-			r.change(func(r *router) { r.st.Boot = "boot-3" })
-			return done(r, c, s)
+		{"a restart that nobody sees", pb.Command_RESTART, completeCommand, Unknown, "the successor was not seen"},
+		{"a restart, and a death after it", pb.Command_RESTART, func(r *fakeRouter, c *pb.Command, s grpc.ServerStreamingServer[pb.News]) error {
+			r.change(func(r *fakeRouter) { r.status.Boot = "boot-3" })
+			return completeCommand(r, c, s)
 		}, Unknown, "died after the hand-over; seen again in another life, ready"},
-		{"a predecessor that does not end", pb.Command_RESTART, func(r *router, c *pb.Command, s grpc.ServerStreamingServer[pb.News]) error {
-			r.change(func(r *router) {
-				r.st.Boot, r.known[c.Id], r.st.Predecessor = "boot-2", true, &pb.Predecessor{Pid: 7}
+		{"a predecessor that does not end", pb.Command_RESTART, func(r *fakeRouter, c *pb.Command, s grpc.ServerStreamingServer[pb.News]) error {
+			r.change(func(r *fakeRouter) {
+				r.status.Boot, r.results[c.Id], r.status.Predecessor = "boot-2", true, &pb.Predecessor{Pid: 7}
 			})
-			return done(r, c, s)
+			return completeCommand(r, c, s)
 		}, Unknown, "the successor serves, but process 7 has not ended in its time: it may hang"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			r := &router{do: c.do}
+			r := &fakeRouter{handle: c.do}
 			l := serve(t, r)
-			got := l.Do(context.Background(), Order{Op: c.op, ID: NewID()}, func(string, string, int) {})
+			got := l.Do(context.Background(), Order{Op: c.op, ID: NewCommandID()}, func(string, string, int) {})
 			if got.Outcome != c.want || !strings.HasSuffix(got.Note, c.note) || (c.note == "") != (got.Note == "") {
 				t.Errorf("%v, want %v: %s", got, c.want, c.note)
 			}
-			r.change(func(r *router) {
-				if r.given != 1 {
-					t.Errorf("the command was given %d times", r.given)
+			r.change(func(r *fakeRouter) {
+				if r.commands != 1 {
+					t.Errorf("the command was sent %d times, want once", r.commands)
 				}
 			})
 		})
@@ -242,27 +242,27 @@
 }
 
 func TestNotSent(t *testing.T) {
-	r := &router{do: done}
+	r := &fakeRouter{handle: completeCommand}
 	l := serve(t, r)
-	r.change(func(r *router) { r.st.Name = "other" })
-	if got := l.Do(context.Background(), Order{Op: pb.Command_DRAIN, ID: NewID()}, nil); got.Outcome != Refused || r.given > 0 {
-		t.Errorf("%v: a router of another name got the command %d times", got, r.given)
+	r.change(func(r *fakeRouter) { r.status.Name = "other" })
+	if got := l.Do(context.Background(), Order{Op: pb.Command_DRAIN, ID: NewCommandID()}, nil); got.Outcome != Refused || r.commands > 0 {
+		t.Errorf("%v: a router of another name got the command %d times", got, r.commands)
 	}
 	r.server.Stop()
-	if got := l.Do(context.Background(), Order{Op: pb.Command_DRAIN, ID: NewID()}, nil); got.Outcome != Unreachable {
+	if got := l.Do(context.Background(), Order{Op: pb.Command_DRAIN, ID: NewCommandID()}, nil); got.Outcome != Unreachable {
 		t.Errorf("%v, want unreachable", got)
 	}
 }
 
-// A clock that is 5 s ahead is told, and nothing is judged by it.
+// A router's clock that is 5 s ahead is shown, and does not affect the outcome of commands.
 func TestSkew(t *testing.T) {
-	r := &router{do: done, ahead: 5 * time.Second}
+	r := &fakeRouter{handle: completeCommand, clockAhead: 5 * time.Second}
 	l := serve(t, r)
 	st, err := l.Status(context.Background())
-	if err != nil || st.Ahead < 4900*time.Millisecond || st.Ahead > 5100*time.Millisecond || clock(st) != "+5.0s" {
+	if err != nil || st.ClockAhead < 4900*time.Millisecond || st.ClockAhead > 5100*time.Millisecond || clockOffset(st) != "+5.0s" {
 		t.Fatalf("%v, %+v", err, st)
 	}
-	if got := l.Do(context.Background(), Order{Op: pb.Command_DRAIN, ID: NewID()}, nil); got.Outcome != Done {
+	if got := l.Do(context.Background(), Order{Op: pb.Command_DRAIN, ID: NewCommandID()}, nil); got.Outcome != Done {
 		t.Error(got)
 	}
 }
@@ -282,8 +282,8 @@
 	}
 }
 
-// A journal cut at every byte is read up to its last whole line, and goes on
-// from there; a second tool is kept out.
+// A journal truncated at any byte is read up to its last complete line and can be
+// continued; a second run of the tool can't open it.
 func TestJournal(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "j")
@@ -291,35 +291,35 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := OpenJournal(path); !errors.Is(err, errBusy) {
-		t.Errorf("a second tool: %v", err)
+	if _, err := OpenJournal(path); !errors.Is(err, errLocked) {
+		t.Errorf("second run of the tool: %v", err)
 	}
 	j.Begin(Head{ID: "x", Release: "v2", Routers: []string{"a", "b"}})
-	j.Add(rollout.Entry{Kind: "restart", Router: "a", ID: "x/a/1", Was: "boot-1"})
-	j.Add(rollout.Entry{Kind: "done", Router: "a"})
+	j.Append(rollout.Entry{Kind: "restart", Router: "a", ID: "x/a/1", Was: "boot-1"})
+	j.Append(rollout.Entry{Kind: "done", Router: "a"})
 	j.Close()
-	whole, _ := os.ReadFile(path)
-	for n := range len(whole) + 1 {
-		cut := filepath.Join(dir, "cut")
-		os.WriteFile(cut, whole[:n], 0o644)
-		j, err := OpenJournal(cut)
+	text, _ := os.ReadFile(path)
+	for n := range len(text) + 1 {
+		truncated := filepath.Join(dir, "cut")
+		os.WriteFile(truncated, text[:n], 0o644)
+		j, err := OpenJournal(truncated)
 		if err != nil {
-			t.Fatalf("cut at %d: %v", n, err)
+			t.Fatalf("truncated at %d: %v", n, err)
 		}
-		if lines := bytes.Count(whole[:n], []byte("\n")); j.Open() != (lines > 0) || len(j.Entries) != max(lines-1, 0) {
-			t.Errorf("cut at %d: %d entries of %d lines", n, len(j.Entries), lines)
+		if lines := bytes.Count(text[:n], []byte("\n")); j.Open() != (lines > 0) || len(j.Entries) != max(lines-1, 0) {
+			t.Errorf("truncated at %d: %d entries of %d lines", n, len(j.Entries), lines)
 		}
 		if j.Open() {
 			j.End("all done")
 		}
 		j.Close()
-		if j, err = OpenJournal(cut); err != nil || j.Open() {
-			t.Errorf("cut at %d and ended: %v", n, err)
+		if j, err = OpenJournal(truncated); err != nil || j.Open() {
+			t.Errorf("truncated at %d and ended: %v", n, err)
 		}
 		j.Close()
 	}
 	os.WriteFile(path, []byte("{}\nnonsense\n"), 0o644)
 	if _, err := OpenJournal(path); err == nil || !strings.Contains(err.Error(), "line 2") {
-		t.Errorf("a broken line: %v", err)
+		t.Errorf("malformed line: %v", err)
 	}
 }
--- a/internal/fleet/journal.go
+++ b/internal/fleet/journal.go
@@ -14,37 +14,37 @@
 	"gannethook/internal/rollout"
 )
 
-// Head is a journal's first line: what rollout it is of.
+// Head is the first record of a rollout in a journal: what is rolled out, and where.
 type Head struct {
 	ID      string
 	Fleet   string
 	Release string
 	Routers []string
-	Order   []string
+	Order   []string // of priority, as planned when the rollout began
 }
 
-// line is a line of a journal: the head, an entry or the ending.
-type line struct {
+// record is a line of a journal; exactly one field is set.
+type record struct {
 	Head  *Head          `json:",omitempty"`
 	Entry *rollout.Entry `json:",omitempty"`
 	End   string         `json:",omitempty"`
 }
 
-// Journal keeps a rollout's decisions on disk, so that another run of the tool
-// goes on where a dead one was. Each line is synced before what it tells of is
-// done. One tool holds it at a time.
+// Journal is the write-ahead log of a rollout, from which another run of the tool
+// continues after a crash. Each record is synced to disk before its action is
+// taken. A lock on the file keeps a second run of the tool out.
 type Journal struct {
 	Head    Head
-	Entries []rollout.Entry // of earlier runs
-	Ended   string          // how the rollout ended; "" while it has not
+	Entries []rollout.Entry // of earlier runs of the tool
+	Ended   string          // how the rollout ended; "": it has not
 	f       *os.File
 }
 
-// errBusy tells that another tool holds the journal.
-var errBusy = errors.New("another run of the tool holds the journal")
+// errLocked reports that another run of the tool has the journal open.
+var errLocked = errors.New("locked by another run of the tool")
 
-// OpenJournal opens a journal, or starts one with a head. A torn last line, as
-// a tool leaves that died in writing, is taken away.
+// OpenJournal opens and locks a journal, and creates the file if necessary. It
+// truncates a partial last line, left by a crash during a write.
 func OpenJournal(path string) (*Journal, error) {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o644)
 	if err != nil {
@@ -53,14 +53,14 @@
 	j := &Journal{f: f}
 	if err := unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
 		f.Close()
-		return nil, fmt.Errorf("journal: %s: %w", path, errBusy)
+		return nil, fmt.Errorf("journal: %s: %w", path, errLocked)
 	}
-	good, err := j.read()
+	end, err := j.read()
 	if err == nil {
-		err = f.Truncate(good)
+		err = f.Truncate(end)
 	}
 	if err == nil {
-		_, err = f.Seek(good, io.SeekStart)
+		_, err = f.Seek(end, io.SeekStart)
 	}
 	if err != nil {
 		f.Close()
@@ -69,15 +69,15 @@
 	return j, nil
 }
 
-// read takes in whole lines; it returns where they end.
-func (j *Journal) read() (good int64, err error) {
+// read reads the complete lines and returns the offset of their end.
+func (j *Journal) read() (end int64, err error) {
 	r := bufio.NewReader(j.f)
 	for n := 1; ; n++ {
 		text, err := r.ReadBytes('\n')
 		if err != nil {
-			return good, nil // the end, or a torn line
+			return end, nil // end of file, maybe after a partial line
 		}
-		var l line
+		var l record
 		if err := json.Unmarshal(text, &l); err != nil {
 			return 0, fmt.Errorf("line %d: %w", n, err)
 		}
@@ -89,11 +89,12 @@
 		case l.End != "":
 			j.Ended = l.End
 		}
-		good += int64(len(text))
+		end += int64(len(text))
 	}
 }
 
-func (j *Journal) write(l line) error {
+// write appends a record and syncs it to disk.
+func (j *Journal) write(l record) error {
 	text, err := json.Marshal(l)
 	if err != nil {
 		return fmt.Errorf("journal: %w", err)
@@ -107,28 +108,28 @@
 	return nil
 }
 
-// Begin starts a rollout, after an earlier one that has ended or none.
+// Begin starts a rollout. An earlier one in the journal must have ended.
 func (j *Journal) Begin(h Head) error {
 	j.Head, j.Entries, j.Ended = h, nil, ""
-	return j.write(line{Head: &h})
+	return j.write(record{Head: &h})
 }
 
-// Add keeps an entry.
-func (j *Journal) Add(e rollout.Entry) error { return j.write(line{Entry: &e}) }
+// Append writes an entry.
+func (j *Journal) Append(e rollout.Entry) error { return j.write(record{Entry: &e}) }
 
-// End keeps how the rollout ended.
+// End records how the rollout ended.
 func (j *Journal) End(how string) error {
 	j.Ended = how
-	return j.write(line{End: how})
+	return j.write(record{End: how})
 }
 
-// Open tells whether a rollout has begun and not ended.
+// Open reports whether a rollout has begun and not ended.
 func (j *Journal) Open() bool { return j.Head.ID != "" && j.Ended == "" }
 
-// Same tells whether the open rollout is of these routers and this release.
-func (j *Journal) Same(release string, routers []string) bool {
+// Matches reports whether the rollout has this release and these routers.
+func (j *Journal) Matches(release string, routers []string) bool {
 	return j.Head.Release == release && slices.Equal(j.Head.Routers, routers)
 }
 
-// Close lets go of the journal.
+// Close closes the journal and releases its lock.
 func (j *Journal) Close() error { return j.f.Close() }
--- a/internal/fleet/link.go
+++ b/internal/fleet/link.go
@@ -16,7 +16,7 @@
 	pb "gannethook/internal/control/controlpb"
 )
 
-// Link is a connection to one router's control plane.
+// Link is a client of one router's control plane.
 type Link struct {
 	Router
 	times Times
@@ -24,7 +24,7 @@
 	close func() error
 }
 
-// Connect prepares a link; the router is called first when something is asked.
+// Connect returns a link to a router. It connects on the first call.
 func (f *File) Connect(r Router, files *certs.Files) (*Link, error) {
 	ctl, shut, err := control.Dial(r.Control, r.Name, files)
 	if err != nil {
@@ -36,27 +36,27 @@
 // Close closes the link.
 func (l *Link) Close() { l.close() }
 
-// Seen is a router's status, and by how much its clock is ahead of ours.
-type Seen struct {
+// RouterStatus is a router's status with an estimate of its clock's offset.
+type RouterStatus struct {
 	*pb.Status
-	Ahead, Way time.Duration // Way is how long asking took: Ahead is known to half of it
+	ClockAhead, RoundTrip time.Duration // ClockAhead is exact to half of RoundTrip
 }
 
-// Status asks for the status.
-func (l *Link) Status(ctx context.Context) (*Seen, error) {
+// Status queries the router's status.
+func (l *Link) Status(ctx context.Context) (*RouterStatus, error) {
 	ctx, cancel := context.WithTimeout(ctx, l.times.Call)
 	defer cancel()
-	from := time.Now()
+	start := time.Now()
 	st, err := l.ctl.GetStatus(ctx, &pb.StatusRequest{})
 	if err != nil {
-		return nil, plain(err)
+		return nil, withoutCallInfo(err)
 	}
-	way := time.Since(from)
-	return &Seen{Status: st, Way: way, Ahead: time.UnixMilli(st.WallUnixMs).Sub(from.Add(way / 2))}, nil
+	roundTrip := time.Since(start)
+	return &RouterStatus{Status: st, RoundTrip: roundTrip, ClockAhead: time.UnixMilli(st.WallUnixMs).Sub(start.Add(roundTrip / 2))}, nil
 }
 
-// plain leaves out how the call was made.
-func plain(err error) error {
+// withoutCallInfo reduces a gRPC error to its code and message.
+func withoutCallInfo(err error) error {
 	s, ok := status.FromError(err)
 	if !ok {
 		return err
@@ -64,29 +64,30 @@
 	return fmt.Errorf("%s: %s", s.Code(), s.Message())
 }
 
-// NewID names a command so that no other has its name.
-func NewID() string { return rand.Text() }
+// NewCommandID returns a unique command id.
+func NewCommandID() string { return rand.Text() }
 
-// Order is a command for one router.
+// Order is a command to a router.
 type Order struct {
 	Op      pb.Command_Op
 	ID      string
-	Limit   time.Duration // 0: the fleet file's
+	Limit   time.Duration // for open requests to end; 0: (times (drain ...)) of the fleet file
 	Release string
-	NoWait  bool // a restart is done when the successor serves; its predecessor may still end
+	NoWait  bool // a restart is Done once the successor serves, while the predecessor may still drain
 }
 
-func (o *Order) name() string {
+func (o *Order) opName() string {
 	return [...]string{"none", "drain", "resume", "reload", "stop", "restart"}[o.Op]
 }
 
-// Progress hears how a command goes on.
-type Progress func(router, state string, open int)
+// ProgressFunc is called with the progress of a command: the router's state and its number of open requests.
+type ProgressFunc func(router, state string, open int)
 
-// Do gives a command and follows it to its end, or to the end of what can be known.
-func (l *Link) Do(ctx context.Context, o Order, progress Progress) Report {
-	from := time.Now()
-	r := Report{Router: l.Name, Op: o.name()}
+// Do sends a command and waits for its outcome. If the call breaks, it queries the router for the result
+// until (times (again ...)) is over.
+func (l *Link) Do(ctx context.Context, o Order, progress ProgressFunc) Report {
+	start := time.Now()
+	r := Report{Router: l.Name, Op: o.opName()}
 	if o.Limit <= 0 {
 		o.Limit = l.times.Drain
 	}
@@ -98,76 +99,77 @@
 		r.Outcome, r.Note = Unreachable, err.Error()
 	default:
 		r.Boot = before.Boot
-		l.carry(ctx, o, before, &r, progress)
+		l.execute(ctx, o, before, &r, progress)
 	}
-	r.TookMs = time.Since(from).Milliseconds()
+	r.TookMs = time.Since(start).Milliseconds()
 	return r
 }
 
-// carry sends the command to a router that was just seen.
-func (l *Link) carry(ctx context.Context, o Order, before *Seen, r *Report, progress Progress) {
-	whole := o.Limit + l.times.Hang
+// execute sends the command to a router whose status is before, and completes the report.
+func (l *Link) execute(ctx context.Context, o Order, before *RouterStatus, r *Report, progress ProgressFunc) {
+	timeout := o.Limit + l.times.Hang
 	if o.Op == pb.Command_RESTART || o.Op == pb.Command_RELOAD {
-		whole = l.times.Start + l.times.Hang
+		timeout = l.times.Start + l.times.Hang
 	}
-	callCtx, cancel := context.WithTimeout(ctx, whole)
+	callCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	res, err := l.send(callCtx, &pb.Command{Id: o.ID, Op: o.Op, LimitMs: o.Limit.Milliseconds(), Release: o.Release}, progress)
 	if err != nil {
-		var asked bool
-		if res, asked = l.afterBreak(ctx, o, before, r, err, progress); !asked {
+		var known bool
+		if res, known = l.recoverResult(ctx, o, before, r, err, progress); !known {
 			return
 		}
 	}
-	l.judge(ctx, o, res, r, progress)
+	l.evaluate(ctx, o, res, r, progress)
 }
 
-// send gives a command and waits for its result.
-func (l *Link) send(ctx context.Context, c *pb.Command, progress Progress) (*pb.Result, error) {
+// send makes the call of a command and returns its result.
+func (l *Link) send(ctx context.Context, c *pb.Command, progress ProgressFunc) (*pb.Result, error) {
 	stream, err := l.ctl.Do(ctx, c)
 	if err != nil {
 		return nil, err
 	}
 	for {
-		news, err := stream.Recv()
+		msg, err := stream.Recv()
 		if errors.Is(err, io.EOF) {
 			return nil, errors.New("the router ended the call without a result")
 		}
 		if err != nil {
 			return nil, err
 		}
-		if p := news.GetProgress(); p != nil {
+		if p := msg.GetProgress(); p != nil {
 			progress(l.Name, p.State, int(p.Open))
 		}
-		if news.GetResult() != nil {
-			return news.GetResult(), nil
+		if msg.GetResult() != nil {
+			return msg.GetResult(), nil
 		}
 	}
 }
 
-// afterBreak finds out what became of a command that had no result. It is
-// looked for under its id and never given again; asked is true with a result.
-func (l *Link) afterBreak(ctx context.Context, o Order, before *Seen, r *Report, err error, progress Progress) (res *pb.Result, asked bool) {
+// recoverResult determines the outcome of a command whose call failed. It queries
+// the result by the command's id and never sends the command again. known reports
+// whether res is valid; otherwise the report has the outcome.
+func (l *Link) recoverResult(ctx context.Context, o Order, before *RouterStatus, r *Report, err error, progress ProgressFunc) (res *pb.Result, known bool) {
 	switch status.Code(err) {
 	case codes.PermissionDenied, codes.Unauthenticated, codes.InvalidArgument, codes.Unimplemented:
-		r.Outcome, r.Note = Refused, plain(err).Error()
+		r.Outcome, r.Note = Refused, withoutCallInfo(err).Error()
 		return nil, false
 	case codes.DeadlineExceeded:
 		r.Outcome = Unknown
 		r.Note = fmt.Sprintf("process %d gave no result in its time: it may hang", before.Pid)
 		return nil, false
 	}
-	r.Outcome, r.Note = Unknown, "broke off: "+plain(err).Error()
+	r.Outcome, r.Note = Unknown, "broke off: "+withoutCallInfo(err).Error()
 	progress(l.Name, "unknown", 0)
-	end := time.Now().Add(l.times.Again)
-	for wait := 50 * time.Millisecond; time.Now().Before(end) && ctx.Err() == nil; wait = min(2*wait, time.Second) {
+	deadline := time.Now().Add(l.times.Again)
+	for wait := 50 * time.Millisecond; time.Now().Before(deadline) && ctx.Err() == nil; wait = min(2*wait, time.Second) {
 		st, err := l.Status(ctx)
 		if err != nil {
-			pause(ctx, wait)
+			sleep(ctx, wait)
 			continue
 		}
-		recall, cancel := context.WithTimeout(ctx, o.Limit+l.times.Hang)
-		res, err := l.send(recall, &pb.Command{Id: o.ID, Recall: true}, progress)
+		recallCtx, cancel := context.WithTimeout(ctx, o.Limit+l.times.Hang)
+		res, err := l.send(recallCtx, &pb.Command{Id: o.ID, Recall: true}, progress)
 		cancel()
 		switch {
 		case err == nil:
@@ -176,17 +178,17 @@
 			r.Outcome, r.Note = Refused, "the command did not arrive"
 			return nil, false
 		case status.Code(err) == codes.NotFound:
-			// It died: what it had begun is lost, and what it had open is not known to anyone here.
-			r.After, r.Note = st.Boot, fmt.Sprintf("died in the middle; seen again in another life, %s", st.State)
+			// Another incarnation without the result: the router crashed, and its open requests are lost.
+			r.BootAfter, r.Note = st.Boot, fmt.Sprintf("died in the middle; seen again in another life, %s", st.State)
 			return nil, false
 		}
-		pause(ctx, wait)
+		sleep(ctx, wait)
 	}
 	r.Note += "; not seen again"
 	return nil, false
 }
 
-// recall asks whether the life that answers knows a command's result.
+// recall reports whether the incarnation that answers has a command's result.
 func (l *Link) recall(ctx context.Context, id string) (known bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, l.times.Call)
 	defer cancel()
@@ -197,16 +199,16 @@
 	return err == nil, err
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(d):
 	case <-ctx.Done():
 	}
 }
 
-// judge takes a result. A restart's is checked at the successor: only what is
-// seen there counts.
-func (l *Link) judge(ctx context.Context, o Order, res *pb.Result, r *Report, progress Progress) {
+// evaluate turns a result into the report's outcome. A successful restart is Done
+// only once the successor confirms it.
+func (l *Link) evaluate(ctx context.Context, o Order, res *pb.Result, r *Report, progress ProgressFunc) {
 	r.Note, r.Cut = res.Note, res.Cut
 	if !res.Done {
 		r.Outcome = Refused
@@ -214,21 +216,22 @@
 	}
 	r.Outcome = Done
 	if o.Op == pb.Command_RESTART {
-		l.successor(ctx, o, r, progress)
+		l.awaitSuccessor(ctx, o, r, progress)
 	}
 }
 
-func (l *Link) successor(ctx context.Context, o Order, r *Report, progress Progress) {
-	end := time.Now().Add(o.Limit + l.times.Hang)
+// awaitSuccessor waits for the successor of a restart, and unless NoWait for the end of its predecessor.
+func (l *Link) awaitSuccessor(ctx context.Context, o Order, r *Report, progress ProgressFunc) {
+	deadline := time.Now().Add(o.Limit + l.times.Hang)
 	r.Outcome, r.Note = Unknown, "the successor was not seen"
-	for ; time.Now().Before(end) && ctx.Err() == nil; pause(ctx, 100*time.Millisecond) {
+	for ; time.Now().Before(deadline) && ctx.Err() == nil; sleep(ctx, 100*time.Millisecond) {
 		st, err := l.Status(ctx)
 		if err != nil || st.Boot == r.Boot {
 			continue
 		}
-		r.After = st.Boot
-		// A life that took over by this restart, or from one that did, knows its result. One that does not was
-		// started by someone else after a death: what was open at the dead one is lost.
+		r.BootAfter = st.Boot
+		// Results are handed over from predecessor to successor. An incarnation without this result was
+		// started by a supervisor after a crash, and the requests open at the crashed one are lost.
 		if known, err := l.recall(ctx, o.ID); err != nil {
 			continue
 		} else if !known {
--- a/internal/fleet/outcome.go
+++ b/internal/fleet/outcome.go
@@ -5,15 +5,15 @@
 	"strings"
 )
 
-// Outcome is what is known of a command at one router.
+// Outcome is what is known about a command at one router.
 type Outcome int
 
 // The outcomes.
 const (
-	Done        Outcome = iota + 1 // the router said so, and what can be seen agrees
-	Refused                        // the router said no, or never got it; nothing changed
-	Unknown                        // it may have been done, in part, or not
-	Unreachable                    // the router could not be asked; nothing was sent
+	Done        Outcome = iota + 1 // reported by the router, and confirmed by its status where possible
+	Refused                        // rejected by the router, or never received; nothing changed
+	Unknown                        // may have been carried out, in part, or not
+	Unreachable                    // the router did not answer a status query; nothing was sent
 )
 
 func (o Outcome) String() string {
@@ -23,16 +23,16 @@
 // MarshalText writes the outcome's name.
 func (o Outcome) MarshalText() ([]byte, error) { return []byte(o.String()), nil }
 
-// Report is how a command ended at one router.
+// Report is the result of a command at one router.
 type Report struct {
-	Router  string  `json:"router"`
-	Op      string  `json:"op"`
-	Outcome Outcome `json:"outcome"`
-	Cut     bool    `json:"cut,omitempty"` // done, but some answers were failed at the deadline
-	Note    string  `json:"note,omitempty"`
-	Boot    string  `json:"boot,omitempty"`  // life that was commanded
-	After   string  `json:"after,omitempty"` // life that was seen afterwards, if another
-	TookMs  int64   `json:"took_ms"`
+	Router    string  `json:"router"`
+	Op        string  `json:"op"`
+	Outcome   Outcome `json:"outcome"`
+	Cut       bool    `json:"cut,omitempty"` // some open requests were failed at the deadline
+	Note      string  `json:"note,omitempty"`
+	Boot      string  `json:"boot,omitempty"`  // incarnation that received the command
+	BootAfter string  `json:"after,omitempty"` // incarnation seen afterwards, if another
+	TookMs    int64   `json:"took_ms"`
 }
 
 func (r Report) String() string {
@@ -48,17 +48,17 @@
 
 // Exit codes of the fleet tool.
 const (
-	ExitDone        = 0 // all done
-	ExitWrong       = 1 // the command line, a file or the tool itself
-	ExitPartly      = 3 // some done, some not; each is known
-	ExitUnknown     = 4 // at one router at the least it is not known
-	ExitRefused     = 5 // all refused
-	ExitUnreachable = 6 // all unreachable
-	ExitRolledBack  = 7 // a rollout went back; the fleet runs what it ran
-	ExitStuck       = 8 // a rollout ended half way
+	ExitDone        = 0 // every router: done
+	ExitFailure     = 1 // error in the command line, in a file or of the tool itself
+	ExitPartly      = 3 // different outcomes, none of them unknown
+	ExitUnknown     = 4 // the outcome at one or more routers is unknown
+	ExitRefused     = 5 // every router: refused
+	ExitUnreachable = 6 // every router: unreachable
+	ExitRolledBack  = 7 // a rollout was rolled back; the routers run their previous releases
+	ExitStuck       = 8 // a rollout ended incomplete
 )
 
-// ExitError carries an exit code.
+// ExitError is an error with an exit code of the tool.
 type ExitError struct {
 	Code int
 	Text string
@@ -66,7 +66,7 @@
 
 func (e *ExitError) Error() string { return e.Text }
 
-// Judge turns reports into an exit code; nil is 0.
+// Judge returns an ExitError that sums up reports; nil if all are Done.
 func Judge(reports []Report) error {
 	count := map[Outcome]int{}
 	for _, r := range reports {
--- a/internal/fleet/run.go
+++ b/internal/fleet/run.go
@@ -12,35 +12,35 @@
 	"gannethook/internal/rollout"
 )
 
-// Tool carries out commands over routers.
+// Tool runs commands and rollouts on the routers of a fleet.
 type Tool struct {
 	File  *File
 	Certs *certs.Files
-	Err   io.Writer // progress
-	Quiet bool
+	Err   io.Writer // for progress
+	Quiet bool      // no progress
 
-	mu   sync.Mutex
-	told map[string]string // last progress of a router
+	mu           sync.Mutex
+	lastProgress map[string]string // last line printed, by router
 }
 
-// progress tells how long work goes on, once for each change.
-func (t *Tool) progress(router, state string, open int) {
+// reportProgress prints the progress of a command at a router, if it changed.
+func (t *Tool) reportProgress(router, state string, open int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.told == nil {
-		t.told = map[string]string{}
+	if t.lastProgress == nil {
+		t.lastProgress = map[string]string{}
 	}
 	text := fmt.Sprintf("%s: %s, %d open", router, state, open)
-	if t.Quiet || t.told[router] == text {
+	if t.Quiet || t.lastProgress[router] == text {
 		return
 	}
-	t.told[router] = text
+	t.lastProgress[router] = text
 	fmt.Fprintln(t.Err, text)
 }
 
-// Each calls do for every router, at most so many at once, with a link.
-func (t *Tool) Each(list []Router, atOnce int, do func(i int, l *Link, err error)) {
-	slots := make(chan struct{}, max(atOnce, 1))
+// Each calls do with a link for every router, at most concurrency at once. It returns after all calls.
+func (t *Tool) Each(list []Router, concurrency int, do func(i int, l *Link, err error)) {
+	slots := make(chan struct{}, max(concurrency, 1))
 	var wg sync.WaitGroup
 	for i, r := range list {
 		slots <- struct{}{}
@@ -56,115 +56,116 @@
 	wg.Wait()
 }
 
-// Do gives a command to routers, in order, at most so many at once. With stop
-// it goes no further after the first that is not done: the rest is told so.
-func (t *Tool) Do(ctx context.Context, list []Router, o Order, atOnce int, stop bool) []Report {
+// Do sends a command to routers, in order, at most concurrency at once. With stop,
+// no more routers are tried after one that is not Done; they are reported Refused.
+func (t *Tool) Do(ctx context.Context, list []Router, o Order, concurrency int, stop bool) []Report {
 	reports := make([]Report, len(list))
 	var failed sync.Once
-	halt := make(chan struct{})
-	t.Each(list, atOnce, func(i int, l *Link, err error) {
+	stopped := make(chan struct{})
+	t.Each(list, concurrency, func(i int, l *Link, err error) {
 		select {
-		case <-halt:
-			reports[i] = Report{Router: list[i].Name, Op: o.name(), Outcome: Refused, Note: "not tried, as one before was not done"}
+		case <-stopped:
+			reports[i] = Report{Router: list[i].Name, Op: o.opName(), Outcome: Refused, Note: "not sent: the command failed at an earlier router"}
 			return
 		default:
 		}
 		if err != nil {
-			reports[i] = Report{Router: list[i].Name, Op: o.name(), Outcome: Unreachable, Note: err.Error()}
+			reports[i] = Report{Router: list[i].Name, Op: o.opName(), Outcome: Unreachable, Note: err.Error()}
 		} else {
-			mine := o
-			mine.ID = NewID()
-			reports[i] = l.Do(ctx, mine, t.progress)
+			command := o
+			command.ID = NewCommandID()
+			reports[i] = l.Do(ctx, command, t.reportProgress)
 		}
 		if reports[i].Outcome != Done && stop {
-			failed.Do(func() { close(halt) })
+			failed.Do(func() { close(stopped) })
 		}
 	})
 	return reports
 }
 
-// Line is a router's status, or why there is none.
+// Line is a router with its status, or the error of the query.
 type Line struct {
 	Router
-	*Seen
+	*RouterStatus
 	Err error
 }
 
-// Look asks routers for their status, all at once.
+// Look queries the status of routers, 64 at a time.
 func (t *Tool) Look(ctx context.Context, list []Router) []Line {
 	lines := make([]Line, len(list))
 	t.Each(list, 64, func(i int, l *Link, err error) {
 		lines[i].Router = list[i]
 		if err == nil {
-			lines[i].Seen, err = l.Status(ctx)
+			lines[i].RouterStatus, err = l.Status(ctx)
 		}
 		lines[i].Err = err
 	})
 	return lines
 }
 
-// Plan is the rollout's schedule, as far as the fleet file tells.
+// Plan returns a schedule of a rollout, based on the expected restart times of the fleet file.
 func (t *Tool) Plan(todo []Router) rollout.Schedule {
 	return rollout.Plan(t.File.Members(t.File.Routers), t.File.Members(todo), t.File.Limits(), 2000, 1)
 }
 
-// show is what a rollout tells its operator.
-type show func(at time.Duration, kind, router, text string)
+// eventFunc reports an event of a rollout to the operator.
+type eventFunc func(at time.Duration, kind, router, text string)
 
-// Roll carries out a rollout, or goes on with the journal's. It returns how it
-// ended; an error is the tool's own, and the rollout can be gone on with.
-func (t *Tool) Roll(ctx context.Context, todo []Router, release string, j *Journal, tell show) (rollout.Ending, error) {
+// Roll runs a rollout, or continues the open one of the journal. It returns how
+// the rollout ended. After an error, another call with the same journal continues
+// the rollout.
+func (t *Tool) Roll(ctx context.Context, todo []Router, release string, j *Journal, report eventFunc) (rollout.Ending, error) {
 	var names []string
 	for _, r := range todo {
 		names = append(names, r.Name)
 	}
 	switch {
-	case j.Open() && !j.Same(release, names):
-		return 0, fmt.Errorf("the journal has an open rollout to %q of %d routers; go on with that one or take its journal away", j.Head.Release, len(j.Head.Routers))
+	case j.Open() && !j.Matches(release, names):
+		return 0, fmt.Errorf("the journal has an open rollout to release %q of %d routers; continue that rollout or remove the journal", j.Head.Release, len(j.Head.Routers))
 	case !j.Open():
 		plan := t.Plan(todo)
-		if err := j.Begin(Head{ID: NewID(), Fleet: t.File.Name, Release: release, Routers: names, Order: plan.Order()}); err != nil {
+		if err := j.Begin(Head{ID: NewCommandID(), Fleet: t.File.Name, Release: release, Routers: names, Order: plan.Order()}); err != nil {
 			return 0, err
 		}
 	default:
-		tell(0, "on", "", fmt.Sprintf("going on with rollout %s: %d entries", j.Head.ID, len(j.Entries)))
+		report(0, "on", "", fmt.Sprintf("going on with rollout %s: %d entries", j.Head.ID, len(j.Entries)))
 	}
-	r := &roll{t: t, j: j, tell: tell, start: time.Now(), inbox: make(chan func() []rollout.Effect, 64)}
-	r.p = rollout.New(j.Head.ID, release, t.File.Members(t.File.Routers), t.File.Members(todo), j.Head.Order, t.File.Limits(), 0)
-	r.p.Restore(0, j.Entries)
+	r := &rolloutRun{tool: t, journal: j, report: report, start: time.Now(), inbox: make(chan func() []rollout.Effect, 64)}
+	r.planner = rollout.New(j.Head.ID, release, t.File.Members(t.File.Routers), t.File.Members(todo), j.Head.Order, t.File.Limits(), 0)
+	r.planner.Restore(0, j.Entries)
 	return r.run(ctx)
 }
 
-// roll is a rollout under way: one goroutine owns the planner.
-type roll struct {
-	t     *Tool
-	j     *Journal
-	p     *rollout.Planner
-	tell  show
-	start time.Time
-	inbox chan func() []rollout.Effect
-	links map[string]*Link
-	wg    sync.WaitGroup
-	end   rollout.Ending
+// rolloutRun is a rollout in progress. The goroutine of run owns the planner; others send it functions by inbox.
+type rolloutRun struct {
+	tool    *Tool
+	journal *Journal
+	planner *rollout.Planner
+	report  eventFunc
+	start   time.Time
+	inbox   chan func() []rollout.Effect
+	links   map[string]*Link
+	wg      sync.WaitGroup
+	ending  rollout.Ending
 }
 
-func (r *roll) now() time.Duration { return time.Since(r.start) }
+func (r *rolloutRun) now() time.Duration { return time.Since(r.start) }
 
-func (r *roll) run(ctx context.Context) (rollout.Ending, error) {
+func (r *rolloutRun) run(ctx context.Context) (rollout.Ending, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer r.wg.Wait()
 	defer cancel()
 	r.links = map[string]*Link{}
-	for _, x := range r.t.File.Routers {
-		l, err := r.t.File.Connect(x, r.t.Certs)
+	for _, x := range r.tool.File.Routers {
+		l, err := r.tool.File.Connect(x, r.tool.Certs)
 		if err != nil {
 			return 0, err
 		}
 		defer l.Close()
 		r.links[x.Name] = l
-		r.wg.Go(func() { r.watch(ctx, l) })
+		r.wg.Go(func() { r.pollStatus(ctx, l) })
 	}
-	tick := time.NewTicker(r.t.File.Rollout.Look)
+	tick := time.NewTicker(r.tool.File.Rollout.Look)
 	defer tick.Stop()
 	for {
 		var list []rollout.Effect
@@ -172,28 +173,29 @@
 		case f := <-r.inbox:
 			list = f()
 		case <-tick.C:
-			list = r.p.Tick(r.now())
+			list = r.planner.Tick(r.now())
 		case <-ctx.Done():
-			return 0, fmt.Errorf("interrupted; run it again to go on: %w", ctx.Err())
+			return 0, fmt.Errorf("interrupted; run the same command again to continue: %w", ctx.Err())
 		}
-		if err := r.carryOut(ctx, list); err != nil {
+		if err := r.apply(ctx, list); err != nil {
 			return 0, err
 		}
-		if r.end != 0 {
-			return r.end, r.j.End(r.end.String())
+		if r.ending != 0 {
+			return r.ending, r.journal.End(r.ending.String())
 		}
 	}
 }
 
-func (r *roll) post(ctx context.Context, f func() []rollout.Effect) {
+// post has the goroutine of run call f and apply its effects.
+func (r *rolloutRun) post(ctx context.Context, f func() []rollout.Effect) {
 	select {
 	case r.inbox <- f:
 	case <-ctx.Done():
 	}
 }
 
-// watch reads one router's status again and again.
-func (r *roll) watch(ctx context.Context, l *Link) {
+// pollStatus passes a router's status to the planner at the polling interval, and reports errors once.
+func (r *rolloutRun) pollStatus(ctx context.Context, l *Link) {
 	last := ""
 	for ctx.Err() == nil {
 		st, err := l.Status(ctx)
@@ -201,27 +203,28 @@
 			return
 		}
 		if err == nil && st.Name != l.Name {
-			err = fmt.Errorf("it calls itself %q", st.Name)
+			err = fmt.Errorf("the router there calls itself %q", st.Name)
 		}
 		if err != nil {
 			if text := err.Error(); text != last {
 				last = text
 				r.post(ctx, func() []rollout.Effect {
-					r.tell(r.now(), "unseen", l.Name, text)
+					r.report(r.now(), "unseen", l.Name, text)
 					return nil
 				})
 			}
 		} else {
 			last = ""
-			s := sight(l.Name, st)
-			r.post(ctx, func() []rollout.Effect { return r.p.Seen(r.now(), s) })
+			s := observation(l.Name, st)
+			r.post(ctx, func() []rollout.Effect { return r.planner.Observe(r.now(), s) })
 		}
-		pause(ctx, r.t.File.Rollout.Look)
+		sleep(ctx, r.tool.File.Rollout.Look)
 	}
 }
 
-func sight(name string, st *Seen) rollout.Sight {
-	s := rollout.Sight{Router: name, Boot: st.Boot, Release: st.Release, Ready: st.State == "ready", Ending: st.Predecessor != nil}
+// observation converts a status for the planner.
+func observation(name string, st *RouterStatus) rollout.Observation {
+	s := rollout.Observation{Router: name, Boot: st.Boot, Release: st.Release, Ready: st.State == "ready", PredecessorEnding: st.Predecessor != nil}
 	for _, c := range st.Counts {
 		s.Served += c.Served
 		s.Total += c.Served + c.Refused + c.Failed
@@ -229,40 +232,41 @@
 	return s
 }
 
-// carryOut does what the planner wants. A restart is in the journal before it is sent.
-func (r *roll) carryOut(ctx context.Context, list []rollout.Effect) error {
+// apply carries out the planner's effects. A restart is written to the journal before it is sent.
+func (r *rolloutRun) apply(ctx context.Context, list []rollout.Effect) error {
 	for _, e := range list {
 		switch e := e.(type) {
 		case rollout.Restart:
-			if err := r.j.Add(r.p.Entry(e)); err != nil {
+			if err := r.journal.Append(r.planner.JournalEntry(e)); err != nil {
 				return err
 			}
-			r.tell(r.now(), "restart", e.Router, "to release "+orSame(e.Release))
-			r.wg.Go(func() { r.command(ctx, e) })
+			r.report(r.now(), "restart", e.Router, "to release "+releaseOrCurrent(e.Release))
+			r.wg.Go(func() { r.sendRestart(ctx, e) })
 		case rollout.Note:
-			r.tell(r.now(), e.Kind, e.Router, e.Text)
+			r.report(r.now(), e.Kind, e.Router, e.Text)
 			if e.Kind == "done" || e.Kind == "refused" || e.Kind == "back" {
-				if err := r.j.Add(rollout.Entry{Kind: e.Kind, Router: e.Router, Text: e.Text}); err != nil {
+				if err := r.journal.Append(rollout.Entry{Kind: e.Kind, Router: e.Router, Text: e.Text}); err != nil {
 					return err
 				}
 			}
 		case rollout.End:
-			r.end = e.How
+			r.ending = e.Ending
 		}
 	}
 	return nil
 }
 
-func orSame(release string) string {
+func releaseOrCurrent(release string) string {
 	if release == "" {
 		return "as it is"
 	}
 	return release
 }
 
-func (r *roll) command(ctx context.Context, e rollout.Restart) {
+// sendRestart sends a restart command and passes its outcome to the planner.
+func (r *rolloutRun) sendRestart(ctx context.Context, e rollout.Restart) {
 	rep := r.links[e.Router].Do(ctx, Order{Op: pb.Command_RESTART, ID: e.ID, Release: e.Release, NoWait: true}, func(string, string, int) {})
-	o := map[Outcome]rollout.Outcome{Done: rollout.Commanded, Refused: rollout.Rejected, Unknown: rollout.NoAnswer,
-		Unreachable: rollout.NotReached}[rep.Outcome]
-	r.post(ctx, func() []rollout.Effect { return r.p.Result(r.now(), e.Router, e.ID, o, rep.Note) })
+	o := map[Outcome]rollout.Outcome{Done: rollout.Completed, Refused: rollout.Rejected, Unknown: rollout.NoAnswer,
+		Unreachable: rollout.Unreachable}[rep.Outcome]
+	r.post(ctx, func() []rollout.Effect { return r.planner.CommandResult(r.now(), e.Router, e.ID, o, rep.Note) })
 }
--- a/internal/fleet/show.go
+++ b/internal/fleet/show.go
@@ -15,8 +15,8 @@
 	"gannethook/internal/rollout"
 )
 
-// table writes rows with aligned columns.
-func table(w io.Writer, head string, rows func(row func(cells ...any))) {
+// writeTable writes a table with aligned columns; head has the column names, separated by spaces.
+func writeTable(w io.Writer, head string, rows func(row func(cells ...any))) {
 	tw := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(tw, strings.ReplaceAll(head, " ", "\t"))
 	rows(func(cells ...any) {
@@ -31,16 +31,16 @@
 	tw.Flush()
 }
 
-// WriteJSON writes a value, indented.
+// WriteJSON writes a value as indented JSON.
 func WriteJSON(w io.Writer, v any) error {
 	e := json.NewEncoder(w)
 	e.SetIndent("", "  ")
 	return e.Encode(v)
 }
 
-// WriteList shows what the fleet file has.
+// WriteList writes routers as configured in the fleet file.
 func WriteList(w io.Writer, list []Router) {
-	table(w, "router centre labels capacity control", func(row func(...any)) {
+	writeTable(w, "router centre labels capacity control", func(row func(...any)) {
 		for _, r := range list {
 			row(r.Name, r.Centre, orDash(strings.Join(r.Labels, ",")), r.Capacity, r.Control)
 		}
@@ -56,8 +56,8 @@
 
 func millis(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-// short rounds a span to what a reader needs.
-func short(d time.Duration) string {
+// shortDuration rounds a duration for display.
+func shortDuration(d time.Duration) string {
 	switch {
 	case d >= time.Hour:
 		return d.Round(time.Minute).String()
@@ -67,7 +67,7 @@
 	return d.Round(100 * time.Millisecond).String()
 }
 
-// totals sums up a router's counts.
+// totals sums up a router's counts over all classes.
 func totals(st *pb.Status) (served, refused, failed, inTime uint64) {
 	for _, c := range st.Counts {
 		served, refused, failed, inTime = served+c.Served, refused+c.Refused, failed+c.Failed, inTime+c.InTime
@@ -75,75 +75,77 @@
 	return
 }
 
-// WriteStatus shows statuses.
+// WriteStatus writes the status of routers.
 func WriteStatus(w io.Writer, lines []Line) {
-	table(w, "router centre state for release sessions open served refused failed in-time clock certificate note", func(row func(...any)) {
+	writeTable(w, "router centre state for release sessions open served refused failed in-time clock certificate note", func(row func(...any)) {
 		for _, l := range lines {
 			if l.Err != nil {
 				row(l.Name, l.Centre, "unreachable", "-", "-", "-", "-", "-", "-", "-", "-", "-", "-", l.Err)
 				continue
 			}
 			served, refused, failed, inTime := totals(l.Status)
-			row(l.Name, l.Centre, l.State, short(millis(l.InStateMs)), orDash(l.Release), l.Sessions, l.Open, served, refused,
-				failed, part(inTime, served+refused+failed), clock(l.Seen), left(l.CertLeftMs), note(l.Status))
+			row(l.Name, l.Centre, l.State, shortDuration(millis(l.InStateMs)), orDash(l.Release), l.Sessions, l.Open, served, refused,
+				failed, percent(inTime, served+refused+failed), clockOffset(l.RouterStatus), remaining(l.CertLeftMs), statusNote(l.Status))
 		}
 	})
 }
 
-// WriteLimits shows what stands between the routers' clients and their modules.
+// WriteLimits writes the state of the routers' admission control.
 func WriteLimits(w io.Writer, lines []Line) {
-	table(w, "router waiting in-hand room level divided-by passed turned-away", func(row func(...any)) {
+	writeTable(w, "router waiting in-hand room level divided-by passed turned-away", func(row func(...any)) {
 		for _, l := range lines {
 			if l.Err != nil || l.Limits == nil {
 				row(l.Name, "-", "-", "-", "-", "-", "-", l.Err)
 				continue
 			}
-			var turned []string
+			var rejected []string
 			for _, t := range l.Limits.Turned {
-				turned = append(turned, fmt.Sprintf("%d %s", t.Count, t.Reason))
+				rejected = append(rejected, fmt.Sprintf("%d %s", t.Count, t.Reason))
 			}
 			row(l.Name, l.Limits.Waiting, fmt.Sprintf("%.1f", l.Limits.InHand), fmt.Sprintf("%.0f", l.Limits.Room),
-				fmt.Sprintf("%.2f", l.Limits.Level), l.Limits.Routers, l.Limits.Passed, orDash(strings.Join(turned, ", ")))
+				fmt.Sprintf("%.2f", l.Limits.Level), l.Limits.Routers, l.Limits.Passed, orDash(strings.Join(rejected, ", ")))
 		}
 	})
 }
 
-func part(n, of uint64) string {
+func percent(n, of uint64) string {
 	if of == 0 {
 		return "-"
 	}
 	return fmt.Sprintf("%.1f%%", 100*float64(n)/float64(of))
 }
 
-// clock tells by how much a router's clock is ahead, where that is more than
-// the asking took.
-func clock(s *Seen) string {
-	if s.Ahead.Abs() < 100*time.Millisecond+s.Way {
+// clockOffset formats how far a router's clock is ahead; "ok" within 100 ms plus the
+// round trip, since the estimate is off by up to half of that.
+func clockOffset(s *RouterStatus) string {
+	if s.ClockAhead.Abs() < 100*time.Millisecond+s.RoundTrip {
 		return "ok"
 	}
-	return fmt.Sprintf("%+.1fs", s.Ahead.Seconds())
+	return fmt.Sprintf("%+.1fs", s.ClockAhead.Seconds())
 }
 
-func left(ms int64) string {
+// remaining formats the remaining validity of a certificate; 0: there is none.
+func remaining(ms int64) string {
 	switch {
 	case ms == 0:
 		return "-"
 	case ms < 0:
 		return "ended"
 	}
-	return short(millis(ms))
+	return shortDuration(millis(ms))
 }
 
-func note(st *pb.Status) string {
+// statusNote lists what an operator should notice in a status.
+func statusNote(st *pb.Status) string {
 	var parts []string
 	if p := st.Predecessor; p != nil {
 		parts = append(parts, fmt.Sprintf("process %d ends, %d open", p.Pid, p.Open))
 	}
 	if st.DeadlineMs > 0 {
-		parts = append(parts, "gives up in "+short(millis(st.DeadlineMs)))
+		parts = append(parts, "gives up in "+shortDuration(millis(st.DeadlineMs)))
 	}
 	if !st.Listed {
-		parts = append(parts, "roster not heard")
+		parts = append(parts, "server list not received")
 	}
 	if n := len(st.NeedsRestart); n > 0 {
 		parts = append(parts, fmt.Sprintf("%d settings wait for a restart", n))
@@ -151,7 +153,7 @@
 	return orDash(strings.Join(parts, "; "))
 }
 
-// StatusJSON is a status for other programs.
+// StatusJSON returns statuses as a value for WriteJSON.
 func StatusJSON(lines []Line) any {
 	type item struct {
 		Router  string          `json:"router"`
@@ -166,7 +168,7 @@
 		if l.Err != nil {
 			it.Error = l.Err.Error()
 		} else {
-			it.AheadMs = l.Ahead.Milliseconds()
+			it.AheadMs = l.ClockAhead.Milliseconds()
 			it.Status, _ = protojson.MarshalOptions{UseProtoNames: true, EmitUnpopulated: true}.Marshal(l.Status)
 		}
 		list = append(list, it)
@@ -174,79 +176,79 @@
 	return list
 }
 
-// WriteReports shows how a command ended.
+// WriteReports writes the result of a command.
 func WriteReports(w io.Writer, reports []Report) {
-	table(w, "router command outcome took note", func(row func(...any)) {
+	writeTable(w, "router command outcome took note", func(row func(...any)) {
 		for _, r := range reports {
 			text := r.Note
 			if r.Cut {
 				text = strings.TrimPrefix(text+"; some answers failed at the deadline", "; ")
 			}
-			row(r.Router, r.Op, r.Outcome, short(millis(r.TookMs)), orDash(text))
+			row(r.Router, r.Op, r.Outcome, shortDuration(millis(r.TookMs)), orDash(text))
 		}
 	})
 }
 
-// WritePlan shows a schedule.
+// WritePlan writes the schedule of a rollout.
 func WritePlan(w io.Writer, s rollout.Schedule) {
-	table(w, "router from to", func(row func(...any)) {
+	writeTable(w, "router from to", func(row func(...any)) {
 		for _, st := range s.Steps {
-			row(st.Router, short(st.Start), short(st.End))
+			row(st.Router, shortDuration(st.Start), shortDuration(st.End))
 		}
 	})
-	fmt.Fprintf(w, "%d restarts, about %v; no order is shorter than %v\n", len(s.Steps), short(s.Length), short(s.Bound))
+	fmt.Fprintf(w, "%d restarts, about %v; no order is shorter than %v\n", len(s.Steps), shortDuration(s.Length), shortDuration(s.Bound))
 }
 
-// Engines shows the engines as a router's module sees them.
+// Engines writes a router's view of the engines.
 func (l *Link) Engines(ctx context.Context, w io.Writer) error {
 	ctx, cancel := context.WithTimeout(ctx, l.times.Call)
 	defer cancel()
 	list, err := l.ctl.ListEngines(ctx, &pb.EnginesRequest{})
 	if err != nil {
-		return plain(err)
+		return withoutCallInfo(err)
 	}
-	table(w, "engine kind role zone cell state freeness charge backlog holds memory heard", func(row func(...any)) {
+	writeTable(w, "engine kind role zone cell state freeness charge backlog holds memory heard", func(row func(...any)) {
 		for _, e := range list.Engines {
-			heard := "never"
+			lastAnswer := "never"
 			if e.HeardMs >= 0 {
-				heard = short(millis(e.HeardMs)) + " ago"
+				lastAnswer = shortDuration(millis(e.HeardMs)) + " ago"
 			}
 			row(e.Addr, e.Kind, e.Role, orDash(e.Zone), e.Cell, e.State, fmt.Sprintf("%.2f", e.Freeness), fmt.Sprintf("%.2f", e.Charge),
-				fmt.Sprintf("%.1f", e.Backlog), e.Holds, fmt.Sprintf("%.2f", e.Memory), heard)
+				fmt.Sprintf("%.1f", e.Backlog), e.Holds, fmt.Sprintf("%.2f", e.Memory), lastAnswer)
 		}
 	})
 	return nil
 }
 
-// Sessions shows a router's sessions.
-func (l *Link) Sessions(ctx context.Context, w io.Writer, most int) error {
+// Sessions writes a router's open sessions, at most limit of them.
+func (l *Link) Sessions(ctx context.Context, w io.Writer, limit int) error {
 	ctx, cancel := context.WithTimeout(ctx, l.times.Call)
 	defer cancel()
-	list, err := l.ctl.ListSessions(ctx, &pb.SessionsRequest{Most: int32(most)})
+	list, err := l.ctl.ListSessions(ctx, &pb.SessionsRequest{Most: int32(limit)})
 	if err != nil {
-		return plain(err)
+		return withoutCallInfo(err)
 	}
-	table(w, "session age open asked going", func(row func(...any)) {
+	writeTable(w, "session age open asked going", func(row func(...any)) {
 		for _, s := range list.Sessions {
-			row(s.Id, short(millis(s.AgeMs)), s.Open, s.Asked, s.Going)
+			row(s.Id, shortDuration(millis(s.AgeMs)), s.Open, s.Asked, s.Going)
 		}
 	})
 	fmt.Fprintf(w, "%d of %d sessions\n", len(list.Sessions), list.All)
 	return nil
 }
 
-// Diff shows how a router's settings and its file differ.
+// Diff writes the differences between a router's active settings and its file.
 func (l *Link) Diff(ctx context.Context, w io.Writer) error {
 	ctx, cancel := context.WithTimeout(ctx, l.times.Call)
 	defer cancel()
 	d, err := l.ctl.DiffSettings(ctx, &pb.DiffRequest{})
 	if err != nil {
-		return plain(err)
+		return withoutCallInfo(err)
 	}
 	if d.Error != "" {
 		return fmt.Errorf("the file can't be taken: %s", d.Error)
 	}
-	table(w, "router setting runs file taken", func(row func(...any)) {
+	writeTable(w, "router setting runs file taken", func(row func(...any)) {
 		for _, c := range d.Changes {
 			how := "by a reload"
 			if !c.Live {
@@ -258,19 +260,20 @@
 	return nil
 }
 
-// LogLevel sets a router's log level; "" only asks.
+// LogLevel sets a router's log level and returns it; "" leaves it as it is.
 func (l *Link) LogLevel(ctx context.Context, level string) (string, error) {
 	ctx, cancel := context.WithTimeout(ctx, l.times.Call)
 	defer cancel()
 	got, err := l.ctl.SetLogLevel(ctx, &pb.LogLevel{Level: level})
 	if err != nil {
-		return "", plain(err)
+		return "", withoutCallInfo(err)
 	}
 	return got.Level, nil
 }
 
-// Tail hands on a router's events, and goes on over its lives, until the
-// context ends. Times are the router's own clock, less what it is ahead.
+// Tail calls event with a router's events. With follow, it continues across
+// restarts of the router until the context is done. Times are corrected by the
+// estimated offset of the router's clock.
 func (l *Link) Tail(ctx context.Context, follow bool, event func(router string, at time.Time, e *pb.Event)) error {
 	after, boot := uint64(0), ""
 	for {
@@ -279,19 +282,19 @@
 			if st.Boot != boot {
 				after, boot = 0, st.Boot
 			}
-			err = l.tail(ctx, follow, &after, st.Ahead, event)
+			err = l.tail(ctx, follow, &after, st.ClockAhead, event)
 		}
 		if !follow || ctx.Err() != nil {
 			return err
 		}
-		pause(ctx, time.Second)
+		sleep(ctx, time.Second)
 	}
 }
 
 func (l *Link) tail(ctx context.Context, follow bool, after *uint64, ahead time.Duration, event func(string, time.Time, *pb.Event)) error {
 	stream, err := l.ctl.Tail(ctx, &pb.TailRequest{After: *after, Follow: follow})
 	if err != nil {
-		return plain(err)
+		return withoutCallInfo(err)
 	}
 	for {
 		e, err := stream.Recv()
@@ -299,7 +302,7 @@
 			return nil
 		}
 		if err != nil {
-			return plain(err)
+			return withoutCallInfo(err)
 		}
 		*after = e.Number
 		event(l.Name, time.UnixMilli(e.WallUnixMs).Add(-ahead), e)
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -1,6 +1,10 @@
-// Package rollout decides in what order and when the routers of a fleet are
-// restarted, when to wait, and when to go back. It has no I/O and no clock:
-// sights of routers, results of commands and times in, effects out.
+// Package rollout plans and controls rolling restarts of a fleet's routers: in
+// which order and when routers are restarted, when the rollout pauses, and when
+// it is rolled back. It does no I/O and reads no clock: the caller passes router
+// statuses, command results and the time, and carries out the returned effects.
+//
+// Plan computes a schedule before a rollout, Planner runs one, and Rehearsal runs
+// a Planner against simulated routers.
 package rollout
 
 import (
@@ -12,43 +16,43 @@
 	"time"
 )
 
-// Router is one router of the fleet, as the fleet file gives it.
+// Router is a router of the fleet, as configured in the fleet file.
 type Router struct {
 	Name, Centre string
-	Capacity     float64       // in any unit, the same for all
-	Expect       time.Duration // a restart of it takes about so long, settling included
+	Capacity     float64       // in any unit, as long as all routers use the same
+	RestartTime  time.Duration // expected duration of a restart, settle time included
 }
 
 // Limits are the constraints of a rollout.
 type Limits struct {
-	Share       float64       // least part of all capacity that stays up
-	CentreShare float64       // least part of each data centre's
-	Down        int           // most routers of a data centre that are down at once
-	Canaries    int           // restarted first, one after the other, and watched
-	Watch       time.Duration // after each canary
-	Settle      time.Duration // a restarted router counts as down for so long after it is ready
-	Silence     time.Duration // a router that was not seen for so long counts as down
-	Patience    time.Duration // a rollout that can't go on for so long ends
-	Failures    int           // restarts that do not come up before it goes back
-	Service     float64       // least share of requests served; 0: not asked
-	Window      time.Duration // over which service is counted
-	Enough      int           // requests that a window must have to tell
+	MinCapacity       float64       // fraction of the fleet's capacity that must stay up
+	MinCentreCapacity float64       // the same for each data centre
+	MaxDown           int           // routers of a data centre that may be down at once; 0: unlimited
+	Canaries          int           // routers restarted first, one at a time
+	CanaryWatch       time.Duration // pause after each canary
+	SettleTime        time.Duration // a restarted router counts as down for this long after it is ready
+	StatusTimeout     time.Duration // a router without a status for this long counts as down
+	ProgressDeadline  time.Duration // the rollout ends as stuck after this long without progress; 0: never
+	MaxFailures       int           // failed restarts that trigger a rollback
+	MinServed         float64       // fraction of requests that must be served; 0: not checked
+	ServedWindow      time.Duration // sliding window over which requests are counted
+	MinRequests       int           // requests that a window needs for its fraction to be significant
 }
 
-// Step is a restart with its time in a plan.
+// Step is a planned restart; its times count from the start of the rollout.
 type Step struct {
 	Router     string
 	Start, End time.Duration
 }
 
-// Schedule is a plan.
+// Schedule is a planned rollout.
 type Schedule struct {
-	Steps  []Step // by start
+	Steps  []Step // ordered by start
 	Length time.Duration
-	Bound  time.Duration // no order can be shorter under these limits
+	Bound  time.Duration // lower bound of the length of any schedule under the same limits
 }
 
-// Order is the priority list of a schedule.
+// Order returns the routers by priority, for New.
 func (s *Schedule) Order() []string {
 	var list []string
 	for _, st := range s.Steps {
@@ -57,215 +61,220 @@
 	return list
 }
 
-// room tells whether routers fit into what may be down.
-type room struct {
-	lim     Limits
-	all     float64 // most capacity that may be down
-	centres map[string]*centre
+// budget tracks the capacity and the routers that are down, against what the limits allow.
+type budget struct {
+	limits  Limits
+	maxDown float64 // capacity that may be down in the whole fleet
+	centres map[string]*centreBudget
 	down    float64
 }
 
-type centre struct {
-	slack, down float64
-	count       int
+type centreBudget struct {
+	maxDown, down float64
+	routersDown   int
 }
 
-// eps forgives the rounding of sums of capacities.
+// eps absorbs rounding errors in sums of capacities.
 const eps = 1e-9
 
-func newRoom(all []Router, lim Limits) *room {
-	r := &room{lim: lim, centres: map[string]*centre{}}
+func newBudget(all []Router, lim Limits) *budget {
+	b := &budget{limits: lim, centres: map[string]*centreBudget{}}
 	sum := 0.0
 	by := map[string]float64{}
 	for _, x := range all {
 		sum += x.Capacity
 		by[x.Centre] += x.Capacity
 	}
-	r.all = sum * (1 - lim.Share)
+	b.maxDown = sum * (1 - lim.MinCapacity)
 	for name, c := range by {
-		r.centres[name] = &centre{slack: c * (1 - lim.CentreShare)}
+		b.centres[name] = &centreBudget{maxDown: c * (1 - lim.MinCentreCapacity)}
 	}
-	return r
+	return b
 }
 
-func (r *room) fits(x *Router) bool {
-	c := r.centres[x.Centre]
-	return r.down+x.Capacity <= r.all+eps && c.down+x.Capacity <= c.slack+eps && (r.lim.Down <= 0 || c.count < r.lim.Down)
+func (b *budget) fits(x *Router) bool {
+	c := b.centres[x.Centre]
+	return b.down+x.Capacity <= b.maxDown+eps && c.down+x.Capacity <= c.maxDown+eps && (b.limits.MaxDown <= 0 || c.routersDown < b.limits.MaxDown)
 }
 
-func (r *room) add(x *Router, sign float64) {
-	c := r.centres[x.Centre]
-	r.down += sign * x.Capacity
+func (b *budget) add(x *Router, sign float64) {
+	c := b.centres[x.Centre]
+	b.down += sign * x.Capacity
 	c.down += sign * x.Capacity
-	c.count += int(sign)
+	c.routersDown += int(sign)
 }
 
-// Impossible lists the routers that no order can restart, each with why.
-func Impossible(all []Router, lim Limits) (list []string) {
+// Infeasible returns the names of routers that exceed the limits even if no other router is down.
+func Infeasible(all []Router, lim Limits) (list []string) {
 	for i := range all {
-		if r := newRoom(all, lim); !r.fits(&all[i]) {
+		if b := newBudget(all, lim); !b.fits(&all[i]) {
 			list = append(list, all[i].Name)
 		}
 	}
 	return list
 }
 
-// ends is a heap of the restarts that run.
-type ends []Step
+// runningRestarts is a heap of the restarts in progress, by end.
+type runningRestarts []Step
 
-func (e ends) Len() int           { return len(e) }
-func (e ends) Less(i, j int) bool { return e[i].End < e[j].End }
-func (e ends) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
-func (e *ends) Push(x any)        { *e = append(*e, x.(Step)) }
-func (e *ends) Pop() any {
+func (e runningRestarts) Len() int           { return len(e) }
+func (e runningRestarts) Less(i, j int) bool { return e[i].End < e[j].End }
+func (e runningRestarts) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
+func (e *runningRestarts) Push(x any)        { *e = append(*e, x.(Step)) }
+func (e *runningRestarts) Pop() any {
 	old := *e
 	x := old[len(old)-1]
 	*e = old[:len(old)-1]
 	return x
 }
 
-// list runs a priority list: at each time the first that fits is started.
-func list(all, todo []Router, lim Limits) Schedule {
-	r, byName := newRoom(all, lim), map[string]*Router{}
-	left := make([]*Router, 0, len(todo))
+// listSchedule is list scheduling: at the start and after each restart, it starts
+// the routers of todo that fit, by priority. Canaries come first, one at a time.
+func listSchedule(all, todo []Router, lim Limits) Schedule {
+	b, byName := newBudget(all, lim), map[string]*Router{}
+	pending := make([]*Router, 0, len(todo))
 	for i := range todo {
 		byName[todo[i].Name] = &todo[i]
-		left = append(left, &todo[i])
+		pending = append(pending, &todo[i])
 	}
 	var s Schedule
-	var run ends
+	var running runningRestarts
 	now := time.Duration(0)
-	for n := 0; len(left) > 0 || len(run) > 0; {
-		if n < lim.Canaries && len(left) > 0 && len(run) == 0 {
-			step := Step{left[0].Name, now, now + left[0].Expect + lim.Watch}
-			s.Steps, left = append(s.Steps, step), left[1:]
+	for n := 0; len(pending) > 0 || len(running) > 0; {
+		if n < lim.Canaries && len(pending) > 0 && len(running) == 0 {
+			step := Step{pending[0].Name, now, now + pending[0].RestartTime + lim.CanaryWatch}
+			s.Steps, pending = append(s.Steps, step), pending[1:]
 			now, s.Length = step.End, step.End
 			n++
 			continue
 		}
-		left = slices.DeleteFunc(left, func(x *Router) bool {
-			if !r.fits(x) {
+		pending = slices.DeleteFunc(pending, func(x *Router) bool {
+			if !b.fits(x) {
 				return false
 			}
-			r.add(x, 1)
-			step := Step{x.Name, now, now + x.Expect}
+			b.add(x, 1)
+			step := Step{x.Name, now, now + x.RestartTime}
 			s.Steps = append(s.Steps, step)
-			heap.Push(&run, step)
+			heap.Push(&running, step)
 			return true
 		})
-		if len(run) == 0 {
-			break // nothing fits any more: see Impossible
+		if len(running) == 0 {
+			break // none of the pending routers fits: see Infeasible
 		}
-		end := heap.Pop(&run).(Step)
+		end := heap.Pop(&running).(Step)
 		now, s.Length = end.End, max(s.Length, end.End)
-		r.add(byName[end.Router], -1)
+		b.add(byName[end.Router], -1)
 	}
 	return s
 }
 
-// Bound is a time below which no order gets: the longest restart, the work in
-// routers and in capacity over what may be down at once, and the routers of
-// which no two may be down together.
+// Bound returns a lower bound of the length of any schedule: the time of the
+// canaries plus the largest groupBound of the fleet and of each data centre.
 func Bound(all, todo []Router, lim Limits) time.Duration {
 	if len(todo) == 0 {
 		return 0
 	}
 	canaries := time.Duration(0)
-	rest := slices.Clone(todo)
-	slices.SortStableFunc(rest, func(a, b Router) int { return cmp.Compare(a.Expect, b.Expect) })
-	n := min(lim.Canaries, len(rest))
-	for _, x := range rest[:n] { // at the least the shortest go first, alone
-		canaries += x.Expect + lim.Watch
+	sorted := slices.Clone(todo)
+	slices.SortStableFunc(sorted, func(a, b Router) int { return cmp.Compare(a.RestartTime, b.RestartTime) })
+	n := min(lim.Canaries, len(sorted))
+	for _, x := range sorted[:n] { // the canaries run alone; the shortest n give the lowest sum
+		canaries += x.RestartTime + lim.CanaryWatch
 	}
-	// Which ones are canaries is open: what is bounded below counts all restarts but the n of most work.
-	r := newRoom(all, lim)
-	best := groupBound(todo, n, r.all, math.MaxInt32)
-	for name, c := range r.centres {
-		var of []Router
+	// Any n routers can be the canaries, so groupBound leaves out the n largest.
+	b := newBudget(all, lim)
+	best := groupBound(todo, n, b.maxDown, math.MaxInt32)
+	for name, c := range b.centres {
+		var inCentre []Router
 		for _, x := range todo {
 			if x.Centre == name {
-				of = append(of, x)
+				inCentre = append(inCentre, x)
 			}
 		}
-		count := lim.Down
-		if count <= 0 {
-			count = math.MaxInt32
+		maxRouters := lim.MaxDown
+		if maxRouters <= 0 {
+			maxRouters = math.MaxInt32
 		}
-		best = max(best, groupBound(of, n, c.slack, count))
+		best = max(best, groupBound(inCentre, n, c.maxDown, maxRouters))
 	}
 	return canaries + best
 }
 
-// groupBound bounds the restarts of a group, but for so many of them, of which
-// at most count and at most slack may be down at once.
-func groupBound(group []Router, but int, slack float64, count int) time.Duration {
+// groupBound returns a lower bound of the time to restart all but exclude routers
+// of a group, of which at most maxRouters, with a capacity of at most maxDown, may
+// be down at once. It is the largest of: the longest restart; the sum of restart
+// times over the routers that may be down at once, and the number of rounds times
+// the shortest restart; the sum of restart time times capacity over maxDown; and
+// the sum of restart times of routers no two of which may be down together.
+func groupBound(group []Router, exclude int, maxDown float64, maxRouters int) time.Duration {
 	group = slices.Clone(group)
-	work := func(x Router) float64 { return x.Expect.Seconds() * x.Capacity }
-	drop := func(by func(a, b Router) int) []Router {
+	work := func(x Router) float64 { return x.RestartTime.Seconds() * x.Capacity }
+	dropLargest := func(by func(a, b Router) int) []Router {
 		g := slices.Clone(group)
 		slices.SortStableFunc(g, by)
-		return g[:max(len(g)-but, 0)]
+		return g[:max(len(g)-exclude, 0)]
 	}
-	longest, sum := time.Duration(0), time.Duration(0)
-	short := drop(func(a, b Router) int { return cmp.Compare(a.Expect, b.Expect) })
-	for _, x := range short {
-		longest, sum = max(longest, x.Expect), sum+x.Expect
+	longest, total := time.Duration(0), time.Duration(0)
+	shortest := dropLargest(func(a, b Router) int { return cmp.Compare(a.RestartTime, b.RestartTime) })
+	for _, x := range shortest {
+		longest, total = max(longest, x.RestartTime), total+x.RestartTime
 	}
 	best := longest
-	// Most that may be down at once, in routers: the smallest that fit together.
-	caps, fit, together := []float64{}, 0.0, 0
+	// The number of routers that may be down at once is that of the smallest ones that fit together.
+	caps, sum, parallel := []float64{}, 0.0, 0
 	for _, x := range group {
 		caps = append(caps, x.Capacity)
 	}
 	slices.Sort(caps)
 	for _, c := range caps {
-		if fit += c; fit > slack+eps {
+		if sum += c; sum > maxDown+eps {
 			break
 		}
-		together++
+		parallel++
 	}
-	if together = min(together, count); together > 0 && len(short) > 0 {
-		best = max(best, sum/time.Duration(together))
-		rounds := (len(short) + together - 1) / together
-		best = max(best, time.Duration(rounds)*short[0].Expect)
+	if parallel = min(parallel, maxRouters); parallel > 0 && len(shortest) > 0 {
+		best = max(best, total/time.Duration(parallel))
+		rounds := (len(shortest) + parallel - 1) / parallel
+		best = max(best, time.Duration(rounds)*shortest[0].RestartTime)
 	}
-	area := 0.0
-	for _, x := range drop(func(a, b Router) int { return cmp.Compare(work(a), work(b)) }) {
-		area += work(x)
+	totalWork := 0.0
+	for _, x := range dropLargest(func(a, b Router) int { return cmp.Compare(work(a), work(b)) }) {
+		totalWork += work(x)
 	}
-	if slack > 0 {
-		best = max(best, time.Duration(area/(slack+eps)*float64(time.Second)))
+	if maxDown > 0 {
+		best = max(best, time.Duration(totalWork/(maxDown+eps)*float64(time.Second)))
 	}
-	alone := time.Duration(0) // no two of these fit together
+	serial := time.Duration(0) // restarts of routers of which no two fit together
 	var big []Router
 	for _, x := range group {
-		if x.Capacity > slack/2+2*eps {
+		if x.Capacity > maxDown/2+2*eps {
 			big = append(big, x)
 		}
 	}
-	slices.SortStableFunc(big, func(a, b Router) int { return cmp.Compare(a.Expect, b.Expect) })
-	for _, x := range big[:max(len(big)-but, 0)] {
-		alone += x.Expect
+	slices.SortStableFunc(big, func(a, b Router) int { return cmp.Compare(a.RestartTime, b.RestartTime) })
+	for _, x := range big[:max(len(big)-exclude, 0)] {
+		serial += x.RestartTime
 	}
-	return max(best, alone)
+	return max(best, serial)
 }
 
-// Plan searches for a short schedule of restarts of todo among all routers: the
-// shortest of several orders, then improved by moves of one router in the list
-// while tries last, or until the bound is met. The search is list scheduling,
-// whose schedules contain a shortest one for some order; it is seeded.
+// Plan searches for a short schedule that restarts todo, routers of the fleet all.
+// It takes the shortest list schedule of several priority orders and improves it
+// by moving one random router in the order, at most tries times or until the
+// length equals the lower bound. For some order, list scheduling gives a shortest
+// schedule. The same seed gives the same result.
 func Plan(all, todo []Router, lim Limits, tries int, seed uint64) Schedule {
 	bound := Bound(all, todo, lim)
 	best, order := Schedule{Length: math.MaxInt64}, []Router(nil)
-	take := func(o []Router) bool {
-		if s := list(all, o, lim); s.Length < best.Length {
+	keepIfShorter := func(o []Router) bool {
+		if s := listSchedule(all, o, lim); s.Length < best.Length {
 			best, order = s, slices.Clone(o)
 			return true
 		}
 		return false
 	}
-	for _, o := range orders(todo) {
-		take(o)
+	for _, o := range priorityOrders(todo) {
+		keepIfShorter(o)
 	}
 	rnd := rand.New(rand.NewPCG(seed, 0x726f6c6c))
 	for ; tries > 0 && best.Length > bound && len(order) > 1; tries-- {
@@ -273,14 +282,16 @@
 		i, j := rnd.IntN(len(o)), rnd.IntN(len(o))
 		x := o[i]
 		o = slices.Insert(slices.Delete(o, i, i+1), min(j, len(o)-1), x)
-		take(o)
+		keepIfShorter(o)
 	}
 	best.Bound = bound
 	return best
 }
 
-// orders are the ones that list scheduling is known to do well with.
-func orders(todo []Router) [][]Router {
+// priorityOrders returns orders with which list scheduling usually gives short
+// schedules: by restart time, capacity, their product and the centre's sum of
+// products, largest first, and by capacity, smallest first.
+func priorityOrders(todo []Router) [][]Router {
 	by := func(key func(Router) float64) []Router {
 		o := slices.Clone(todo)
 		slices.SortStableFunc(o, func(a, b Router) int {
@@ -293,12 +304,12 @@
 	}
 	work := map[string]float64{}
 	for _, x := range todo {
-		work[x.Centre] += x.Expect.Seconds() * x.Capacity
+		work[x.Centre] += x.RestartTime.Seconds() * x.Capacity
 	}
 	return [][]Router{
-		by(func(x Router) float64 { return x.Expect.Seconds() }),
+		by(func(x Router) float64 { return x.RestartTime.Seconds() }),
 		by(func(x Router) float64 { return x.Capacity }),
-		by(func(x Router) float64 { return x.Expect.Seconds() * x.Capacity }),
+		by(func(x Router) float64 { return x.RestartTime.Seconds() * x.Capacity }),
 		by(func(x Router) float64 { return work[x.Centre] }),
 		by(func(x Router) float64 { return -x.Capacity }),
 	}
--- a/internal/rollout/planner.go
+++ b/internal/rollout/planner.go
@@ -6,528 +6,540 @@
 	"time"
 )
 
-// Stage is where one router is in a rollout.
+// Stage is the state of one router in a rollout.
 type Stage int
 
 // The stages.
 const (
-	Waiting  Stage = iota + 1
-	Going          // a command is out
-	Checking       // the command is done; the new life is to be seen
-	Settling       // seen; it counts as down for a while
-	Done
-	Unknown // the command ended without a result: until it is seen again
-	Refused // the router goes on as it was
+	Pending    Stage = iota + 1 // to be restarted
+	Restarting                  // a restart command is in flight
+	Verifying                   // the command completed; the new incarnation is not confirmed yet
+	Settling                    // confirmed; counts as down until the settle time is over
+	Done                        // restarted, or not part of the rollout
+	Unknown                     // the command ended without a result; resolved by the next status
+	Refused                     // the restart failed; not retried, except by a rollback
 )
 
-// Phase is where the rollout is.
+// Phase is the state of the whole rollout.
 type Phase int
 
 // The phases.
 const (
-	Forward Phase = iota + 1
-	Paused        // service fell; nothing is started
-	Back          // to the releases before
-	Over
+	Forward     Phase = iota + 1 // to the target release
+	Paused                       // too few requests are served; no restart is started
+	RollingBack                  // to the previous releases
+	Ended                        // no more effects
 )
 
 func (p Phase) String() string { return [...]string{"", "forward", "paused", "back", "over"}[p] }
 
-// Ending tells how a rollout ended.
+// Ending is the final result of a rollout.
 type Ending int
 
 // The endings.
 const (
-	AllDone    Ending = iota + 1 // every router runs what it is to run
-	RolledBack                   // every router runs what it ran before
-	Stuck                        // patience ran out; some routers are not where they should be
+	AllDone    Ending = iota + 1 // every router runs the target release
+	RolledBack                   // every router runs its previous release
+	Stuck                        // progress deadline exceeded, or a restart failed; some routers may not run the wanted release
 )
 
 func (e Ending) String() string { return [...]string{"", "all done", "rolled back", "stuck"}[e] }
 
-// Sight is a router's status as it was just read.
-type Sight struct {
+// Observation is a router's status as just read. Boot identifies the incarnation
+// (process) that answered; Served and Total count its requests since its start.
+type Observation struct {
 	Router, Boot, Release string
-	Ready                 bool // takes sessions
-	Ending                bool // its predecessor still ends
+	Ready                 bool // accepts sessions
+	PredecessorEnding     bool // its predecessor is still draining
 	Served, Total         uint64
 }
 
-// Outcome is how a command ended, as far as it is known.
+// Outcome is what is known about the end of a command.
 type Outcome int
 
 // The outcomes.
 const (
-	Commanded  Outcome = iota + 1 // the router says that it is done
-	Rejected                      // the router says that it is not, and goes on
-	NoAnswer                      // it may be done or not
-	NotReached                    // the command did not arrive
+	Completed   Outcome = iota + 1 // the router reported success
+	Rejected                       // the router reported failure and keeps running
+	NoAnswer                       // no result: it may have been carried out or not
+	Unreachable                    // the command did not reach the router
 )
 
-// Effect is something to be done.
+// Effect is an action for the caller, in the order returned.
 type Effect interface{ isEffect() }
 
 // The effects.
 type (
-	// Restart is to be written to the journal before it is sent.
+	// Restart asks to restart a router with a release, under the command id ID. Its JournalEntry must
+	// be written to the journal before the command is sent.
 	Restart struct{ Router, Release, ID string }
-	// Note is for the operator; those of kind done, refused and back are for the journal too.
+	// Note is a message for the operator. Those of kind done, refused and back must be written to the
+	// journal as well.
 	Note struct{ Kind, Router, Text string }
-	// End is the last effect.
-	End struct{ How Ending }
+	// End is the last effect of a rollout.
+	End struct{ Ending Ending }
 )
 
 func (Restart) isEffect() {}
 func (Note) isEffect()    {}
 func (End) isEffect()     {}
 
+// member is a router of the fleet with its state in the rollout.
 type member struct {
 	Router
-	stage   Stage
-	before  string // release before the rollout
-	was     string // boot when the command was given
-	boot    string
-	release string
-	ready   bool
-	known   bool // was ever seen
-	seen    time.Duration
-	until   time.Duration // of settling
-	id      string        // of the command out
-	goal    string        // release that it asks for
-	try     int
-	served  map[string][2]uint64
-	points  []point // counted since the last sights
-	moved   bool    // a command towards the target was done
-}
-
-// point is what a router served between two sights.
-type point struct {
+	stage           Stage
+	previousRelease string // release before the rollout, restored by a rollback
+	bootBefore      string // incarnation when the command was sent
+	boot            string // boot, release and ready are those of the last status
+	release         string
+	ready           bool
+	observed        bool                 // a status was received, or the journal has its previous release
+	seenAt          time.Duration        // time of the last status; -1: none
+	settlesAt       time.Duration        // end of the settle time
+	commandID       string               // of the command in flight; "": none
+	commandRelease  string               // release that the command asks for; "": the same program
+	attempts        int                  // restarts so far; the last part of the command id
+	counters        map[string][2]uint64 // served and total of the last status, by incarnation
+	samples         []sample             // of the served window
+	onTarget        bool                 // restarted with the target release
+}
+
+// sample counts a router's requests between two statuses.
+type sample struct {
 	at            time.Duration
 	served, total uint64
-	fresh         bool // on the target release, after its restart
+	onTarget      bool // of an incarnation on the target release
 }
 
 // Planner runs one rollout. It is not safe for concurrent use.
 type Planner struct {
-	id       string
-	target   string
-	lim      Limits
-	list     []*member // by priority
-	byName   map[string]*member
-	phase    Phase
-	why      string        // of the pause
-	proven   int           // canaries that are done
-	watch    time.Duration // canaries are watched until then
-	progress time.Duration // when something last went on
-	failures int
-	back     bool // a pause is one on the way back
-	out      []Effect
-}
-
-// New returns a rollout of todo to a release, "" being the same again. order is
-// a plan's; all are all routers of the fleet, whose capacity counts.
+	id           string
+	target       string
+	limits       Limits
+	order        []*member // routers to restart, by priority
+	byName       map[string]*member
+	phase        Phase
+	pauseReason  string        // why the phase is Paused
+	canariesDone int           // canaries restarted successfully
+	watchUntil   time.Duration // no restart starts earlier: the last canary is being watched
+	progressAt   time.Duration // time of the last progress, for the progress deadline
+	failures     int           // failed restarts
+	rollingBack  bool          // a rollback has begun; decides the phase after a pause
+	effects      []Effect
+}
+
+// New returns a planner that restarts todo with the release target; "" restarts the
+// same program. all are the routers of the fleet, whose capacity the limits refer
+// to; order is a schedule's, and routers of todo missing in it come last. id is
+// the rollout's, the prefix of its command ids.
 func New(id, target string, all, todo []Router, order []string, lim Limits, now time.Duration) *Planner {
-	p := &Planner{id: id, target: target, lim: lim, byName: map[string]*member{}, phase: Forward, progress: now}
+	p := &Planner{id: id, target: target, limits: lim, byName: map[string]*member{}, phase: Forward, progressAt: now}
 	for _, r := range all {
-		m := &member{Router: r, stage: Done, served: map[string][2]uint64{}, seen: -1}
+		m := &member{Router: r, stage: Done, counters: map[string][2]uint64{}, seenAt: -1}
 		p.byName[r.Name] = m
 	}
 	for _, r := range todo {
-		p.byName[r.Name].stage = Waiting
+		p.byName[r.Name].stage = Pending
 	}
 	for _, name := range order {
-		if m := p.byName[name]; m != nil && m.stage == Waiting {
-			p.list = append(p.list, m)
+		if m := p.byName[name]; m != nil && m.stage == Pending {
+			p.order = append(p.order, m)
 		}
 	}
-	for _, r := range todo { // what the order left out
-		if m := p.byName[r.Name]; !slices.Contains(p.list, m) {
-			p.list = append(p.list, m)
+	for _, r := range todo { // routers missing in order
+		if m := p.byName[r.Name]; !slices.Contains(p.order, m) {
+			p.order = append(p.order, m)
 		}
 	}
 	return p
 }
 
-// Phase is the present phase, and why it is a pause.
-func (p *Planner) Phase() (Phase, string) { return p.phase, p.why }
+// Phase returns the current phase and the reason of a pause.
+func (p *Planner) Phase() (Phase, string) { return p.phase, p.pauseReason }
 
-func (p *Planner) do(e Effect) { p.out = append(p.out, e) }
+func (p *Planner) emit(e Effect) { p.effects = append(p.effects, e) }
 
 func (p *Planner) note(kind, router, format string, args ...any) {
-	p.do(Note{kind, router, fmt.Sprintf(format, args...)})
+	p.emit(Note{kind, router, fmt.Sprintf(format, args...)})
 }
 
-func (p *Planner) take() []Effect {
-	out := p.out
-	p.out = nil
+func (p *Planner) takeEffects() []Effect {
+	out := p.effects
+	p.effects = nil
 	return out
 }
 
-// Seen takes a router's status.
-func (p *Planner) Seen(now time.Duration, s Sight) []Effect {
+// Observe processes a router's status.
+func (p *Planner) Observe(now time.Duration, s Observation) []Effect {
 	m := p.byName[s.Router]
-	if m == nil || p.phase == Over {
+	if m == nil || p.phase == Ended {
 		return nil
 	}
-	p.count(now, m, s)
-	if !m.known {
-		m.known = true
-		if m.before == "" {
-			m.before = s.Release
+	p.countServed(now, m, s)
+	if !m.observed {
+		m.observed = true
+		if m.previousRelease == "" {
+			m.previousRelease = s.Release
 		}
 	}
-	m.seen, m.boot, m.release, m.ready = now, s.Boot, s.Release, s.Ready
+	m.seenAt, m.boot, m.release, m.ready = now, s.Boot, s.Release, s.Ready
 	switch m.stage {
-	case Checking:
-		p.check(now, m, s)
+	case Verifying:
+		p.checkRestart(now, m, s)
 	case Unknown:
-		p.found(now, m, s)
+		p.resolveUnknown(now, m, s)
 	case Settling:
 		switch {
-		case m.goal != "" && s.Release != m.goal: // it died, and was started as it was before
-			m.stage = Waiting
+		case m.commandRelease != "" && s.Release != m.commandRelease: // it crashed and was started again with its previous release
+			m.stage = Pending
 			p.note("seen", m.Name, "fell back to release %q", s.Release)
-		case now >= m.until && !s.Ending:
-			p.settled(now, m)
+		case now >= m.settlesAt && !s.PredecessorEnding:
+			p.finishRestart(now, m)
 		}
 	}
 	p.act(now)
-	return p.take()
+	return p.takeEffects()
 }
 
-// wants is the release that a router is to run.
-func (p *Planner) wants(m *member) string {
-	if p.backward() {
-		return m.before
+// wantedRelease returns the release that a router should run in the current phase.
+func (p *Planner) wantedRelease(m *member) string {
+	if p.isRollingBack() {
+		return m.previousRelease
 	}
 	return p.target
 }
 
-func (p *Planner) backward() bool { return p.phase == Back || p.phase == Paused && p.back }
+func (p *Planner) isRollingBack() bool {
+	return p.phase == RollingBack || p.phase == Paused && p.rollingBack
+}
 
-// arrived tells whether a router's new life is what the command was for.
-func (m *member) arrived(s Sight) bool {
-	return s.Boot != m.was && (m.goal == "" || s.Release == m.goal)
+// isRestarted reports whether a status shows a new incarnation on the release that the command asked for.
+func (m *member) isRestarted(s Observation) bool {
+	return s.Boot != m.bootBefore && (m.commandRelease == "" || s.Release == m.commandRelease)
 }
 
-// arrive takes a router in that runs what it was told to. What is wanted may
-// have changed since.
-func (p *Planner) arrive(now time.Duration, m *member) {
-	m.id, m.moved, p.progress = "", m.goal == p.target, now
-	if m.goal != p.wants(m) {
-		m.stage = Waiting
+// confirmRestart records that a router runs the release of its command. If a
+// rollback began meanwhile, the router is restarted once more.
+func (p *Planner) confirmRestart(now time.Duration, m *member) {
+	m.commandID, m.onTarget, p.progressAt = "", m.commandRelease == p.target, now
+	if m.commandRelease != p.wantedRelease(m) {
+		m.stage = Pending
 		return
 	}
-	m.stage, m.until = Settling, now+p.lim.Settle
+	m.stage, m.settlesAt = Settling, now+p.limits.SettleTime
 }
 
-func (p *Planner) check(now time.Duration, m *member, s Sight) {
+func (p *Planner) checkRestart(now time.Duration, m *member, s Observation) {
 	switch {
-	case m.arrived(s):
-		p.arrive(now, m)
-	case s.Boot != m.was:
-		// It died after the hand-over and something else started it, with what it found.
-		p.fail(now, m, fmt.Sprintf("runs release %q", s.Release))
+	case m.isRestarted(s):
+		p.confirmRestart(now, m)
+	case s.Boot != m.bootBefore:
+		// The successor crashed after the handover, and a supervisor started another release.
+		p.restartFailed(now, m, fmt.Sprintf("runs release %q", s.Release))
 	}
 }
 
-// found takes up a router whose command had no known end.
-func (p *Planner) found(now time.Duration, m *member, s Sight) {
-	p.progress = now
-	if m.arrived(s) {
+// resolveUnknown continues with a router whose command ended without a result.
+func (p *Planner) resolveUnknown(now time.Duration, m *member, s Observation) {
+	p.progressAt = now
+	if m.isRestarted(s) {
 		p.note("seen", m.Name, "seen again, restarted")
-		p.arrive(now, m)
+		p.confirmRestart(now, m)
 		return
 	}
-	if s.Boot == m.was {
-		// The same life: the command is given again under its id. If it ran, the router gives the first
-		// result; if it still runs, this waits for it. Harms nothing.
+	if s.Boot == m.bootBefore {
+		// The same incarnation: the command is sent again under its id. This is idempotent: the router
+		// returns the first result if the command has ended, and waits for its end if it is still running.
 		p.note("seen", m.Name, "seen again, not restarted; the command is repeated")
-		m.stage = Going
-		p.do(Restart{m.Name, m.goal, m.id})
+		m.stage = Restarting
+		p.emit(Restart{m.Name, m.commandRelease, m.commandID})
 		return
 	}
 	p.note("seen", m.Name, "seen again in another life, on release %q", s.Release)
-	m.stage, m.id = Waiting, ""
+	m.stage, m.commandID = Pending, ""
 }
 
-func (p *Planner) settled(now time.Duration, m *member) {
+func (p *Planner) finishRestart(now time.Duration, m *member) {
 	m.stage = Done
-	p.progress = now
+	p.progressAt = now
 	p.note("done", m.Name, "done")
-	if p.canaries() {
-		p.proven++
-		p.watch = now + p.lim.Watch
+	if p.canariesPending() {
+		p.canariesDone++
+		p.watchUntil = now + p.limits.CanaryWatch
 	}
 }
 
-// canaries tells whether the first ones are still to prove the way.
-func (p *Planner) canaries() bool { return !p.backward() && p.proven < p.lim.Canaries }
+// canariesPending reports whether canaries still have to be restarted. A rollback has none.
+func (p *Planner) canariesPending() bool {
+	return !p.isRollingBack() && p.canariesDone < p.limits.Canaries
+}
 
-// Result takes how a command ended.
-func (p *Planner) Result(now time.Duration, router, id string, o Outcome, text string) []Effect {
+// CommandResult processes the outcome of a restart command; outdated ones are ignored.
+func (p *Planner) CommandResult(now time.Duration, router, id string, o Outcome, text string) []Effect {
 	m := p.byName[router]
-	if m == nil || m.id != id || m.stage != Going || p.phase == Over {
+	if m == nil || m.commandID != id || m.stage != Restarting || p.phase == Ended {
 		return nil
 	}
 	switch o {
-	case Commanded:
-		m.stage = Checking
-		p.progress = now
+	case Completed:
+		m.stage = Verifying
+		p.progressAt = now
 	case Rejected:
-		p.fail(now, m, text)
+		p.restartFailed(now, m, text)
 	case NoAnswer:
 		m.stage = Unknown
-		p.note("unknown", m.Name, "unknown until seen again: %s", text)
-	case NotReached:
-		m.stage, m.id = Waiting, ""
-		m.seen = -1 // until it is seen again
-		p.note("unreached", m.Name, "not reached: %s", text)
+		p.note("unknown", m.Name, "no result, outcome unknown until its next status: %s", text)
+	case Unreachable:
+		m.stage, m.commandID = Pending, ""
+		m.seenAt = -1 // not restarted again before its next status
+		p.note("unreached", m.Name, "command not delivered: %s", text)
 	}
 	p.act(now)
-	return p.take()
+	return p.takeEffects()
 }
 
-// fail counts a restart that did not come up; enough of them mean a bad release.
-func (p *Planner) fail(now time.Duration, m *member, why string) {
-	p.note("refused", m.Name, "not restarted: %s", why)
-	m.stage, m.id = Refused, ""
-	p.progress = now
+// restartFailed records a failed restart, and starts the rollback after too many of them.
+func (p *Planner) restartFailed(now time.Duration, m *member, reason string) {
+	p.note("refused", m.Name, "not restarted: %s", reason)
+	m.stage, m.commandID = Refused, ""
+	p.progressAt = now
 	p.failures++
-	// Guards the fleet against a release that does not come up: each try costs a router's attention, and
-	// perhaps its life. Harms a rollout with as many unlucky routers: it can be run again.
-	if p.phase != Back && p.target != "" && p.failures >= max(p.lim.Failures, 1) {
-		p.goBack(now, fmt.Sprintf("%d restarts did not come up", p.failures))
+	// Protects the fleet from a release that does not start: each attempt occupies a router and may crash
+	// it. A rollout with as many unrelated failures is rolled back too; it can be run again.
+	if p.phase != RollingBack && p.target != "" && p.failures >= max(p.limits.MaxFailures, 1) {
+		p.rollBack(now, fmt.Sprintf("%d restarts did not come up", p.failures))
 	}
 }
 
-// goBack turns the rollout round: what was moved gets its release before.
-func (p *Planner) goBack(now time.Duration, why string) {
-	if p.backward() {
+// rollBack reverses the rollout: routers on the target release get their previous release.
+func (p *Planner) rollBack(now time.Duration, reason string) {
+	if p.isRollingBack() {
 		return
 	}
-	p.note("back", "", "going back: %s", why)
-	p.phase, p.why, p.progress, p.back, p.watch = Back, "", now, true, 0
-	for _, m := range p.list {
+	p.note("back", "", "going back: %s", reason)
+	p.phase, p.pauseReason, p.progressAt, p.rollingBack, p.watchUntil = RollingBack, "", now, true, 0
+	for _, m := range p.order {
 		switch m.stage {
-		case Waiting, Refused:
-			if !m.moved || m.known && m.release == m.before {
+		case Pending, Refused:
+			if !m.onTarget || m.observed && m.release == m.previousRelease {
 				m.stage = Done
 			} else {
-				m.stage = Waiting
+				m.stage = Pending
 			}
-		case Done, Settling, Checking:
-			if m.moved {
-				m.stage, m.id = Waiting, ""
+		case Done, Settling, Verifying:
+			if m.onTarget {
+				m.stage, m.commandID = Pending, ""
 			}
 		}
-		// Going and Unknown: their end is awaited; what arrived on the target is then turned round too.
+		// Restarting and Unknown are left: once their outcome is known, those that reached the target release
+		// are rolled back as well.
 	}
 }
 
-// count adds what a router served since the last sight.
-func (p *Planner) count(now time.Duration, m *member, s Sight) {
-	last, known := m.served[s.Boot]
-	m.served[s.Boot] = [2]uint64{s.Served, s.Total}
-	for boot := range m.served { // of two lives, the one before counts on while it ends
-		if len(m.served) > 2 && boot != s.Boot {
-			delete(m.served, boot)
+// countServed adds the requests that a router counted since its last status.
+func (p *Planner) countServed(now time.Duration, m *member, s Observation) {
+	last, known := m.counters[s.Boot]
+	m.counters[s.Boot] = [2]uint64{s.Served, s.Total}
+	for boot := range m.counters { // keeps two incarnations: the predecessor counts on while it drains
+		if len(m.counters) > 2 && boot != s.Boot {
+			delete(m.counters, boot)
 		}
 	}
-	if !known && s.Boot != m.was && m.known {
-		last, known = [2]uint64{}, true // a new life counts from nothing
+	if !known && s.Boot != m.bootBefore && m.observed {
+		last, known = [2]uint64{}, true // the counters of a new incarnation start at 0
 	}
 	if !known || s.Total < last[1] || s.Served < last[0] {
 		return
 	}
-	m.points = append(m.points, point{now, s.Served - last[0], s.Total - last[1], m.moved && s.Boot != m.was})
-	for len(m.points) > 0 && m.points[0].at < now-p.lim.Window {
-		m.points = m.points[1:]
+	m.samples = append(m.samples, sample{now, s.Served - last[0], s.Total - last[1], m.onTarget && s.Boot != m.bootBefore})
+	for len(m.samples) > 0 && m.samples[0].at < now-p.limits.ServedWindow {
+		m.samples = m.samples[1:]
 	}
 }
 
-// share is what was served of what was asked for.
-type share struct{ served, total uint64 }
+// servedShare counts requests and those of them that were served.
+type servedShare struct{ served, total uint64 }
 
-func (s share) of() float64 { return float64(s.served) / float64(max(s.total, 1)) }
+func (s servedShare) ratio() float64 { return float64(s.served) / float64(max(s.total, 1)) }
 
-// service counts the window's requests: those of routers that are on the target
-// already, and the others'.
-func (p *Planner) service(now time.Duration) (fresh, old share) {
+// servedShares sums up the requests of the window: of routers on the target
+// release, and of the others.
+func (p *Planner) servedShares(now time.Duration) (updated, others servedShare) {
 	for _, m := range p.byName {
-		for _, x := range m.points {
+		for _, x := range m.samples {
 			switch {
-			case x.at < now-p.lim.Window:
-			case x.fresh:
-				fresh.served, fresh.total = fresh.served+x.served, fresh.total+x.total
+			case x.at < now-p.limits.ServedWindow:
+			case x.onTarget:
+				updated.served, updated.total = updated.served+x.served, updated.total+x.total
 			default:
-				old.served, old.total = old.served+x.served, old.total+x.total
+				others.served, others.total = others.served+x.served, others.total+x.total
 			}
 		}
 	}
-	return fresh, old
+	return updated, others
 }
 
-// Tick lets time pass.
+// Tick processes the passing of time; it is called at regular intervals.
 func (p *Planner) Tick(now time.Duration) []Effect {
-	if p.phase == Over {
+	if p.phase == Ended {
 		return nil
 	}
 	p.act(now)
-	return p.take()
+	return p.takeEffects()
 }
 
-// act judges the service, then starts what may be started.
+// act checks the served share, ends the rollout if it is finished, and starts the restarts that fit.
 func (p *Planner) act(now time.Duration) {
-	if p.phase == Over {
+	if p.phase == Ended {
 		return
 	}
-	p.judge(now)
-	if p.finished(now) {
+	p.checkServed(now)
+	if p.endIfFinished(now) {
 		return
 	}
 	if p.phase != Paused {
-		p.start(now)
+		p.startRestarts(now)
 	}
 }
 
-// judge pauses when service falls, and goes back where the release is to blame.
-func (p *Planner) judge(now time.Duration) {
-	if p.lim.Service <= 0 {
+// checkServed pauses the rollout while too few requests are served, and rolls it back
+// if the routers on the target release serve too few and the others do not.
+func (p *Planner) checkServed(now time.Duration) {
+	if p.limits.MinServed <= 0 {
 		return
 	}
-	fresh, old := p.service(now)
-	all := share{fresh.served + old.served, fresh.total + old.total}
-	tells := func(x share) bool { return x.total > 0 && x.total >= uint64(p.lim.Enough) }
-	low := func(x share) bool { return tells(x) && x.of() < p.lim.Service }
+	updated, others := p.servedShares(now)
+	all := servedShare{updated.served + others.served, updated.total + others.total}
+	significant := func(x servedShare) bool { return x.total > 0 && x.total >= uint64(p.limits.MinRequests) }
+	low := func(x servedShare) bool { return significant(x) && x.ratio() < p.limits.MinServed }
 	switch {
-	case p.target != "" && !p.backward() && low(fresh) && tells(old) && !low(old):
-		// Guards the fleet against a release that serves worse: the old ones do well at the same time. Harms a
-		// rollout whose first routers get the worse clients.
-		p.goBack(now, fmt.Sprintf("restarted routers serve %.1f%%, the others %.1f%%", 100*fresh.of(), 100*old.of()))
+	case p.target != "" && !p.isRollingBack() && low(updated) && significant(others) && !low(others):
+		// Protects the fleet from a release that serves worse: the routers on the previous release do well at
+		// the same time. A rollout whose first routers get the worse traffic is rolled back without need.
+		p.rollBack(now, fmt.Sprintf("restarted routers serve %.1f%%, the others %.1f%%", 100*updated.ratio(), 100*others.ratio()))
 	case p.phase != Paused && low(all):
-		p.pause(fmt.Sprintf("service fell to %.1f%%", 100*all.of()))
+		p.pause(fmt.Sprintf("service fell to %.1f%%", 100*all.ratio()))
 	case p.phase == Paused && !low(all):
-		p.phase, p.why = Forward, ""
-		if p.back {
-			p.phase = Back
+		p.phase, p.pauseReason = Forward, ""
+		if p.rollingBack {
+			p.phase = RollingBack
 		}
-		p.progress = now
+		p.progressAt = now
 		p.note("on", "", "going on: service is back")
 	}
 }
 
-func (p *Planner) pause(why string) {
-	p.phase, p.why = Paused, why
-	p.note("paused", "", "paused: %s", why)
+func (p *Planner) pause(reason string) {
+	p.phase, p.pauseReason = Paused, reason
+	p.note("paused", "", "paused: %s", reason)
 }
 
-// finished ends the rollout when nothing is left to do, or patience is over.
-func (p *Planner) finished(now time.Duration) bool {
-	left := false
-	for _, m := range p.list {
+// endIfFinished ends the rollout when no router is pending, or the progress deadline is exceeded.
+func (p *Planner) endIfFinished(now time.Duration) bool {
+	remaining := false
+	for _, m := range p.order {
 		if m.stage != Done && m.stage != Refused {
-			left = true
+			remaining = true
 		}
 	}
-	how := Ending(0)
+	ending := Ending(0)
 	switch {
-	case left && now-p.progress >= p.lim.Patience && p.lim.Patience > 0:
-		how = Stuck
-	case left || now < p.watch:
+	case remaining && now-p.progressAt >= p.limits.ProgressDeadline && p.limits.ProgressDeadline > 0:
+		ending = Stuck
+	case remaining || now < p.watchUntil:
 		return false
-	case slices.ContainsFunc(p.list, func(m *member) bool { return m.stage == Refused }):
-		how = Stuck
-	case p.backward():
-		how = RolledBack
+	case slices.ContainsFunc(p.order, func(m *member) bool { return m.stage == Refused }):
+		ending = Stuck
+	case p.isRollingBack():
+		ending = RolledBack
 	default:
-		how = AllDone
+		ending = AllDone
 	}
-	p.phase = Over
-	p.do(End{how})
+	p.phase = Ended
+	p.emit(End{ending})
 	return true
 }
 
-// down tells whether a router counts as down.
-func (p *Planner) down(now time.Duration, m *member) bool {
+// isDown reports whether a router counts as down: restarted, not ready, or without a recent status.
+func (p *Planner) isDown(now time.Duration, m *member) bool {
 	switch m.stage {
-	case Going, Checking, Settling, Unknown:
+	case Restarting, Verifying, Settling, Unknown:
 		return true
 	}
-	return m.seen < 0 || !m.ready || now-m.seen > p.lim.Silence
+	return m.seenAt < 0 || !m.ready || now-m.seenAt > p.limits.StatusTimeout
 }
 
-// start starts, in the order of the plan, what fits.
-func (p *Planner) start(now time.Duration) {
-	if now < p.watch || p.canaryOut() {
+// startRestarts restarts, by priority, the pending routers that the limits allow.
+func (p *Planner) startRestarts(now time.Duration) {
+	if now < p.watchUntil || p.canaryInProgress() {
 		return
 	}
 	all := make([]Router, 0, len(p.byName))
 	for _, m := range p.byName {
 		all = append(all, m.Router)
 	}
-	r := newRoom(all, p.lim)
+	down := newBudget(all, p.limits)
 	for _, m := range p.byName {
-		if p.down(now, m) {
-			r.add(&m.Router, 1)
+		if p.isDown(now, m) {
+			down.add(&m.Router, 1)
 		}
 	}
-	for _, m := range p.list {
-		if m.stage != Waiting || m.seen < 0 || now-m.seen > p.lim.Silence {
-			continue // one that is not seen can't be told anything
+	for _, m := range p.order {
+		if m.stage != Pending || m.seenAt < 0 || now-m.seenAt > p.limits.StatusTimeout {
+			continue // no recent status: it would hardly receive a command
 		}
-		counted := p.down(now, m) // drained: it takes no capacity away
-		if !counted && !r.fits(&m.Router) {
+		alreadyDown := p.isDown(now, m) // not ready, so a restart takes no further capacity away
+		if !alreadyDown && !down.fits(&m.Router) {
 			continue
 		}
-		if !counted {
-			r.add(&m.Router, 1)
+		if !alreadyDown {
+			down.add(&m.Router, 1)
 		}
-		p.begin(now, m)
-		if p.canaryOut() {
+		p.startRestart(now, m)
+		if p.canaryInProgress() {
 			return
 		}
 	}
 }
 
-// canaryOut tells whether a canary is under way: nothing else starts then.
-func (p *Planner) canaryOut() bool {
-	return p.canaries() && slices.ContainsFunc(p.list, func(m *member) bool {
-		return m.stage == Going || m.stage == Checking || m.stage == Settling || m.stage == Unknown
+// canaryInProgress reports whether a canary is being restarted; no other restart starts then.
+func (p *Planner) canaryInProgress() bool {
+	return p.canariesPending() && slices.ContainsFunc(p.order, func(m *member) bool {
+		return m.stage == Restarting || m.stage == Verifying || m.stage == Settling || m.stage == Unknown
 	})
 }
 
-func (p *Planner) begin(now time.Duration, m *member) {
-	m.try++
-	m.stage, m.was, m.goal, m.id = Going, m.boot, p.wants(m), fmt.Sprintf("%s/%s/%d", p.id, m.Name, m.try)
-	p.progress = now
-	p.do(Restart{m.Name, m.goal, m.id})
+func (p *Planner) startRestart(now time.Duration, m *member) {
+	m.attempts++
+	m.stage, m.bootBefore, m.commandRelease, m.commandID = Restarting, m.boot, p.wantedRelease(m), fmt.Sprintf("%s/%s/%d", p.id, m.Name, m.attempts)
+	p.progressAt = now
+	p.emit(Restart{m.Name, m.commandRelease, m.commandID})
 }
 
-// Entry is a line of the journal: enough to go on after the tool has died.
+// Entry is a decision or result in the journal, from which Restore continues after a crash of the tool.
 type Entry struct {
 	Kind    string // restart, done, refused or back
 	Router  string `json:",omitempty"`
 	ID      string `json:",omitempty"`
-	Was     string `json:",omitempty"` // boot when a restart was decided
+	Was     string `json:",omitempty"` // incarnation (boot) when the restart was decided
 	Before  string `json:",omitempty"` // release before the rollout
 	Release string `json:",omitempty"`
 	Text    string `json:",omitempty"`
 }
 
-// Entry is what the journal needs of a restart, before it is sent.
-func (p *Planner) Entry(e Restart) Entry {
+// JournalEntry returns the entry that is written to the journal before a restart is sent.
+func (p *Planner) JournalEntry(e Restart) Entry {
 	m := p.byName[e.Router]
-	return Entry{Kind: "restart", Router: e.Router, ID: e.ID, Was: m.was, Before: m.before, Release: e.Release}
+	return Entry{Kind: "restart", Router: e.Router, ID: e.ID, Was: m.bootBefore, Before: m.previousRelease, Release: e.Release}
 }
 
-// Restore goes through a journal's entries. A restart without an end is
-// unknown until its router is seen.
+// Restore replays the entries of a journal. A restart without a recorded outcome
+// is Unknown until the router's next status.
 func (p *Planner) Restore(now time.Duration, entries []Entry) {
 	for _, e := range entries {
 		if e.Kind == "back" {
-			p.goBack(now, "as before the tool ended")
-			p.out = nil
+			p.rollBack(now, "continued from the journal")
+			p.effects = nil
 			continue
 		}
 		m := p.byName[e.Router]
@@ -536,19 +548,19 @@
 		}
 		switch e.Kind {
 		case "restart":
-			if e.ID != m.id {
-				m.try++
+			if e.ID != m.commandID {
+				m.attempts++
 			}
-			m.stage, m.id, m.was, m.goal, m.before, m.known = Unknown, e.ID, e.Was, e.Release, e.Before, true
+			m.stage, m.commandID, m.bootBefore, m.commandRelease, m.previousRelease, m.observed = Unknown, e.ID, e.Was, e.Release, e.Before, true
 		case "done":
-			if p.canaries() {
-				p.proven++
+			if p.canariesPending() {
+				p.canariesDone++
 			}
-			m.stage, m.id, m.moved = Done, "", m.goal == p.target
+			m.stage, m.commandID, m.onTarget = Done, "", m.commandRelease == p.target
 		case "refused":
-			m.stage, m.id = Refused, ""
+			m.stage, m.commandID = Refused, ""
 			p.failures++
 		}
 	}
-	p.progress = now
+	p.progressAt = now
 }
