--- a/internal/faults/off.go
+++ b/internal/faults/off.go
@@ -10,31 +10,31 @@
 	"time"
 )
 
-// Enabled tells whether this build injects faults.
+// Enabled reports whether this build injects faults.
 const Enabled = false
 
-// Broken tells whether a guard is left out.
+// Broken reports whether a guard is disabled.
 func Broken(string) bool { return false }
 
-// WallClock reads the wall clock.
+// WallClock returns the wall-clock time.
 func WallClock() time.Time { return time.Now() }
 
 // ReadFile reads a file.
 func ReadFile(path string) ([]byte, error) { return os.ReadFile(path) }
 
-// Dial makes a connection.
+// Dial connects to a TCP address.
 func Dial(ctx context.Context, d *net.Dialer, addr string) (net.Conn, error) {
 	return d.DialContext(ctx, "tcp", addr)
 }
 
-// Listener is the listener itself.
+// Listener returns the listener unchanged.
 func Listener(ln net.Listener) net.Listener { return ln }
 
-// Peek looks at bytes that wait on a socket, without a wait.
+// Peek reads received bytes of a socket without removing them or blocking.
 func Peek(fd int, p []byte) (int, error) {
 	n, _, err := syscall.Recvfrom(fd, p, syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	return n, err
 }
 
-// Write writes to a socket without a wait.
+// Write is one write call on a non-blocking socket.
 func Write(fd int, p []byte) (int, error) { return syscall.Write(fd, p) }
--- a/internal/faults/off_test.go
+++ b/internal/faults/off_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// The shipped build injects nothing, whatever the environment says, and the deploy file builds no other.
+// The shipped build injects no faults, regardless of the environment, and the deploy file builds it without tags.
 func TestShippedBuildHasNoFaults(t *testing.T) {
 	t.Setenv("GANNETHOOK_FAULTS", "accept=1,dial=1,file=1,clock=3600")
 	t.Setenv("GANNETHOOK_BREAK", BreakRepeat)
@@ -19,13 +19,13 @@
 	}
 	defer ln.Close()
 	if Enabled || Broken(BreakRepeat) || Listener(ln) != ln {
-		t.Error("faults are built in")
+		t.Error("the shipped build injects faults")
 	}
 	deploy, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if strings.Contains(string(deploy), "-tags") {
-		t.Errorf("the deploy file builds with tags:\n%s", deploy)
+		t.Errorf("the deploy file builds the router with tags:\n%s", deploy)
 	}
 }
--- a/internal/faults/on.go
+++ b/internal/faults/on.go
@@ -14,147 +14,152 @@
 	"time"
 )
 
-// Enabled tells whether this build injects faults.
+// Enabled reports whether this build injects faults.
 const Enabled = true
 
-// plan is what GANNETHOOK_FAULTS asks for.
-var plan = parse(os.Getenv("GANNETHOOK_FAULTS"))
+// inject draws the faults that GANNETHOOK_FAULTS configures.
+var inject = parseSpec(os.Getenv("GANNETHOOK_FAULTS"))
 
-type faultPlan struct {
+// injector draws faults by a seed.
+type injector struct {
 	mu    sync.Mutex
 	rnd   *rand.Rand
-	rates map[string]float64
+	rates map[string]float64 // by kind: fraction of calls, or seconds for "clock"
 }
 
-func parse(text string) *faultPlan {
-	p := &faultPlan{rates: map[string]float64{}}
+// parseSpec parses the value of GANNETHOOK_FAULTS. Malformed entries are ignored.
+func parseSpec(text string) *injector {
+	in := &injector{rates: map[string]float64{}}
 	for part := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(part, "=")
 		if rate, err := strconv.ParseFloat(value, 64); err == nil {
-			p.rates[name] = rate
+			in.rates[name] = rate
 		}
 	}
-	p.rnd = rand.New(rand.NewPCG(uint64(p.rates["seed"]), 1))
-	return p
+	in.rnd = rand.New(rand.NewPCG(uint64(in.rates["seed"]), 1))
+	return in
 }
 
-// strikes tells whether a fault of a kind happens now.
-func (p *faultPlan) strikes(kind string) bool {
-	rate := p.rates[kind]
+// fires draws whether a fault of a kind happens now.
+func (in *injector) fires(kind string) bool {
+	rate := in.rates[kind]
 	if rate == 0 {
 		return false
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.rnd.Float64() < rate
+	in.mu.Lock()
+	defer in.mu.Unlock()
+	return in.rnd.Float64() < rate
 }
 
-func (p *faultPlan) pick(errs ...syscall.Errno) syscall.Errno {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return errs[p.rnd.IntN(len(errs))]
+// pickErrno draws one of the errors.
+func (in *injector) pickErrno(errs ...syscall.Errno) syscall.Errno {
+	in.mu.Lock()
+	defer in.mu.Unlock()
+	return errs[in.rnd.IntN(len(errs))]
 }
 
-func (p *faultPlan) upTo(n int) int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return 1 + p.rnd.IntN(n)
+// drawUpTo draws a number from 1 to n.
+func (in *injector) drawUpTo(n int) int {
+	in.mu.Lock()
+	defer in.mu.Unlock()
+	return 1 + in.rnd.IntN(n)
 }
 
-// Broken tells whether a guard is left out.
+// Broken reports whether a guard is disabled.
 func Broken(guard string) bool { return os.Getenv("GANNETHOOK_BREAK") == guard }
 
-// WallClock reads the wall clock, as far off as it is told to be.
+// WallClock returns the wall-clock time, off by the configured seconds.
 func WallClock() time.Time {
-	return time.Now().Add(time.Duration(plan.rates["clock"] * float64(time.Second)))
+	return time.Now().Add(time.Duration(inject.rates["clock"] * float64(time.Second)))
 }
 
-// ReadFile reads a file, or fails as a file system does for a while.
+// ReadFile reads a file, or fails with a transient error of a file system.
 func ReadFile(path string) ([]byte, error) {
-	if plan.strikes("file") {
-		return nil, &os.PathError{Op: "open", Path: path, Err: plan.pick(syscall.EIO, syscall.ENFILE, syscall.EINTR, syscall.ENOMEM)}
+	if inject.fires("file") {
+		return nil, &os.PathError{Op: "open", Path: path, Err: inject.pickErrno(syscall.EIO, syscall.ENFILE, syscall.EINTR, syscall.ENOMEM)}
 	}
 	return os.ReadFile(path)
 }
 
-// Dial makes a connection, or fails as socket and connect do for a moment.
+// Dial connects to a TCP address, late or not at all, or fails with a transient error of socket or connect.
 func Dial(ctx context.Context, d *net.Dialer, addr string) (net.Conn, error) {
-	if plan.strikes("dial") {
-		err := plan.pick(syscall.ENFILE, syscall.ENOBUFS, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ETIMEDOUT, syscall.ENOMEM)
+	if inject.fires("dial") {
+		err := inject.pickErrno(syscall.ENFILE, syscall.ENOBUFS, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ETIMEDOUT, syscall.ENOMEM)
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", err)}
 	}
-	if plan.strikes("hang") {
-		hang(ctx, d)
+	if inject.fires("hang") {
+		delayConnect(ctx, d)
 	}
 	nc, err := d.DialContext(ctx, "tcp", addr)
-	return wrap(nc, true), err
+	return wrapConn(nc, true), err
 }
 
-// hang has a connection come up late, up to a second, or not in its time.
-func hang(ctx context.Context, d *net.Dialer) {
-	until := time.After(time.Duration(plan.upTo(1000)) * time.Millisecond)
+// delayConnect waits for up to a second, or until the dial's deadline.
+func delayConnect(ctx context.Context, d *net.Dialer) {
+	delay := time.After(time.Duration(inject.drawUpTo(1000)) * time.Millisecond)
 	ctx, cancel := context.WithDeadline(ctx, d.Deadline)
 	defer cancel()
 	select {
-	case <-until:
+	case <-delay:
 	case <-ctx.Done():
 	}
 }
 
-// Listener is the listener with failing calls of accept.
+// Listener returns a listener on which some calls of accept fail, and whose connections read in part.
 func Listener(ln net.Listener) net.Listener { return &listener{ln} }
 
 type listener struct{ net.Listener }
 
 func (l *listener) Accept() (net.Conn, error) {
-	if plan.strikes("accept") {
-		err := plan.pick(syscall.ECONNABORTED, syscall.ENFILE, syscall.ENOBUFS, syscall.ENETUNREACH, syscall.EPROTO, syscall.ENOMEM)
+	if inject.fires("accept") {
+		err := inject.pickErrno(syscall.ECONNABORTED, syscall.ENFILE, syscall.ENOBUFS, syscall.ENETUNREACH, syscall.EPROTO, syscall.ENOMEM)
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", err)}
 	}
 	nc, err := l.Listener.Accept()
-	return wrap(nc, false), err
+	return wrapConn(nc, false), err
 }
 
-func wrap(nc net.Conn, breaks bool) net.Conn {
+// wrapConn injects faults into a TCP connection; failReads is set for outgoing ones.
+func wrapConn(nc net.Conn, failReads bool) net.Conn {
 	if tc, ok := nc.(*net.TCPConn); ok && tc != nil {
-		return &conn{tc, breaks}
+		return &conn{tc, failReads}
 	}
 	return nc
 }
 
-// conn is a connection whose reads come short.
+// conn is a connection on which some reads are partial or fail.
 type conn struct {
 	*net.TCPConn
-	breaks bool // with errors other than the usual ones
+	failReads bool // some reads fail with an error, after which nothing more is received
 }
 
 func (c *conn) Read(p []byte) (int, error) {
-	if c.breaks && plan.strikes("broken") {
+	if c.failReads && inject.fires("broken") {
 		c.TCPConn.CloseRead()
-		return 0, &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", plan.pick(syscall.ETIMEDOUT, syscall.EHOSTUNREACH))}
+		return 0, &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", inject.pickErrno(syscall.ETIMEDOUT, syscall.EHOSTUNREACH))}
 	}
-	if len(p) > 1 && plan.strikes("short") {
-		p = p[:plan.upTo(len(p))]
+	if len(p) > 1 && inject.fires("short") {
+		p = p[:inject.drawUpTo(len(p))]
 	}
 	return c.TCPConn.Read(p)
 }
 
-// Peek looks at bytes that wait on a socket, without a wait.
+// Peek reads received bytes of a socket without removing them or blocking, or fails.
 func Peek(fd int, p []byte) (int, error) {
-	if plan.strikes("peek") {
-		return -1, plan.pick(syscall.EINTR, syscall.ENOMEM, syscall.ENOBUFS)
+	if inject.fires("peek") {
+		return -1, inject.pickErrno(syscall.EINTR, syscall.ENOMEM, syscall.ENOBUFS)
 	}
 	n, _, err := syscall.Recvfrom(fd, p, syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	return n, err
 }
 
-// Write writes to a socket without a wait, often in part.
+// Write is one write call on a non-blocking socket, which may write in part or fail.
 func Write(fd int, p []byte) (int, error) {
-	if plan.strikes("write") {
-		return -1, plan.pick(syscall.EINTR, syscall.EAGAIN, syscall.ENOBUFS)
+	if inject.fires("write") {
+		return -1, inject.pickErrno(syscall.EINTR, syscall.EAGAIN, syscall.ENOBUFS)
 	}
-	if len(p) > 1 && plan.strikes("short") {
-		p = p[:plan.upTo(len(p))]
+	if len(p) > 1 && inject.fires("short") {
+		p = p[:inject.drawUpTo(len(p))]
 	}
 	return syscall.Write(fd, p)
 }
--- a/internal/soak/discovery.go
+++ b/internal/soak/discovery.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// target is one worker in a list.
-type target struct {
+// workerEntry is one worker in a list of the discovery protocol.
+type workerEntry struct {
 	UID      string  `json:"uid"`
 	Endpoint string  `json:"endpoint"`
 	Zone     string  `json:"az"`
@@ -22,26 +22,27 @@
 	Boot     int64   `json:"boot_ms"`
 }
 
-type list struct {
-	Rev     int64    `json:"rev"`
-	All     bool     `json:"all"`
-	Targets []target `json:"targets"`
+// workerList is an answer of the discovery protocol: all workers, or those changed since a revision.
+type workerList struct {
+	Rev     int64         `json:"rev"`
+	All     bool          `json:"all"`
+	Targets []workerEntry `json:"targets"`
 }
 
-// agent is discovery as one router reaches it, at one address after another.
+// agent is the discovery agent of one router. Its address changes with relocate.
 type agent struct {
-	p      *platform
-	router int
+	platform *platform
+	router   int
 
 	mu      sync.Mutex
 	servers []*http.Server
 	lns     []*trackedListener
 	current string
 
-	mute, slow atomic.Bool
+	mute, slow atomic.Bool // faults AgentMute and AgentSlow
 }
 
-// trackedListener knows its connections, so that they can be reset.
+// trackedListener keeps its connections, so that they can be reset.
 type trackedListener struct {
 	net.Listener
 	mu    sync.Mutex
@@ -69,8 +70,9 @@
 	}
 }
 
-// move has the agent listen at another address; the former one closes after a while.
-func (a *agent) move() error {
+// relocate makes the agent listen at another address. The old address refuses connections at once, and its open ones are
+// closed after 1.5 s.
+func (a *agent) relocate() error {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
@@ -89,8 +91,8 @@
 	return nil
 }
 
-// set begins or ends a trouble; others that are under way go on.
-func (a *agent) set(kind Kind, on bool) {
+// setFault starts or ends a fault, independently of others that are active.
+func (a *agent) setFault(kind Kind, on bool) {
 	switch kind {
 	case AgentMute:
 		a.mute.Store(on)
@@ -123,7 +125,7 @@
 	}
 }
 
-// ServeHTTP answers as the agent does.
+// ServeHTTP answers a watch: once the list is newer than the client's revision, or its timeout has passed.
 func (a *agent) ServeHTTP(rw http.ResponseWriter, req *http.Request) {
 	since, err := strconv.ParseInt(req.URL.Query().Get("since"), 10, 64)
 	if err != nil {
@@ -131,20 +133,20 @@
 	}
 	waitMS, _ := strconv.Atoi(req.URL.Query().Get("timeout_ms"))
 	until := time.Now().Add(time.Duration(waitMS) * time.Millisecond)
-	for a.mute.Load() || since >= a.p.revision() && time.Now().Before(until) {
-		if !wait(req, 5*time.Millisecond) {
+	for a.mute.Load() || since >= a.platform.revision() && time.Now().Before(until) {
+		if !sleepOrDone(req, 5*time.Millisecond) {
 			return
 		}
 	}
-	if a.slow.Load() && !wait(req, 300*time.Millisecond) {
+	if a.slow.Load() && !sleepOrDone(req, 300*time.Millisecond) {
 		return
 	}
-	told := a.p.list(a.router, since)
-	text, _ := json.Marshal(told)
+	update := a.platform.list(a.router, since)
+	text, _ := json.Marshal(update)
 	if half := len(text) / 2; a.slow.Load() {
 		rw.Write(text[:half])
 		rw.(http.Flusher).Flush()
-		if !wait(req, 200*time.Millisecond) {
+		if !sleepOrDone(req, 200*time.Millisecond) {
 			return
 		}
 		rw.Write(text[half:])
@@ -153,6 +155,6 @@
 	}
 	rw.(http.Flusher).Flush()
 	if req.Context().Err() == nil && !a.mute.Load() {
-		a.p.noteTold(a.router, told)
+		a.platform.recordDelivery(a.router, update)
 	}
 }
--- a/internal/soak/platform.go
+++ b/internal/soak/platform.go
@@ -11,98 +11,98 @@
 	"time"
 )
 
-// Times of the platform that no seed changes.
+// Settings that no seed changes.
 const (
-	warmAfter = 6 * time.Second
-	coldFrom  = 0.1
-	overload  = 1.5
+	warmAfter      = 6 * time.Second // length of a worker's slow start
+	coldFrom       = 0.1             // part of a warm worker's load that a worker may get as its slow start begins
+	overloadFactor = 1.5             // factor by which the load of a worker may exceed its share
 
-	longestGrace = 3 * time.Second // of the longest deadline counts so much at most,
-	killAfter    = 700 * time.Millisecond
+	maxDeadlineGrace = 3 * time.Second        // at most this much of the longest deadline counts towards stopGrace
+	killMargin       = 700 * time.Millisecond // added to it
 )
 
-// stopGrace is how long after SIGTERM a process is killed: as early as the platform may.
-func (t Terms) stopGrace() time.Duration { return min(t.Deadline, longestGrace) + killAfter }
-
-// Terms are the settings of a run's customer that its seed draws.
-type Terms struct {
-	Holds, Cancel, Resume, Asked bool
-	MaxAttempts                  int
-	Sockets                      int
-	KeyWindow                    time.Duration
-	Deadline                     time.Duration // that clients wait at the most
-	Pin                          time.Duration // for how long something may be held with no attempt out
-	EndsAsTold                   bool          // workers end an attempt once the time is up that they were told
-	IdleClose                    time.Duration // workers close connections that have been idle for so long; 0: they don't
-	WorkerConns                  int           // connections that a worker holds; further ones are reset; 0: any number
+// stopGrace returns the time from SIGTERM to SIGKILL: the shortest that the platform may grant.
+func (s Settings) stopGrace() time.Duration { return min(s.Deadline, maxDeadlineGrace) + killMargin }
+
+// Settings are the router settings and the worker behaviour that the seed of a run draws.
+type Settings struct {
+	Holds, Cancel, Resume, Subscribe bool          // places are held, attempts cancelled, cut streams resumed by clients, discovery subscribed to
+	MaxAttempts                      int           // for each request
+	Sockets                          int           // of each router, at most
+	KeyWindow                        time.Duration // for which workers remember the keys of requests with the effect Keyed
+	Deadline                         time.Duration // longest timeout of clients
+	PinLimit                         time.Duration // for which something may be held with no attempt in flight
+	EnforceTimeout                   bool          // workers end an attempt once the timeout that they received has passed
+	IdleClose                        time.Duration // after which workers close idle connections; 0: never
+	WorkerConns                      int           // connections that a worker accepts, further ones are reset; 0: no limit
 }
 
-// NewTerms draws terms; one seed in three has the usual ones.
-func NewTerms(seed uint64) Terms {
-	drawn := rand.New(rand.NewPCG(seed, 6))
-	t := Terms{IdleClose: []time.Duration{0, 0, 20 * time.Millisecond, 300 * time.Millisecond, 2 * time.Second}[drawn.IntN(5)],
-		WorkerConns: []int{0, 0, 0, 40, 20}[drawn.IntN(5)], Holds: true, Cancel: true, Resume: true, MaxAttempts: 7, Sockets: 256, KeyWindow: 1500 * time.Millisecond,
-		Deadline: 4 * time.Second, Pin: 500 * time.Millisecond, EndsAsTold: seed%2 == 0}
+// NewSettings draws the settings of a seed. One seed in three has the default router settings.
+func NewSettings(seed uint64) Settings {
+	workerRnd := rand.New(rand.NewPCG(seed, 6))
+	s := Settings{IdleClose: []time.Duration{0, 0, 20 * time.Millisecond, 300 * time.Millisecond, 2 * time.Second}[workerRnd.IntN(5)],
+		WorkerConns: []int{0, 0, 0, 40, 20}[workerRnd.IntN(5)], Holds: true, Cancel: true, Resume: true, MaxAttempts: 7, Sockets: 256, KeyWindow: 1500 * time.Millisecond,
+		Deadline: 4 * time.Second, PinLimit: 500 * time.Millisecond, EnforceTimeout: seed%2 == 0}
 	if seed%3 == 0 {
-		return t
+		return s
 	}
 	rnd := rand.New(rand.NewPCG(seed, 5))
-	t.Holds, t.Cancel, t.Resume, t.Asked = rnd.IntN(3) > 0, rnd.IntN(4) > 0, rnd.IntN(2) > 0, rnd.IntN(6) == 0
-	t.MaxAttempts = []int{2, 3, 4, 7, 0}[rnd.IntN(5)]
-	t.Sockets = []int{64, 128, 256}[rnd.IntN(3)]
-	t.KeyWindow = []time.Duration{250 * time.Millisecond, 600 * time.Millisecond, 1500 * time.Millisecond}[rnd.IntN(3)]
-	t.Deadline = []time.Duration{600 * time.Millisecond, 1500 * time.Millisecond, 4 * time.Second}[rnd.IntN(3)]
-	t.Pin = []time.Duration{250 * time.Millisecond, 250 * time.Millisecond, 500 * time.Millisecond, time.Second}[rnd.IntN(4)]
-	return t
+	s.Holds, s.Cancel, s.Resume, s.Subscribe = rnd.IntN(3) > 0, rnd.IntN(4) > 0, rnd.IntN(2) > 0, rnd.IntN(6) == 0
+	s.MaxAttempts = []int{2, 3, 4, 7, 0}[rnd.IntN(5)]
+	s.Sockets = []int{64, 128, 256}[rnd.IntN(3)]
+	s.KeyWindow = []time.Duration{250 * time.Millisecond, 600 * time.Millisecond, 1500 * time.Millisecond}[rnd.IntN(3)]
+	s.Deadline = []time.Duration{600 * time.Millisecond, 1500 * time.Millisecond, 4 * time.Second}[rnd.IntN(3)]
+	s.PinLimit = []time.Duration{250 * time.Millisecond, 250 * time.Millisecond, 500 * time.Millisecond, time.Second}[rnd.IntN(4)]
+	return s
 }
 
-func (t Terms) String() string {
-	return fmt.Sprintf("holds %v, cancel %v, resume %v, asked %v, attempts %d, sockets %d, window %v, deadline %v, pin %v, ends as told %v, idle close %v, worker conns %d", t.Holds, t.Cancel, t.Resume, t.Asked,
-		t.MaxAttempts, t.Sockets, t.KeyWindow, t.Deadline, t.Pin, t.EndsAsTold, t.IdleClose, t.WorkerConns)
+func (s Settings) String() string {
+	return fmt.Sprintf("holds %v, cancel %v, resume %v, asked %v, attempts %d, sockets %d, window %v, deadline %v, pin %v, ends as told %v, idle close %v, worker conns %d", s.Holds, s.Cancel, s.Resume, s.Subscribe,
+		s.MaxAttempts, s.Sockets, s.KeyWindow, s.Deadline, s.PinLimit, s.EnforceTimeout, s.IdleClose, s.WorkerConns)
 }
 
-// settings is the settings object of a router's configuration.
-func (t Terms) settings(routers int) json.RawMessage {
-	class := func(name, effect string, worth int, more map[string]any) map[string]any {
-		c := map[string]any{"aimMs": min(1500, t.Deadline.Milliseconds()/2), "effect": effect, "importance": worth, "name": name, "streamed": true, "deadlineMs": t.Deadline.Milliseconds()}
-		maps.Copy(c, more)
+// routerSettings returns the settings object of a router's configuration.
+func (s Settings) routerSettings(routers int) json.RawMessage {
+	class := func(name, effect string, importance int, extra map[string]any) map[string]any {
+		c := map[string]any{"aimMs": min(1500, s.Deadline.Milliseconds()/2), "effect": effect, "importance": importance, "name": name, "streamed": true, "deadlineMs": s.Deadline.Milliseconds()}
+		maps.Copy(c, extra)
 		return c
 	}
 	discovery := "automatic"
-	if t.Asked {
+	if s.Subscribe {
 		discovery = "subscribe"
 	}
 	text, _ := json.Marshal(map[string]any{
-		"ceilings": map[string]any{"cancel": t.Cancel, "connIdleMs": 4000, "dialTimeoutMs": 250, "maxAttempts": t.MaxAttempts, "maxRetryAfterMs": 500, "retryAfter": true},
+		"ceilings": map[string]any{"cancel": s.Cancel, "connIdleMs": 4000, "dialTimeoutMs": 250, "maxAttempts": s.MaxAttempts, "maxRetryAfterMs": 500, "retryAfter": true},
 		"classes": []any{class("question", "pure", 3, nil), class("adjustment", "side_effect", 2, nil),
-			class("note", "token", 2, map[string]any{"group": "all", "windowMs": t.KeyWindow.Milliseconds()})},
+			class("note", "token", 2, map[string]any{"group": "all", "windowMs": s.KeyWindow.Milliseconds()})},
 		"discovery": discovery,
-		"domain": map[string]any{"holdsAllowed": t.Holds, "kindRole": []string{"read", "write"}, "pinLimitMs": t.Pin.Milliseconds(), "resume": t.Resume,
+		"domain": map[string]any{"holdsAllowed": s.Holds, "kindRole": []string{"read", "write"}, "pinLimitMs": s.PinLimit.Milliseconds(), "resume": s.Resume,
 			"tokensByKind": []int{200000, 200000}},
-		"guarantees": map[string]any{"coldFrom": coldFrom, "overloadFactor": overload, "warmAfterMs": warmAfter.Milliseconds()},
+		"guarantees": map[string]any{"coldFrom": coldFrom, "overloadFactor": overloadFactor, "warmAfterMs": warmAfter.Milliseconds()},
 		"kinds":      []string{"prompt", "answer"}, "peersTotal": routers, "quantumMs": 4,
 		"report": map[string]any{"fields": []string{}}, "tenants": []any{}, "zones": []string{"a", "b"}})
 	return text
 }
 
-// platform is all that routers reach, in this process.
+// platform is the environment of the routers, within this process: workers, discovery agents and the proxies between.
 type platform struct {
-	terms   Terms
-	ledger  *Ledger
-	dir     string
-	workers []*worker
+	settings Settings
+	history  *History
+	dir      string
+	workers  []*worker
 
 	mu      sync.Mutex
-	rev     int64
+	rev     int64      // of the worker list
 	proxies [][]*proxy // by router and worker
-	agents  []*agent
+	agents  []*agent   // by router
 	routers []*process
 }
 
-func newPlatform(dir string, seed uint64, routers, workers int, l *Ledger) (*platform, error) {
-	p := &platform{terms: NewTerms(seed), ledger: l, dir: dir, rev: 1}
+func newPlatform(dir string, seed uint64, routers, workers int, h *History) (*platform, error) {
+	p := &platform{settings: NewSettings(seed), history: h, dir: dir, rev: 1}
 	for i := range workers {
-		w, err := newWorker(fmt.Sprintf("w%d", i), i%2 == 0, seed+uint64(i), l, p.terms)
+		w, err := newWorker(fmt.Sprintf("w%d", i), i%2 == 0, seed+uint64(i), h, p.settings)
 		if err != nil {
 			return p, err
 		}
@@ -112,15 +112,15 @@
 	for i := range routers {
 		var row []*proxy
 		for _, w := range p.workers {
-			px, err := newProxy(w.ln.Addr().String(), l.muted)
+			px, err := newProxy(w.ln.Addr().String(), h.linkSilent)
 			if err != nil {
 				return p, err
 			}
 			row = append(row, px)
 		}
 		p.proxies = append(p.proxies, row)
-		a := &agent{p: p, router: i}
-		if err := a.move(); err != nil {
+		a := &agent{platform: p, router: i}
+		if err := a.relocate(); err != nil {
 			return p, err
 		}
 		p.agents = append(p.agents, a)
@@ -148,79 +148,80 @@
 	return p.rev
 }
 
-// change has a worker change in the list.
-func (p *platform) change(w *worker, what func(*worker)) {
+// updateWorker changes a worker in the list, with a new revision.
+func (p *platform) updateWorker(w *worker, update func(*worker)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.rev++
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	what(w)
+	update(w)
 	w.rev = p.rev
-	if p.ledger.countsAtAgent {
+	if p.history.notifiedAtAgent {
 		for i, r := range p.routers {
 			if !p.agents[i].mute.Load() {
-				p.ledger.notify(i, r.current(), w.uid, w.state == "SERVING")
+				p.history.stateNotified(i, r.currentNumber(), w.uid, w.state == "SERVING")
 			}
 		}
 	}
 }
 
-// agentHas notes that a router's agent has the whole list, which counts as told.
-func (p *platform) agentHas(router int) {
-	if p.ledger.countsAtAgent && !p.agents[router].mute.Load() {
-		p.noteTold(router, p.list(router, -1))
+// agentSynced records that a router's agent has the complete list. Where notifiedAtAgent is set, the router counts as
+// notified of it.
+func (p *platform) agentSynced(router int) {
+	if p.history.notifiedAtAgent && !p.agents[router].mute.Load() {
+		p.recordDelivery(router, p.list(router, -1))
 	}
 }
 
-// list is the list as one router is told it, or what has changed since a revision.
-func (p *platform) list(router int, since int64) list {
+// list returns the worker list with one router's addresses, or its changes since a revision; a negative one asks for all.
+func (p *platform) list(router int, since int64) workerList {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	l := list{Rev: p.rev, All: since < 0, Targets: []target{}}
+	update := workerList{Rev: p.rev, All: since < 0, Targets: []workerEntry{}}
 	for i, w := range p.workers {
 		w.mu.Lock()
-		t := target{UID: w.uid, Endpoint: p.proxies[router][i].addr(), Zone: string(rune('a' + i/2%2)), Model: "answer", State: w.state, Capacity: 1, Boot: w.boot}
+		t := workerEntry{UID: w.uid, Endpoint: p.proxies[router][i].addr(), Zone: string(rune('a' + i/2%2)), Model: "answer", State: w.state, Capacity: 1, Boot: w.bootMS}
 		rev := w.rev
 		w.mu.Unlock()
 		if w.reads {
 			t.Model = "prompt"
 		}
 		if since < 0 && t.State != "DELETED" || since >= 0 && rev > since {
-			l.Targets = append(l.Targets, t)
+			update.Targets = append(update.Targets, t)
 		}
 	}
-	return l
+	return update
 }
 
-// noteTold notes that a router was told a list.
-func (p *platform) noteTold(router int, l list) {
+// recordDelivery records that a router was notified of a list.
+func (p *platform) recordDelivery(router int, update workerList) {
 	p.mu.Lock()
 	r := p.routers[router]
 	p.mu.Unlock()
-	for _, t := range l.Targets {
-		p.ledger.notify(router, r.current(), t.UID, t.State == "SERVING")
-		p.ledger.notifyStart(router, r.current(), t.UID, t.Boot)
+	for _, t := range update.Targets {
+		p.history.stateNotified(router, r.currentNumber(), t.UID, t.State == "SERVING")
+		p.history.startNotified(router, r.currentNumber(), t.UID, t.Boot)
 	}
 }
 
-// configuration is a router's file as it stands.
-func (p *platform) configuration(router int, listen string) []byte {
+// routerConfig returns the content of a router's configuration file.
+func (p *platform) routerConfig(router int, listen string) []byte {
 	text, _ := json.Marshal(map[string]any{"name": fmt.Sprintf("n%d", router), "listen": listen, "discovery": p.agents[router].addr(),
-		"seed": fmt.Sprintf("%016x", router+1), "limits": map[string]any{"cores": 1.0, "memory_mb": 96, "sockets": p.terms.Sockets},
-		"known": p.list(router, -1), "settings": p.terms.settings(len(p.proxies))})
+		"seed": fmt.Sprintf("%016x", router+1), "limits": map[string]any{"cores": 1.0, "memory_mb": 96, "sockets": p.settings.Sockets},
+		"known": p.list(router, -1), "settings": p.settings.routerSettings(len(p.proxies))})
 	return text
 }
 
-// write writes a router's configuration, half of it or all.
-func (p *platform) write(router int, listen string, half bool) error {
-	text := p.configuration(router, listen)
+// writeConfig writes a router's configuration file, the first half of it or all.
+func (p *platform) writeConfig(router int, listen string, half bool) error {
+	text := p.routerConfig(router, listen)
 	if half {
 		text = text[:len(text)/2]
 	}
-	return os.WriteFile(p.file(router), text, 0o600)
+	return os.WriteFile(p.configPath(router), text, 0o600)
 }
 
-func (p *platform) file(router int) string {
+func (p *platform) configPath(router int) string {
 	return filepath.Join(p.dir, fmt.Sprintf("n%d.json", router))
 }
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -13,114 +13,117 @@
 	"time"
 )
 
-// process is one router's process, life after life.
+// process runs one router, one process after another.
 type process struct {
-	p       *platform
-	router  int
-	listen  string
-	program string
-	env     []string
-	log     string
-
-	cycle sync.Mutex // held from the order to end to the next start
-
-	mu      sync.Mutex
-	cmd     *exec.Cmd
-	life    *routerLife
-	done    chan struct{} // closed once the present process has ended
-	ordered bool          // its end was asked for
+	platform *platform
+	router   int
+	listen   string
+	program  string
+	env      []string
+	logPath  string
+
+	restartMu sync.Mutex // held from the end of one process until the start of the next
+
+	mu          sync.Mutex
+	cmd         *exec.Cmd
+	incarnation *routerIncarnation
+	done        chan struct{} // closed once the current process has ended
+	endExpected bool          // the current process was told to end
 }
 
-func (r *process) current() int {
+// currentNumber returns the number of the current process, counted from 0.
+func (r *process) currentNumber() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.life == nil {
+	if r.incarnation == nil {
 		return 0
 	}
-	return r.life.life
+	return r.incarnation.number
 }
 
-// start starts the next life.
+// start starts the next process.
 func (r *process) start() error {
-	if err := r.p.write(r.router, r.listen, false); err != nil {
+	if err := r.platform.writeConfig(r.router, r.listen, false); err != nil {
 		return err
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	number := 0
-	if r.life != nil {
-		number = r.life.life + 1
+	if r.incarnation != nil {
+		number = r.incarnation.number + 1
 	}
-	log, err := os.Create(filepath.Join(r.p.dir, fmt.Sprintf("n%d.%d.log", r.router, number)))
+	log, err := os.Create(filepath.Join(r.platform.dir, fmt.Sprintf("n%d.%d.log", r.router, number)))
 	if err != nil {
 		return err
 	}
-	r.log = log.Name()
+	r.logPath = log.Name()
 	cmd := exec.Command(r.program, "platform")
-	cmd.Env = append([]string{"EDGE_CONFIG=" + r.p.file(r.router), fmt.Sprintf("EDGE_NAME=n%d", r.router), "EDGE_LISTEN=" + r.listen,
-		"EDGE_DISCOVERY=" + r.p.agents[r.router].addr(), "GANNETHOOK_LOG=debug"}, r.env...)
+	cmd.Env = append([]string{"EDGE_CONFIG=" + r.platform.configPath(r.router), fmt.Sprintf("EDGE_NAME=n%d", r.router), "EDGE_LISTEN=" + r.listen,
+		"EDGE_DISCOVERY=" + r.platform.agents[r.router].addr(), "GANNETHOOK_LOG=debug"}, r.env...)
 	cmd.Stdout, cmd.Stderr = log, log
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	life := &routerLife{router: r.router, life: number, startedAt: r.p.ledger.Now()}
+	inc := &routerIncarnation{router: r.router, number: number, startedAt: r.platform.history.Now()}
 	if err := cmd.Start(); err != nil {
 		log.Close()
 		return err
 	}
 	done := make(chan struct{})
-	r.cmd, r.life, r.done, r.ordered = cmd, life, done, false
-	r.p.ledger.mu.Lock()
-	r.p.ledger.lives = append(r.p.ledger.lives, life)
-	r.p.ledger.mu.Unlock()
-	go r.p.agentHas(r.router)
+	r.cmd, r.incarnation, r.done, r.endExpected = cmd, inc, done, false
+	r.platform.history.mu.Lock()
+	r.platform.history.routers = append(r.platform.history.routers, inc)
+	r.platform.history.mu.Unlock()
+	go r.platform.agentSynced(r.router)
 	go func() {
 		err := cmd.Wait()
 		log.Close()
-		r.ended(life, err, log.Name())
+		r.recordEnd(inc, err, log.Name())
 		close(done)
 	}()
-	go r.awaitReady(life, done)
+	go r.awaitReady(inc, done)
 	return nil
 }
 
-// ended notes how a process ended; one that nobody asked to end has crashed.
-func (r *process) ended(life *routerLife, err error, log string) {
-	text, _ := os.ReadFile(log)
+// recordEnd records how a process ended, and the violations in its log. A process has crashed if it was not told to end, or
+// if it failed without SIGKILL, unless SIGTERM came before it was ready.
+func (r *process) recordEnd(inc *routerIncarnation, err error, logPath string) {
+	text, _ := os.ReadFile(logPath)
 	r.mu.Lock()
-	ordered := r.ordered
+	expected := r.endExpected
 	r.mu.Unlock()
-	l := r.p.ledger
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	life.endedAt = l.Now()
-	early := life.termAt != 0 && life.readyAt == 0 // told to end before it was up: it has taken nothing
-	if !ordered || err != nil && life.killAt == 0 && !early {
-		life.crashed = fmt.Sprintf("ended with %v: %s", err, tail(text))
+	h := r.platform.history
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	inc.endedAt = h.Now()
+	endedEarly := inc.termAt != 0 && inc.readyAt == 0 // SIGTERM before it was ready: it has accepted no requests
+	if !expected || err != nil && inc.killAt == 0 && !endedEarly {
+		inc.crash = fmt.Sprintf("ended with %v: %s", err, logTail(text))
 	}
 	for line := range strings.Lines(string(text)) {
 		if strings.Contains(line, `"violation":true`) {
-			life.violations = append(life.violations, strings.TrimSpace(line))
+			inc.loggedViolations = append(inc.loggedViolations, strings.TrimSpace(line))
 		}
 	}
 }
 
-// tail is the end of a log, without the lines of requests.
-func tail(text []byte) string {
+// logTail returns 600 bytes of a log from its last panic, or the last 300 bytes.
+func logTail(text []byte) string {
 	if i := bytes.LastIndex(text, []byte("panic:")); i >= 0 {
 		return string(text[i:min(i+600, len(text))])
 	}
 	return string(text[max(0, len(text)-300):])
 }
 
-func (r *process) awaitReady(life *routerLife, done <-chan struct{}) {
+// awaitReady polls a process until it is ready, and records when.
+func (r *process) awaitReady(inc *routerIncarnation, done <-chan struct{}) {
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for {
 		res, err := client.Get("http://" + r.listen + "/ready")
 		if err == nil {
 			res.Body.Close()
 			if res.StatusCode == 200 {
-				r.p.ledger.mu.Lock()
-				life.readyAt = r.p.ledger.Now()
-				r.p.ledger.mu.Unlock()
+				r.platform.history.mu.Lock()
+				inc.readyAt = r.platform.history.Now()
+				r.platform.history.mu.Unlock()
 				return
 			}
 		}
@@ -132,17 +135,17 @@
 	}
 }
 
-// ready tells whether clients are sent to the router, and which life it has.
-func (r *process) ready() (life int, ok bool) {
+// ready reports whether the router accepts clients, and the number of its current process.
+func (r *process) ready() (number int, ok bool) {
 	r.mu.Lock()
-	now := r.life
+	inc := r.incarnation
 	r.mu.Unlock()
-	if now == nil {
+	if inc == nil {
 		return 0, false
 	}
-	r.p.ledger.mu.Lock()
-	defer r.p.ledger.mu.Unlock()
-	return now.life, now.readyAt != 0 && now.endedAt == 0
+	r.platform.history.mu.Lock()
+	defer r.platform.history.mu.Unlock()
+	return inc.number, inc.readyAt != 0 && inc.endedAt == 0
 }
 
 func (r *process) signal(s os.Signal) {
@@ -153,65 +156,64 @@
 	}
 }
 
-// reload sends SIGHUP; as on the platform, not before the process is ready.
+// reload sends SIGHUP, but, like the platform, not before the process is ready.
 func (r *process) reload() {
 	if _, ok := r.ready(); ok {
 		r.signal(syscall.SIGHUP)
 	}
 }
 
-// again ends the process and starts the next life.
-func (r *process) again(end func()) {
-	r.cycle.Lock()
-	defer r.cycle.Unlock()
+// restart ends the process by end and starts the next one.
+func (r *process) restart(end func()) {
+	r.restartMu.Lock()
+	defer r.restartMu.Unlock()
 	end()
 	if err := r.start(); err != nil {
-		r.p.ledger.Break("start", err.Error())
+		r.platform.history.RecordViolation("start", err.Error())
 	}
 }
 
-// finish stops the process for good.
+// finish stops the process without starting another.
 func (r *process) finish() {
-	r.cycle.Lock()
-	defer r.cycle.Unlock()
+	r.restartMu.Lock()
+	defer r.restartMu.Unlock()
 	r.stop()
 }
 
-// order notes that the present process is told to end, and returns its life and what
-// closes once it has ended.
-func (r *process) order() (life *routerLife, done <-chan struct{}) {
+// expectEnd records that the current process is about to be told to end. done closes once it has ended.
+func (r *process) expectEnd() (inc *routerIncarnation, done <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.ordered = true
-	return r.life, r.done
+	r.endExpected = true
+	return r.incarnation, r.done
 }
 
-// stop sends SIGTERM, and SIGKILL when the grace is over.
+// stop sends SIGTERM, and SIGKILL after the grace period. It returns once the process has ended.
 func (r *process) stop() {
-	life, done := r.order()
-	r.noteSignal(&life.termAt)
+	inc, done := r.expectEnd()
+	r.recordSignal(&inc.termAt)
 	r.signal(syscall.SIGTERM)
 	select {
 	case <-done:
-	case <-time.After(r.p.terms.stopGrace()):
-		r.noteSignal(&life.killAt)
+	case <-time.After(r.platform.settings.stopGrace()):
+		r.recordSignal(&inc.killAt)
 		r.signal(syscall.SIGKILL)
 		<-done
 	}
 }
 
-// kill sends SIGKILL.
+// kill sends SIGKILL and returns once the process has ended.
 func (r *process) kill() {
-	life, done := r.order()
-	r.noteSignal(&life.killAt)
+	inc, done := r.expectEnd()
+	r.recordSignal(&inc.killAt)
 	r.signal(syscall.SIGKILL)
 	<-done
 }
 
-// noteSignal notes that a signal is about to be sent.
-func (r *process) noteSignal(at *time.Duration) {
-	l := r.p.ledger
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	*at = l.Now()
+// recordSignal records in at that a signal is about to be sent.
+func (r *process) recordSignal(at *time.Duration) {
+	h := r.platform.history
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	*at = h.Now()
 }
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// proxy is the network between one router and one worker.
+// proxy simulates the network between one router and one worker.
 type proxy struct {
 	ln     net.Listener
 	target string
@@ -17,25 +17,25 @@
 	links  map[*link]bool
 	closed bool
 
-	silent, dark, first, parted, mutes, refuses, trickles atomic.Bool
+	silent, blackout, fresh, partitioned, silencing, refusing, trickling atomic.Bool // active faults, see setFault
 
-	muted func(worker net.Addr, closed bool) // told when a link falls silent, and when its router has closed it
+	onSilent func(worker net.Addr, closed bool) // called when a link goes silent, and when its router has closed it
 }
 
 // link is one connection through a proxy.
 type link struct {
-	near, far net.Conn
-	mute      atomic.Bool // it says nothing more, and nobody hears that it was closed
+	routerConn, workerConn net.Conn
+	silent                 atomic.Bool // it forwards no more data, and hides that a side was closed until the fault ends
 }
 
 func (k *link) close() {
-	k.near.Close()
-	k.far.Close()
+	k.routerConn.Close()
+	k.workerConn.Close()
 }
 
-// reset ends both sides with a reset.
+// reset closes both sides with a TCP reset.
 func (k *link) reset() {
-	for _, nc := range []net.Conn{k.near, k.far} {
+	for _, nc := range []net.Conn{k.routerConn, k.workerConn} {
 		if tc, ok := nc.(*net.TCPConn); ok {
 			tc.SetLinger(0)
 		}
@@ -43,61 +43,62 @@
 	k.close()
 }
 
-// set begins or ends a trouble; others that are under way go on.
-func (p *proxy) set(kind Kind, on bool) {
+// setFault starts or ends a fault, independently of others that are active.
+func (p *proxy) setFault(kind Kind, on bool) {
 	switch kind {
 	case Silent:
 		p.silent.Store(on)
 	case Blackout:
-		p.dark.Store(on)
+		p.blackout.Store(on)
 	case Fresh:
-		p.first.Store(on)
+		p.fresh.Store(on)
 	case Partition:
-		p.parted.Store(on)
+		p.partitioned.Store(on)
 	case Mute:
-		p.mutes.Store(on)
+		p.silencing.Store(on)
 	case Refuse:
-		p.refuses.Store(on)
+		p.refusing.Store(on)
 	case Trickle:
-		p.trickles.Store(on)
+		p.trickling.Store(on)
 	}
 }
 
-func newProxy(target string, muted func(worker net.Addr, closed bool)) (*proxy, error) {
+// newProxy starts a proxy to a worker; onSilent gets the address that the worker sees as remote.
+func newProxy(target string, onSilent func(worker net.Addr, closed bool)) (*proxy, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	p := &proxy{ln: ln, target: target, links: map[*link]bool{}, muted: muted}
-	go p.run()
+	p := &proxy{ln: ln, target: target, links: map[*link]bool{}, onSilent: onSilent}
+	go p.serve()
 	return p, nil
 }
 
 func (p *proxy) addr() string { return p.ln.Addr().String() }
 
-func (p *proxy) run() {
+func (p *proxy) serve() {
 	for {
-		near, err := p.ln.Accept()
+		routerConn, err := p.ln.Accept()
 		if err != nil {
 			return
 		}
-		if p.refuses.Load() {
-			near.(*net.TCPConn).SetLinger(0)
-			near.Close()
+		if p.refusing.Load() {
+			routerConn.(*net.TCPConn).SetLinger(0)
+			routerConn.Close()
 			continue
 		}
-		far, err := net.Dial("tcp", p.target)
+		workerConn, err := net.Dial("tcp", p.target)
 		if err != nil {
-			near.Close()
+			routerConn.Close()
 			continue
 		}
-		k := &link{near: near, far: far}
+		k := &link{routerConn: routerConn, workerConn: workerConn}
 		if !p.add(k) {
 			k.close()
 			return
 		}
-		go p.pump(k, k.far, k.near)
-		go p.pump(k, k.near, k.far)
+		go p.forward(k, k.workerConn, k.routerConn)
+		go p.forward(k, k.routerConn, k.workerConn)
 	}
 }
 
@@ -111,35 +112,35 @@
 	return true
 }
 
-// How the proxy spoils what passes.
+// How the proxy forwards during faults.
 const (
-	silentLook  = 5 * time.Millisecond
-	trickleGap  = 3 * time.Millisecond
-	trickleMost = 48 // bytes at once, so that a head takes some 30 ms
+	proxyPollInterval = 5 * time.Millisecond // for the end of a fault
+	trickleInterval   = 3 * time.Millisecond // before each chunk
+	trickleChunk      = 48                   // bytes, so that a request head takes about 30 ms
 )
 
-// pump passes bytes from one side to the other until either ends.
-func (p *proxy) pump(k *link, to, from net.Conn) {
+// forward copies data from one side to the other until either ends.
+func (p *proxy) forward(k *link, to, from net.Conn) {
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buf)
-		for p.cutOff() && p.alive(k) { // what was read goes nowhere: the link is reset once the cut is over
-			time.Sleep(silentLook)
+		for p.blocked() && p.isOpen(k) { // data read meanwhile is not delivered: the link is reset when the fault ends
+			time.Sleep(proxyPollInterval)
 		}
-		p.fallSilent(k, n)
-		if k.mute.Load() {
+		p.maybeSilence(k, n)
+		if k.silent.Load() {
 			if err == nil {
 				continue
 			}
-			p.awaitVoice(k, from)
+			p.delayClose(k, from)
 			break
 		}
-		if n > 0 && p.alive(k) {
-			if p.pass(to, buf[:n]) != nil {
+		if n > 0 && p.isOpen(k) {
+			if p.write(to, buf[:n]) != nil {
 				break
 			}
-			if to == k.far {
-				p.fallSilentBehind(k)
+			if to == k.workerConn {
+				p.maybeSilenceLater(k)
 			}
 		}
 		if err != nil {
@@ -152,68 +153,69 @@
 	p.mu.Unlock()
 }
 
-// cutOff tells whether nothing passes.
-func (p *proxy) cutOff() bool {
-	return p.silent.Load() || p.dark.Load() || p.first.Load() || p.parted.Load()
+// blocked reports whether a fault makes the worker unreachable from the router.
+func (p *proxy) blocked() bool {
+	return p.silent.Load() || p.blackout.Load() || p.fresh.Load() || p.partitioned.Load()
 }
 
-// How connections fall silent.
+// How connections go silent during the fault Mute.
 const (
-	muteRate   = 0.03                   // with this part of the messages,
-	behindRate = 0.2                    // and behind this part of those that have arrived at a worker,
-	mostBehind = 400 * time.Millisecond // by so much at the most: while a write waits in a queue, or a read runs
+	silentWithRate  = 0.03                   // part of the messages with which a connection goes silent
+	silentAfterRate = 0.2                    // part of the messages, delivered to a worker, after which it does
+	maxSilentDelay  = 400 * time.Millisecond // longest time after such a message, so that a write waits in a queue or a read runs
 )
 
-// fallSilent has a link fall silent with a message now and then.
-func (p *proxy) fallSilent(k *link, n int) {
-	if n > 0 && p.mutes.Load() && rand.Float64() < muteRate {
-		p.mute(k)
+// maybeSilence draws whether a link goes silent with a message of n bytes, which is then lost.
+func (p *proxy) maybeSilence(k *link, n int) {
+	if n > 0 && p.silencing.Load() && rand.Float64() < silentWithRate {
+		p.silence(k)
 	}
 }
 
-// fallSilentBehind has a link fall silent a while behind a message that has arrived, now and then.
-func (p *proxy) fallSilentBehind(k *link) {
-	if p.mutes.Load() && rand.Float64() < behindRate {
-		time.AfterFunc(time.Duration(rand.Int64N(int64(mostBehind))), func() {
-			if p.mutes.Load() {
-				p.mute(k)
+// maybeSilenceLater draws whether a link goes silent some time after a message delivered to the worker.
+func (p *proxy) maybeSilenceLater(k *link) {
+	if p.silencing.Load() && rand.Float64() < silentAfterRate {
+		time.AfterFunc(time.Duration(rand.Int64N(int64(maxSilentDelay))), func() {
+			if p.silencing.Load() {
+				p.silence(k)
 			}
 		})
 	}
 }
 
-func (p *proxy) mute(k *link) {
-	if !k.mute.Swap(true) {
-		p.muted(k.far.LocalAddr(), false)
+func (p *proxy) silence(k *link) {
+	if !k.silent.Swap(true) {
+		p.onSilent(k.workerConn.LocalAddr(), false)
 	}
 }
 
-// awaitVoice keeps a silent link's close to itself until the trouble is over.
-func (p *proxy) awaitVoice(k *link, from net.Conn) {
-	if from == k.near {
-		p.muted(k.far.LocalAddr(), true)
+// delayClose hides from one side of a silent link that the other was closed, until the fault ends.
+func (p *proxy) delayClose(k *link, from net.Conn) {
+	if from == k.routerConn {
+		p.onSilent(k.workerConn.LocalAddr(), true)
 	}
-	for p.mutes.Load() && p.alive(k) {
-		time.Sleep(silentLook)
+	for p.silencing.Load() && p.isOpen(k) {
+		time.Sleep(proxyPollInterval)
 	}
 }
 
-func (p *proxy) pass(to net.Conn, text []byte) error {
-	for len(text) > 0 {
-		part := text
-		if p.trickles.Load() {
-			part = text[:min(len(text), trickleMost)]
-			time.Sleep(trickleGap)
+// write forwards data, in delayed chunks during the fault Trickle.
+func (p *proxy) write(to net.Conn, data []byte) error {
+	for len(data) > 0 {
+		part := data
+		if p.trickling.Load() {
+			part = data[:min(len(data), trickleChunk)]
+			time.Sleep(trickleInterval)
 		}
 		if _, err := to.Write(part); err != nil {
 			return err
 		}
-		text = text[len(part):]
+		data = data[len(part):]
 	}
 	return nil
 }
 
-func (p *proxy) alive(k *link) bool {
+func (p *proxy) isOpen(k *link) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.links[k]
@@ -222,14 +224,14 @@
 // resetAll resets every open connection.
 func (p *proxy) resetAll() { p.resetIf(func(*link) bool { return true }) }
 
-// resetMuted resets every connection that has fallen silent.
-func (p *proxy) resetMuted() { p.resetIf(func(k *link) bool { return k.mute.Load() }) }
+// resetSilent resets every connection that has gone silent.
+func (p *proxy) resetSilent() { p.resetIf(func(k *link) bool { return k.silent.Load() }) }
 
-func (p *proxy) resetIf(picked func(*link) bool) {
+func (p *proxy) resetIf(match func(*link) bool) {
 	var list []*link
 	p.mu.Lock()
 	for k := range p.links {
-		if picked(k) {
+		if match(k) {
 			list = append(list, k)
 			delete(p.links, k)
 		}
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -14,68 +14,71 @@
 	"time"
 )
 
-// Config is how a run is played.
+// Config sets how a run is played.
 type Config struct {
-	Program string // of the routers, which "platform" is its first argument to
-	Dir     string // for configurations and logs; it stays
+	Program string // executable of the routers, started with the argument "platform"
+	Dir     string // for configurations and logs; Run does not remove it
 	Routers int
 	Workers int
 	Clients int // for each router
 	Length  time.Duration
-	Only    []Kind
-	Break   string // a guard that the routers' build leaves out
-	Strict  bool   // judge also a read whose answer was lost on a connection that fell silent alone (KNOWN-RED.txt)
+	Only    []Kind // kinds of fault to draw from; empty: all
+	Break   string // guard that the routers disable (faults.Break...); "": none
+	// Strict also checks what is excused as known failures (KNOWN-RED.txt): state held after an answer was lost on one silent
+	// connection, and keyed requests run again by an attempt that waited in the socket of a hanging worker.
+	Strict bool
 }
 
-// Result is what a run showed.
+// Result is the result of a run.
 type Result struct {
-	Plan     Plan
-	Terms    Terms
+	Plan     Schedule
+	Terms    Settings
 	Requests int
-	Served   int
-	Refused  int
-	Releases int // calls that let go of what is held
-	LateRuns int // keyed requests that ran again behind their window, in an attempt that waited in the socket of a worker that hung
-	Turned   int // connections that workers which hold too many have reset
-	WentOn   int // attempts that went on for the pin limit at least behind a close that was lost
-	Starved  bool
-	Latest   time.Duration // the most by which this process was late
+	Served   int           // requests with a complete stream
+	Refused  int           // requests answered with 503
+	Releases int           // release calls that workers received
+	LateRuns int           // keyed requests that ran again after their key window, in an attempt that waited in the socket of a hanging worker
+	Turned   int           // connections reset by workers at their connection limit
+	WentOn   int           // attempts that continued for more than the pin limit after a close that their worker did not observe
+	Starved  bool          // the machine was too busy to check times
+	Latest   time.Duration // longest delay of this process's timers
 	Breaks   []Break
 }
 
-// Run plays one seed.
+// Run plays the schedule of one seed and checks the invariants.
 func Run(ctx context.Context, cfg Config, seed uint64) (Result, error) {
-	plan := NewPlan(seed, cfg.Length, cfg.Only)
+	schedule := NewSchedule(seed, cfg.Length, cfg.Only)
 	if err := os.MkdirAll(cfg.Dir, 0o755); err != nil {
 		return Result{}, err
 	}
-	l := NewLedger(plan)
-	l.strict = cfg.Strict
+	h := NewHistory(schedule)
+	h.strict = cfg.Strict
 	stop := make(chan struct{})
 	defer close(stop)
-	go l.measure(stop)
-	p, err := newPlatform(cfg.Dir, seed, cfg.Routers, cfg.Workers, l)
+	go h.measureTimerDelay(stop)
+	p, err := newPlatform(cfg.Dir, seed, cfg.Routers, cfg.Workers, h)
 	defer p.close()
 	if err != nil {
 		return Result{}, err
 	}
-	if err := startRouters(p, cfg, plan); err != nil {
+	if err := startRouters(p, cfg, schedule); err != nil {
 		return Result{}, err
 	}
-	playAll(ctx, p, plan, cfg)
-	time.Sleep(l.terms.Pin + allowance) // so that what is still held shows
-	return l.result(plan), nil
+	playSchedule(ctx, p, schedule, cfg)
+	time.Sleep(h.settings.PinLimit + pinAllowance) // so that anything still held exceeds its limit
+	return h.result(schedule), nil
 }
 
-func startRouters(p *platform, cfg Config, plan Plan) error {
+// startRouters chooses an address for each router and starts all.
+func startRouters(p *platform, cfg Config, schedule Schedule) error {
 	for i := range cfg.Routers {
-		ln, err := net.Listen("tcp", routerAddr(plan.Seed, i))
+		ln, err := net.Listen("tcp", routerAddr(schedule.Seed, i))
 		if err != nil {
 			return err
 		}
 		listen := ln.Addr().String()
 		ln.Close()
-		r := &process{p: p, router: i, listen: listen, program: cfg.Program, env: faultsOf(plan, i, cfg.Break)}
+		r := &process{platform: p, router: i, listen: listen, program: cfg.Program, env: faultEnv(schedule, i, cfg.Break)}
 		p.routers = append(p.routers, r)
 	}
 	for _, r := range p.routers {
@@ -86,29 +89,29 @@
 	return nil
 }
 
-// routerAddr is an address of a router's own: another process's connections, which
-// start from 127.0.0.1, can't take its port while it is down.
+// routerAddr returns a loopback address for one router only: outgoing connections of other processes start from 127.0.0.1
+// and so can't take the router's port while it is down.
 func routerAddr(seed uint64, router int) string {
 	return fmt.Sprintf("127.%d.%d.%d:0", 20+os.Getpid()%200, 1+seed%250, 1+router%250)
 }
 
-// faultsOf is the environment that has a router's build inject its part of a plan's system faults.
-func faultsOf(plan Plan, router int, guard string) []string {
-	rnd := rand.New(rand.NewPCG(plan.Seed, uint64(router)+50))
+// faultEnv returns the environment variables that make a router inject the system faults of a schedule and disable a guard.
+func faultEnv(schedule Schedule, router int, guard string) []string {
+	rnd := rand.New(rand.NewPCG(schedule.Seed, uint64(router)+50))
 	var faults []string
-	if t, ok := plan.find(Calls); ok {
-		faults = append(faults, fmt.Sprintf("accept=%.3f,dial=%.3f,short=%.2f,broken=%.4f,peek=%.3f,write=%.3f,hang=%.3f", 0.2*t.Part, 0.2*t.Part, t.Part, 0.01*t.Part, 0.2*t.Part, 0.1*t.Part, 0.2*t.Part))
+	if f, ok := schedule.find(Calls); ok {
+		faults = append(faults, fmt.Sprintf("accept=%.3f,dial=%.3f,short=%.2f,broken=%.4f,peek=%.3f,write=%.3f,hang=%.3f", 0.2*f.Fraction, 0.2*f.Fraction, f.Fraction, 0.01*f.Fraction, 0.2*f.Fraction, 0.1*f.Fraction, 0.2*f.Fraction))
 	}
-	if t, ok := plan.find(Files); ok {
-		faults = append(faults, fmt.Sprintf("file=%.2f", t.Part))
+	if f, ok := schedule.find(Files); ok {
+		faults = append(faults, fmt.Sprintf("file=%.2f", f.Fraction))
 	}
-	if _, ok := plan.find(Clock); ok {
+	if _, ok := schedule.find(Clock); ok {
 		steps := []float64{-3600, -5, 5, 3600}
 		faults = append(faults, fmt.Sprintf("clock=%.0f", steps[rnd.IntN(len(steps))]))
 	}
 	env := []string{}
 	if len(faults) > 0 {
-		env = append(env, fmt.Sprintf("GANNETHOOK_FAULTS=seed=%d,%s", plan.Seed+uint64(router), strings.Join(faults, ",")))
+		env = append(env, fmt.Sprintf("GANNETHOOK_FAULTS=seed=%d,%s", schedule.Seed+uint64(router), strings.Join(faults, ",")))
 	}
 	if guard != "" {
 		env = append(env, "GANNETHOOK_BREAK="+guard)
@@ -116,39 +119,39 @@
 	return env
 }
 
-// playAll plays the troubles and the clients to the run's end.
-func playAll(ctx context.Context, p *platform, plan Plan, cfg Config) {
+// playSchedule runs the clients and injects the faults until the end of the run, then stops the routers.
+func playSchedule(ctx context.Context, p *platform, schedule Schedule, cfg Config) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	c := &crowd{p: p, plan: plan, ledger: p.ledger}
-	var asking, troubles sync.WaitGroup
+	c := &clientPool{platform: p, schedule: schedule, history: p.history}
+	var clients, faults sync.WaitGroup
 	for i := range cfg.Routers * cfg.Clients {
-		asking.Go(func() { c.usual(ctx, i) })
+		clients.Go(func() { c.runClient(ctx, i) })
 	}
-	for _, t := range plan.Troubles {
-		troubles.Go(func() { play(ctx, p, c, t) })
+	for _, f := range schedule.Faults {
+		faults.Go(func() { injectFault(ctx, p, c, f) })
 	}
-	pause(ctx, max(plan.Length-p.ledger.Now(), 0))
-	troubles.Wait()
-	each(p.routers, func(_ int, r *process) { r.finish() }) // clients go on using what stays open until the kill
+	sleep(ctx, max(schedule.Length-p.history.Now(), 0))
+	faults.Wait()
+	inParallel(p.routers, func(_ int, r *process) { r.finish() }) // clients continue on open connections until the routers have ended
 	cancel()
-	asking.Wait()
+	clients.Wait()
 }
 
-// play plays one trouble at its time, and sets right what it did.
-func play(ctx context.Context, p *platform, c *crowd, t Trouble) {
-	pause(ctx, max(t.From-p.ledger.Now(), 0))
-	rnd := rand.New(rand.NewPCG(t.Seed, 4))
-	over := func() bool { return ctx.Err() != nil || p.ledger.Now() >= t.Until }
-	rest := func() { pause(ctx, max(t.Until-p.ledger.Now(), 0)) }
-	routers, workers := pick(rnd, p.routers, t.Part), pick(rnd, p.workers, t.Part)
-	switch t.Kind {
+// injectFault injects one fault at its time, and ends its effects.
+func injectFault(ctx context.Context, p *platform, c *clientPool, f Fault) {
+	sleep(ctx, max(f.From-p.history.Now(), 0))
+	rnd := rand.New(rand.NewPCG(f.Seed, 4))
+	expired := func() bool { return ctx.Err() != nil || p.history.Now() >= f.Until }
+	waitForEnd := func() { sleep(ctx, max(f.Until-p.history.Now(), 0)) }
+	routers, workers := sample(rnd, p.routers, f.Fraction), sample(rnd, p.workers, f.Fraction)
+	switch f.Kind {
 	case Stop, Signals:
-		each(routers, func(i int, r *process) {
-			pause(ctx, time.Duration(i)*stopStagger)
-			r.again(func() {
-				if t.Kind == Signals {
-					for range manySignals {
+		inParallel(routers, func(i int, r *process) {
+			sleep(ctx, time.Duration(i)*stopStagger)
+			r.restart(func() {
+				if f.Kind == Signals {
+					for range reloadBurst {
 						r.reload()
 						time.Sleep(time.Millisecond)
 					}
@@ -157,26 +160,26 @@
 			})
 		})
 	case Kill:
-		each(routers, func(_ int, r *process) {
-			r.again(func() {
+		inParallel(routers, func(_ int, r *process) {
+			r.restart(func() {
 				r.kill()
-				pause(ctx, downtime)
+				sleep(ctx, killDowntime)
 			})
 		})
 	case Reload, HalfFile:
-		for !over() {
+		for !expired() {
 			for _, r := range routers {
-				p.agents[r.router].move()
-				p.write(r.router, r.listen, t.Kind == HalfFile)
+				p.agents[r.router].relocate()
+				p.writeConfig(r.router, r.listen, f.Kind == HalfFile)
 				r.reload()
-				if t.Kind == HalfFile {
-					time.AfterFunc(100*time.Millisecond, func() { p.write(r.router, r.listen, false) })
+				if f.Kind == HalfFile {
+					time.AfterFunc(100*time.Millisecond, func() { p.writeConfig(r.router, r.listen, false) })
 				}
 			}
-			pause(ctx, 700*time.Millisecond)
+			sleep(ctx, 700*time.Millisecond)
 		}
 	case Freeze:
-		for !over() {
+		for !expired() {
 			for _, r := range routers {
 				r.signal(syscall.SIGSTOP)
 			}
@@ -184,168 +187,168 @@
 			for _, r := range routers {
 				r.signal(syscall.SIGCONT)
 			}
-			pause(ctx, 300*time.Millisecond)
+			sleep(ctx, 300*time.Millisecond)
 		}
 	case AgentMute, AgentSlow, AgentReset:
 		for _, r := range routers {
-			p.agents[r.router].set(t.Kind, true)
+			p.agents[r.router].setFault(f.Kind, true)
 		}
-		for !over() {
-			if t.Kind == AgentReset {
+		for !expired() {
+			if f.Kind == AgentReset {
 				for _, r := range routers {
 					p.agents[r.router].reset()
 				}
 			}
-			pause(ctx, 400*time.Millisecond)
+			sleep(ctx, 400*time.Millisecond)
 		}
 		for _, r := range routers {
-			p.agents[r.router].set(t.Kind, false)
-			p.agentHas(r.router)
+			p.agents[r.router].setFault(f.Kind, false)
+			p.agentSynced(r.router)
 		}
 	case Drain:
 		for _, w := range workers {
-			p.change(w, func(w *worker) { w.state = "DRAINING" })
-			pause(ctx, 200*time.Millisecond)
+			p.updateWorker(w, func(w *worker) { w.state = "DRAINING" })
+			sleep(ctx, 200*time.Millisecond)
 		}
-		rest()
+		waitForEnd()
 		for _, w := range workers {
-			p.restart(w)
+			p.restartWorker(w)
 		}
 	case Cold:
 		for _, w := range workers {
-			p.restart(w)
-			pause(ctx, 100*time.Millisecond)
+			p.restartWorker(w)
+			sleep(ctx, 100*time.Millisecond)
 		}
 	case Hang, Jam, Spoil:
 		for _, w := range workers {
-			w.set(t.Kind, true)
+			w.setFault(f.Kind, true)
 		}
-		rest()
+		waitForEnd()
 		for _, w := range workers {
-			w.set(t.Kind, false)
+			w.setFault(f.Kind, false)
 		}
 	case Silent, Refuse, Trickle:
 		set := func(on bool) {
-			for _, px := range p.proxiesOf(workers) {
-				if t.Kind == Silent && !on { // first: nothing that waited passes
+			for _, px := range p.proxiesTo(workers) {
+				if f.Kind == Silent && !on { // first, so that no held-back data is forwarded
 					px.resetAll()
 				}
-				px.set(t.Kind, on)
-				if t.Kind == Refuse && on {
+				px.setFault(f.Kind, on)
+				if f.Kind == Refuse && on {
 					px.resetAll()
 				}
 			}
 		}
 		for _, w := range workers {
-			w.set(t.Kind, true)
-			if t.Kind != Trickle { // nobody reaches it, nor what it holds
-				p.ledger.cutOff(w.uid, t.Kind)
+			w.setFault(f.Kind, true)
+			if f.Kind != Trickle { // neither the worker nor what it holds can be reached
+				p.history.workerIsolated(w.uid, f.Kind)
 			}
 		}
 		set(true)
-		rest()
+		waitForEnd()
 		set(false)
 		for _, w := range workers {
-			p.ledger.joined(w.uid, t.Kind)
-			w.set(t.Kind, false)
+			p.history.workerReconnected(w.uid, f.Kind)
+			w.setFault(f.Kind, false)
 		}
 	case Blackout:
-		for !over() {
-			dark := p.mostOf(rnd)
-			p.cutOff(dark, t.Kind)
-			pause(ctx, min(leastDark+time.Duration(rnd.Int64N(int64(mostDark-leastDark))), max(t.Until-p.ledger.Now(), 0)))
-			p.join(dark, t.Kind)
-			pause(ctx, darkGap)
+		for !expired() {
+			isolated := p.drawBlackout(rnd)
+			p.isolateWorkers(isolated, f.Kind)
+			sleep(ctx, min(minBlackout+time.Duration(rnd.Int64N(int64(maxBlackout-minBlackout))), max(f.Until-p.history.Now(), 0)))
+			p.reconnectWorkers(isolated, f.Kind)
+			sleep(ctx, blackoutGap)
 		}
 	case Partition:
-		var ways []*proxy
+		var proxies []*proxy
 		for _, r := range routers {
-			ways = append(ways, p.ways(r, workers)...)
+			proxies = append(proxies, p.proxiesBetween(r, workers)...)
 		}
-		for _, px := range ways {
-			px.set(t.Kind, true)
+		for _, px := range proxies {
+			px.setFault(f.Kind, true)
 		}
-		rest()
-		for _, px := range ways {
+		waitForEnd()
+		for _, px := range proxies {
 			px.resetAll()
-			px.set(t.Kind, false)
+			px.setFault(f.Kind, false)
 		}
 	case Fresh:
 		for _, w := range p.workers {
-			w.set(t.Kind, true)
+			w.setFault(f.Kind, true)
 		}
-		for !over() {
-			dark := leastDark + time.Duration(rnd.Int64N(int64(mostDark-leastDark)))
-			each(routers, func(_ int, r *process) { p.freshInACut(ctx, r, t, dark) })
-			pause(ctx, darkGap)
+		for !expired() {
+			outageLength := minBlackout + time.Duration(rnd.Int64N(int64(maxBlackout-minBlackout)))
+			inParallel(routers, func(_ int, r *process) { p.restartIsolated(ctx, r, f, outageLength) })
+			sleep(ctx, blackoutGap)
 		}
 		for _, w := range p.workers {
-			w.set(t.Kind, false)
+			w.setFault(f.Kind, false)
 		}
 	case Mute:
-		for _, px := range p.proxiesOf(p.workers) {
-			px.set(t.Kind, true)
+		for _, px := range p.proxiesTo(p.workers) {
+			px.setFault(f.Kind, true)
 		}
-		rest()
-		for _, px := range p.proxiesOf(p.workers) {
-			px.set(t.Kind, false)
-			px.resetMuted()
+		waitForEnd()
+		for _, px := range p.proxiesTo(p.workers) {
+			px.setFault(f.Kind, false)
+			px.resetSilent()
 		}
 	case Resets:
-		for !over() {
-			for _, px := range p.proxiesOf(workers) {
+		for !expired() {
+			for _, px := range p.proxiesTo(workers) {
 				px.resetAll()
 			}
-			pause(ctx, 50*time.Millisecond+time.Duration(rnd.Int64N(int64(300*time.Millisecond))))
+			sleep(ctx, 50*time.Millisecond+time.Duration(rnd.Int64N(int64(300*time.Millisecond))))
 		}
 	case Flood, Idle:
-		var bad sync.WaitGroup
+		var clients sync.WaitGroup
 		n := 8
-		if t.Kind == Idle {
+		if f.Kind == Idle {
 			n = 60 * len(p.routers)
 		}
 		for i := range n {
-			bad.Go(func() { c.bad(ctx, t, i) })
+			clients.Go(func() { c.runMalformedClient(ctx, f, i) })
 		}
-		bad.Wait()
+		clients.Wait()
 	}
 }
 
-// How long most workers of a role are cut off, and the time between two cuts.
+// The outages of the faults Blackout and Fresh.
 const (
-	leastDark = time.Second
-	mostDark  = 3 * time.Second
-	darkGap   = 600 * time.Millisecond
-	darkPart  = 0.8 // of the workers of a role
+	minBlackout      = time.Second // length of one
+	maxBlackout      = 3 * time.Second
+	blackoutGap      = 600 * time.Millisecond // between two
+	blackoutFraction = 0.8                    // of the workers of a role that become unreachable
 )
 
-// freshInACut starts a router anew, and cuts it off from all prefill workers behind its first requests, while their reads run.
-// Others reach them, and states move to the places that wait for them.
-func (p *platform) freshInACut(ctx context.Context, r *process, t Trouble, dark time.Duration) {
+// restartIsolated restarts a router, and makes all prefill workers unreachable for it after its first attempt, while reads
+// run. Other routers reach the workers, and states move to the places held for them.
+func (p *platform) restartIsolated(ctx context.Context, r *process, f Fault, outageLength time.Duration) {
 	var readers []*worker
 	for _, w := range p.workers {
 		if w.reads {
 			readers = append(readers, w)
 		}
 	}
-	ways := p.ways(r, readers)
-	r.again(r.kill)
-	for ctx.Err() == nil && p.ledger.Now() < t.Until && !p.ledger.hasAsked(r.router, r.current()) {
-		time.Sleep(silentLook)
+	proxies := p.proxiesBetween(r, readers)
+	r.restart(r.kill)
+	for ctx.Err() == nil && p.history.Now() < f.Until && !p.history.attemptSeen(r.router, r.currentNumber()) {
+		time.Sleep(proxyPollInterval)
 	}
-	pause(ctx, firstReads)
-	for _, px := range ways {
-		px.set(t.Kind, true)
+	sleep(ctx, firstReadDelay)
+	for _, px := range proxies {
+		px.setFault(f.Kind, true)
 	}
-	pause(ctx, dark)
-	for _, px := range ways {
+	sleep(ctx, outageLength)
+	for _, px := range proxies {
 		px.resetAll()
-		px.set(t.Kind, false)
+		px.setFault(f.Kind, false)
 	}
 }
 
-// ways are a router's proxies to some workers.
-func (p *platform) ways(r *process, workers []*worker) (list []*proxy) {
+// proxiesBetween returns a router's proxies to some workers.
+func (p *platform) proxiesBetween(r *process, workers []*worker) (list []*proxy) {
 	for i, w := range p.workers {
 		if slices.Contains(workers, w) {
 			list = append(list, p.proxies[r.router][i])
@@ -354,11 +357,11 @@
 	return list
 }
 
-// firstReads is how long behind a router's first attempt its readers are cut off.
-const firstReads = 30 * time.Millisecond
+// firstReadDelay is the time from a router's first attempt until its readers become unreachable.
+const firstReadDelay = 30 * time.Millisecond
 
-// mostOf draws four in five workers of one role, or of both.
-func (p *platform) mostOf(rnd *rand.Rand) (list []*worker) {
+// drawBlackout draws blackoutFraction of the workers of one role, or of both.
+func (p *platform) drawBlackout(rnd *rand.Rand) (list []*worker) {
 	roles := []bool{rnd.IntN(2) == 0}
 	if rnd.IntN(3) == 0 {
 		roles = []bool{true, false}
@@ -370,41 +373,43 @@
 				all = append(all, w)
 			}
 		}
-		for _, i := range rnd.Perm(len(all))[:int(darkPart*float64(len(all)))] {
+		for _, i := range rnd.Perm(len(all))[:int(blackoutFraction*float64(len(all)))] {
 			list = append(list, all[i])
 		}
 	}
 	return list
 }
 
-// cutOff cuts workers off from all routers, and join ends that: connections are reset, and nothing that waited passes.
-func (p *platform) cutOff(workers []*worker, kind Kind) {
+// isolateWorkers makes workers unreachable for all routers.
+func (p *platform) isolateWorkers(workers []*worker, kind Kind) {
 	for _, w := range workers {
-		p.ledger.cutOff(w.uid, kind)
+		p.history.workerIsolated(w.uid, kind)
 	}
-	for _, px := range p.proxiesOf(workers) {
-		px.set(kind, true)
+	for _, px := range p.proxiesTo(workers) {
+		px.setFault(kind, true)
 	}
 }
 
-func (p *platform) join(workers []*worker, kind Kind) {
-	for _, px := range p.proxiesOf(workers) {
+// reconnectWorkers ends that. Connections are reset, so that no held-back data is forwarded.
+func (p *platform) reconnectWorkers(workers []*worker, kind Kind) {
+	for _, px := range p.proxiesTo(workers) {
 		px.resetAll()
-		px.set(kind, false)
+		px.setFault(kind, false)
 	}
 	for _, w := range workers {
-		p.ledger.joined(w.uid, kind)
+		p.history.workerReconnected(w.uid, kind)
 	}
 }
 
 // How routers are stopped and started.
 const (
-	stopStagger = 150 * time.Millisecond // between two that are told to end
-	downtime    = 300 * time.Millisecond // of one that was killed
-	manySignals = 30                     // for reloads, ahead of one for a stop
+	stopStagger  = 150 * time.Millisecond // between the SIGTERMs of two routers
+	killDowntime = 300 * time.Millisecond // between SIGKILL and the next start
+	reloadBurst  = 30                     // SIGHUPs before the SIGTERM of the fault Signals
 )
 
-func each(routers []*process, do func(i int, r *process)) {
+// inParallel calls do for all routers concurrently and waits for all calls.
+func inParallel(routers []*process, do func(i int, r *process)) {
 	var all sync.WaitGroup
 	for i, r := range routers {
 		all.Go(func() { do(i, r) })
@@ -412,9 +417,9 @@
 	all.Wait()
 }
 
-// pick draws a part of a list, one at the least and not all.
-func pick[T any](rnd *rand.Rand, list []T, part float64) []T {
-	n := min(max(int(part*float64(len(list))), 1), max(len(list)-2, 1))
+// sample draws a fraction of a list: at least one item and, from three up, all but two at most.
+func sample[T any](rnd *rand.Rand, list []T, fraction float64) []T {
+	n := min(max(int(fraction*float64(len(list))), 1), max(len(list)-2, 1))
 	picked := make([]T, 0, n)
 	for _, i := range rnd.Perm(len(list))[:n] {
 		picked = append(picked, list[i])
@@ -422,16 +427,17 @@
 	return picked
 }
 
-// restart has a worker come back cold.
-func (p *platform) restart(w *worker) {
-	for _, px := range p.proxiesOf([]*worker{w}) {
+// restartWorker restarts a worker: its connections are reset and its slow start begins.
+func (p *platform) restartWorker(w *worker) {
+	for _, px := range p.proxiesTo([]*worker{w}) {
 		px.resetAll()
 	}
-	w.start(p.ledger.Now())
-	p.change(w, func(w *worker) { w.state = "SERVING" })
+	w.start(p.history.Now())
+	p.updateWorker(w, func(w *worker) { w.state = "SERVING" })
 }
 
-func (p *platform) proxiesOf(workers []*worker) []*proxy {
+// proxiesTo returns the proxies of all routers to some workers.
+func (p *platform) proxiesTo(workers []*worker) []*proxy {
 	var list []*proxy
 	for i, w := range p.workers {
 		for _, picked := range workers {
@@ -445,21 +451,22 @@
 	return list
 }
 
-func (l *Ledger) result(plan Plan) Result {
-	breaks := l.Judge()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	res := Result{Plan: plan, Terms: l.terms, Requests: len(l.requests), Releases: l.releases, LateRuns: l.lateRuns, Turned: l.turned, WentOn: l.wentOn, Breaks: breaks, Latest: l.latest, Starved: l.latest > mostLate}
-	for _, q := range l.requests {
+// result checks the run and sums it up.
+func (h *History) result(schedule Schedule) Result {
+	violations := h.Check()
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	res := Result{Plan: schedule, Terms: h.settings, Requests: len(h.requests), Releases: h.releases, LateRuns: h.lateKeyedRuns, Turned: h.rejectedConns, WentOn: h.outlivedCloses, Breaks: violations, Latest: h.maxTimerDelay, Starved: h.maxTimerDelay > starvedTimerDelay}
+	for _, q := range h.requests {
 		switch {
-		case q.end == streamed:
+		case q.outcome == streamCompleted:
 			res.Served++
-		case q.end == answered && q.status == 503:
+		case q.outcome == plainAnswer && q.status == 503:
 			res.Refused++
 		}
 	}
 	return res
 }
 
-// DirOf is a seed's folder.
+// DirOf returns the folder of a seed's run.
 func DirOf(base string, seed uint64) string { return filepath.Join(base, fmt.Sprintf("seed-%d", seed)) }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -6,223 +6,223 @@
 	"time"
 )
 
-// A seed draws the same plan each time, and at least two of its troubles overlap.
-func TestPlans(t *testing.T) {
-	met := map[string]bool{}
+// A seed draws the same schedule each time, and at least two of its faults overlap.
+func TestSchedules(t *testing.T) {
+	seen := map[string]bool{}
 	for seed := range uint64(300) {
-		p, again := NewPlan(seed, 12*time.Second, nil), NewPlan(seed, 12*time.Second, nil)
-		if p.String() != again.String() {
-			t.Fatalf("seed %d: %s, then %s", seed, p.String(), again.String())
+		s, again := NewSchedule(seed, 12*time.Second, nil), NewSchedule(seed, 12*time.Second, nil)
+		if s.String() != again.String() {
+			t.Fatalf("seed %d drew %s, then %s", seed, s.String(), again.String())
 		}
-		if len(p.Pairs()) == 0 {
-			t.Errorf("seed %d: none of %s overlap", seed, p.String())
+		if len(s.Pairs()) == 0 {
+			t.Errorf("seed %d: no faults of %s overlap", seed, s.String())
 		}
-		for _, pair := range p.Pairs() {
-			met[pair] = true
+		for _, pair := range s.Pairs() {
+			seen[pair] = true
 		}
 	}
-	if all := len(Kinds) * (len(Kinds) - 1) / 2; len(met) < all*9/10 {
-		t.Errorf("300 seeds play %d of %d pairs", len(met), all)
+	if all := len(Kinds) * (len(Kinds) - 1) / 2; len(seen) < all*9/10 {
+		t.Errorf("300 seeds cover %d of %d pairs of faults", len(seen), all)
 	}
 }
 
-// Each way in which a promise is not kept is told by its name, and a run in which all is kept has none.
-func TestJudge(t *testing.T) {
+// Each kind of violation is reported under its invariant, and a run without violations reports none.
+func TestInvariantChecks(t *testing.T) {
 	const sec = time.Second
-	read := arrival{worker: "r", reads: true, at: sec, over: sec + 20*time.Millisecond, toldMS: 500}
-	write := arrival{worker: "w", at: sec + 30*time.Millisecond, over: sec + 200*time.Millisecond, toldMS: 500, ran: true, wroteLast: true}
+	read := attempt{worker: "r", reads: true, arrivedAt: sec, endedAt: sec + 20*time.Millisecond, timeoutMS: 500}
+	write := attempt{worker: "w", arrivedAt: sec + 30*time.Millisecond, endedAt: sec + 200*time.Millisecond, timeoutMS: 500, mayHaveRun: true, streamDone: true}
 	for _, c := range []struct {
 		name   string
-		change func(l *Ledger, q *request)
+		change func(h *History, q *request)
 		want   string // invariant; "": none
 	}{
-		{"all well", func(*Ledger, *request) {}, ""},
-		{"no answer", func(_ *Ledger, q *request) { q.end = timedOut }, "lost"},
-		{"closed once sent on", func(_ *Ledger, q *request) { q.end = closedOn }, "lost"},
-		{"closed unread", func(_ *Ledger, q *request) { q.end, q.arrived = closedOn, nil }, ""},
-		{"answered late", func(_ *Ledger, q *request) { q.end, q.status, q.endAt = answered, 500, 5*sec }, "late"},
-		{"answered late by a router that was killed", func(l *Ledger, q *request) {
-			q.end, q.status, q.endAt = answered, 500, 5*sec
-			l.lives[0].killAt = 2 * sec
+		{"no violation", func(*History, *request) {}, ""},
+		{"no answer", func(_ *History, q *request) { q.outcome = timedOut }, "lost"},
+		{"closed after an attempt", func(_ *History, q *request) { q.outcome = closedUnanswered }, "lost"},
+		{"closed before any attempt", func(_ *History, q *request) { q.outcome, q.attempts = closedUnanswered, nil }, ""},
+		{"answered late", func(_ *History, q *request) { q.outcome, q.status, q.endedAt = plainAnswer, 500, 5*sec }, "late"},
+		{"answered late by a router that was killed", func(h *History, q *request) {
+			q.outcome, q.status, q.endedAt = plainAnswer, 500, 5*sec
+			h.routers[0].killAt = 2 * sec
 		}, ""},
-		{"200 without a stream", func(_ *Ledger, q *request) { q.end, q.status = answered, 200 }, "bad-answer"},
-		{"no answer at all", func(_ *Ledger, q *request) { q.end = garbled }, "bad-answer"},
-		{"served with what no worker wrote", func(_ *Ledger, q *request) { q.arrived[1].wroteLast = false }, "bad-answer"},
-		{"run twice", func(_ *Ledger, q *request) { q.arrived = append(q.arrived, write) }, "duplicate"},
-		{"run twice, of no effect", func(_ *Ledger, q *request) { q.effect, q.arrived = Safe, append(q.arrived, write) }, ""},
-		{"a key run again in its window", func(_ *Ledger, q *request) { q.effect, q.arrived = Keyed, append(q.arrived, write) }, ""},
-		{"a key run again behind its window", func(_ *Ledger, q *request) {
+		{"200 without a stream", func(_ *History, q *request) { q.outcome, q.status = plainAnswer, 200 }, "bad-answer"},
+		{"malformed answer", func(_ *History, q *request) { q.outcome = malformedAnswer }, "bad-answer"},
+		{"complete stream that no worker wrote", func(_ *History, q *request) { q.attempts[1].streamDone = false }, "bad-answer"},
+		{"run twice", func(_ *History, q *request) { q.attempts = append(q.attempts, write) }, "duplicate"},
+		{"run twice, without an effect", func(_ *History, q *request) { q.effect, q.attempts = Safe, append(q.attempts, write) }, ""},
+		{"key run again within its window", func(_ *History, q *request) { q.effect, q.attempts = Keyed, append(q.attempts, write) }, ""},
+		{"key run again after its window", func(_ *History, q *request) {
 			late := write
-			late.at += NewTerms(0).KeyWindow + sec
-			late.toldMS = 0
-			q.effect, q.arrived = Keyed, append(q.arrived, late)
+			late.arrivedAt += NewSettings(0).KeyWindow + sec
+			late.timeoutMS = 0
+			q.effect, q.attempts = Keyed, append(q.attempts, late)
 		}, "duplicate"},
-		{"a key run again behind its window, begun once its worker ran again", func(_ *Ledger, q *request) {
+		{"key run again after its window, in an attempt that started after a hang", func(_ *History, q *request) {
 			lateRun(q)
 		}, ""},
-		{"the same, judged strictly", func(l *Ledger, q *request) {
-			l.strict = true
+		{"the same, with strict checks", func(h *History, q *request) {
+			h.strict = true
 			lateRun(q)
 		}, "duplicate"},
-		{"refused once run", func(_ *Ledger, q *request) { q.end, q.status = answered, 503 }, "refusal"},
-		{"refused once turned away", func(_ *Ledger, q *request) {
-			q.end, q.status, q.arrived[1].ran, q.arrived[1].neverRan = answered, 503, false, true
+		{"refused after it ran", func(_ *History, q *request) { q.outcome, q.status = plainAnswer, 503 }, "refusal"},
+		{"refused after a rejection by the worker", func(_ *History, q *request) {
+			q.outcome, q.status, q.attempts[1].mayHaveRun, q.attempts[1].notProcessed = plainAnswer, 503, false, true
 		}, ""},
-		{"begun for a client that had left", func(_ *Ledger, q *request) { q.end, q.leftAt = clientLeft, sec/2 }, "gone"},
-		{"told too long a time", func(_ *Ledger, q *request) { q.arrived[0].toldMS = 9000 }, "told-time"},
-		{"crashed", func(l *Ledger, _ *request) { l.lives[0].crashed = "panic" }, "crash"},
-		{"never ready", func(l *Ledger, _ *request) { l.lives[0].readyAt, l.lives[0].termAt = 0, 12*sec }, "start"},
-		{"ready late", func(l *Ledger, _ *request) { l.lives[0].readyAt = 11 * sec }, "start"},
-		{"its own word", func(l *Ledger, _ *request) { l.lives[0].violations = []string{"x"} }, "violation"},
-		{"held to the end", func(l *Ledger, q *request) {
-			l.start = time.Now().Add(-10 * sec)
-			q.stateAt, q.heldAt = "r", 2*sec
+		{"attempt for a disconnected client", func(_ *History, q *request) { q.outcome, q.disconnectedAt = clientDisconnected, sec/2 }, "gone"},
+		{"timeout longer than the remaining time", func(_ *History, q *request) { q.attempts[0].timeoutMS = 9000 }, "told-time"},
+		{"crashed", func(h *History, _ *request) { h.routers[0].crash = "panic" }, "crash"},
+		{"never ready", func(h *History, _ *request) { h.routers[0].readyAt, h.routers[0].termAt = 0, 12*sec }, "start"},
+		{"ready late", func(h *History, _ *request) { h.routers[0].readyAt = 11 * sec }, "start"},
+		{"violation in the router's log", func(h *History, _ *request) { h.routers[0].loggedViolations = []string{"x"} }, "violation"},
+		{"held until the end", func(h *History, q *request) {
+			h.start = time.Now().Add(-10 * sec)
+			q.stateWorker, q.idleHeldSince = "r", 2*sec
 		}, "pinned"},
-		{"held to the end by a router that was killed", func(l *Ledger, q *request) {
-			l.start = time.Now().Add(-10 * sec)
-			q.stateAt, q.heldAt, l.lives[0].killAt = "r", 2*sec, 3*sec
+		{"held until the end by a router that was killed", func(h *History, q *request) {
+			h.start = time.Now().Add(-10 * sec)
+			q.stateWorker, q.idleHeldSince, h.routers[0].killAt = "r", 2*sec, 3*sec
 		}, ""},
-		{"held to the end by a router that had ended by itself", func(l *Ledger, q *request) {
-			l.start = time.Now().Add(-10 * sec)
-			q.stateAt, q.heldAt, l.lives[0].endedAt = "r", 2*sec, 4*sec
+		{"held until the end by a router that had ended without SIGKILL", func(h *History, q *request) {
+			h.start = time.Now().Add(-10 * sec)
+			q.stateWorker, q.idleHeldSince, h.routers[0].endedAt = "r", 2*sec, 4*sec
 		}, "pinned"},
-		{"held at a worker that is cut off", func(l *Ledger, q *request) {
-			l.start = time.Now().Add(-10 * sec)
-			q.stateAt, q.heldAt = "r", 2*sec
-			l.cutOff("r", Silent)
+		{"held at an unreachable worker", func(h *History, q *request) {
+			h.start = time.Now().Add(-10 * sec)
+			q.stateWorker, q.idleHeldSince = "r", 2*sec
+			h.workerIsolated("r", Silent)
 		}, ""},
-		{"held at a worker that was cut off and is back", func(l *Ledger, q *request) {
-			l.start = time.Now().Add(-10 * sec)
-			q.stateAt, q.heldAt = "r", 2*sec
-			l.cuts = []*cut{{worker: "r", from: sec, until: 8 * sec}}
+		{"held at a worker that is reachable again", func(h *History, q *request) {
+			h.start = time.Now().Add(-10 * sec)
+			q.stateWorker, q.idleHeldSince = "r", 2*sec
+			h.outages = []*outage{{worker: "r", from: sec, until: 8 * sec}}
 		}, "pinned"},
-		{"held elsewhere, its answer lost in a cut", func(l *Ledger, q *request) {
-			l.start = time.Now().Add(-10 * sec)
-			q.stateAt, q.heldAt, q.arrived, q.end, q.endAt = "x", 2*sec, []arrival{read}, clientLeft, 0
-			l.cutOff("r", Silent)
-			l.cuts[0].from = sec
+		{"held elsewhere, its answer lost in an outage", func(h *History, q *request) {
+			h.start = time.Now().Add(-10 * sec)
+			q.stateWorker, q.idleHeldSince, q.attempts, q.outcome, q.endedAt = "x", 2*sec, []attempt{read}, clientDisconnected, 0
+			h.workerIsolated("r", Silent)
+			h.outages[0].from = sec
 		}, "pinned"},
-		{"held where it was read, its answer lost on a silent connection that is open", func(l *Ledger, q *request) {
-			lostAnswer(l, q, read)
+		{"held where it was read, its answer lost on a silent connection that is open", func(h *History, q *request) {
+			lostAnswer(h, q, read)
 		}, ""},
-		{"held where it was read, its answer lost on a silent connection that was closed long ago", func(l *Ledger, q *request) {
-			lostAnswer(l, q, read).closed = 3 * sec
+		{"held where it was read, its answer lost on a silent connection that was closed long ago", func(h *History, q *request) {
+			lostAnswer(h, q, read).closedAt = 3 * sec
 		}, "pinned"},
-		{"held elsewhere, its answer lost on a silent connection", func(l *Ledger, q *request) {
-			lostAnswer(l, q, read)
-			q.stateAt = "x"
+		{"held elsewhere, its answer lost on a silent connection", func(h *History, q *request) {
+			lostAnswer(h, q, read)
+			q.stateWorker = "x"
 		}, ""},
-		{"held elsewhere, its answer lost on a silent connection that was closed long ago", func(l *Ledger, q *request) {
-			lostAnswer(l, q, read).closed = 3 * sec
-			q.stateAt = "x"
+		{"held elsewhere, its answer lost on a silent connection that was closed long ago", func(h *History, q *request) {
+			lostAnswer(h, q, read).closedAt = 3 * sec
+			q.stateWorker = "x"
 		}, "pinned"},
-		{"begun once its worker ran again", func(_ *Ledger, q *request) {
-			q.arrived[0].lateBegun, q.arrived[0].toldMS = true, 9000
+		{"attempt started after a hang", func(_ *History, q *request) {
+			q.attempts[0].startedAfterHang, q.attempts[0].timeoutMS = true, 9000
 		}, ""},
-		{"unanswered at the kill, and came as the stop began", func(l *Ledger, q *request) {
-			q.end, l.lives[0].termAt, l.lives[0].killAt, q.endAt = closedOn, sec/2, 3*sec, 3*sec
+		{"unanswered at SIGKILL, sent within 700 ms of SIGTERM", func(h *History, q *request) {
+			q.outcome, h.routers[0].termAt, h.routers[0].killAt, q.endedAt = closedUnanswered, sec/2, 3*sec, 3*sec
 		}, ""},
-		{"unanswered at the kill, and came well after SIGTERM", func(l *Ledger, q *request) {
-			q.end, l.lives[0].termAt, l.lives[0].killAt, q.endAt = closedOn, sec/5, 3*sec, 3*sec
+		{"unanswered at SIGKILL, sent later than that", func(h *History, q *request) {
+			q.outcome, h.routers[0].termAt, h.routers[0].killAt, q.endedAt = closedUnanswered, sec/5, 3*sec, 3*sec
 		}, "lost"},
 	} {
-		l := NewLedger(Plan{})
-		l.lives = []*routerLife{{readyAt: time.Millisecond, termAt: 20 * sec, endedAt: 21 * sec}}
-		q := &request{id: "a", effect: Unsafe, sentAt: sec - 10*time.Millisecond, deadline: sec, end: streamed, status: 200, endAt: sec + 210*time.Millisecond,
-			arrived: []arrival{read, write}}
-		l.requests["a"] = q
-		c.change(l, q)
+		h := NewHistory(Schedule{})
+		h.routers = []*routerIncarnation{{readyAt: time.Millisecond, termAt: 20 * sec, endedAt: 21 * sec}}
+		q := &request{id: "a", effect: Unsafe, sentAt: sec - 10*time.Millisecond, deadline: sec, outcome: streamCompleted, status: 200, endedAt: sec + 210*time.Millisecond,
+			attempts: []attempt{read, write}}
+		h.requests["a"] = q
+		c.change(h, q)
 		var got []string
-		for _, b := range l.Judge() {
+		for _, b := range h.Check() {
 			got = append(got, b.Invariant)
 		}
 		got = slices.Compact(got)
 		if c.want == "" && len(got) > 0 || c.want != "" && !slices.Equal(got, []string{c.want}) {
-			t.Errorf("%s: %v, want %q", c.name, got, c.want)
+			t.Errorf("%s: violations %v, want %q", c.name, got, c.want)
 		}
 	}
-	l := NewLedger(Plan{})
-	if _, ok := l.begin("nobody's", arrival{worker: "w"}, &serverLife{}); ok || len(l.breaks) != 1 || l.breaks[0].Invariant != "unknown" {
-		t.Errorf("an attempt that no client sent: %v", l.breaks)
+	h := NewHistory(Schedule{})
+	if _, ok := h.attemptArrived("nobody's", attempt{worker: "w"}, &serverIncarnation{}); ok || len(h.violations) != 1 || h.violations[0].Invariant != "unknown" {
+		t.Errorf("an attempt for a request that no client sent: violations %v", h.violations)
 	}
 }
 
-// lostAnswer has a read's state held where it was read, and its answer lost.
-func lostAnswer(l *Ledger, q *request, read arrival) *mutedLink {
-	l.start = time.Now().Add(-10 * time.Second)
-	read.conn = "a"
-	q.stateAt, q.heldAt, q.arrived, q.end, q.endAt = read.worker, 2*time.Second, []arrival{read}, clientLeft, 0
-	l.mutes["a"] = &mutedLink{from: read.over}
-	return l.mutes["a"]
+// lostAnswer makes a read's state stay at its reader, with the read's answer lost on a silent connection that is open.
+func lostAnswer(h *History, q *request, read attempt) *silentLink {
+	h.start = time.Now().Add(-10 * time.Second)
+	read.remoteAddr = "a"
+	q.stateWorker, q.idleHeldSince, q.attempts, q.outcome, q.endedAt = read.worker, 2*time.Second, []attempt{read}, clientDisconnected, 0
+	h.silentLinks["a"] = &silentLink{since: read.endedAt}
+	return h.silentLinks["a"]
 }
 
-// The workers hold what the pages say: a release spares what an attempt that is out waits for, a place draws the state,
-// and what is at a worker that is cut off stays.
-func TestWhatIsHeld(t *testing.T) {
-	l := NewLedger(Plan{})
-	life := &serverLife{}
+// The model of held state follows the specification: a release preserves what an attempt in flight waits for, a state moves
+// to a held place, and what an unreachable worker holds stays.
+func TestHeldStateModel(t *testing.T) {
+	h := NewHistory(Schedule{})
+	server := &serverIncarnation{}
 	q := &request{id: "a"}
-	l.written(q)
+	h.requestSent(q)
 	begin := func(worker string, reads bool) int {
-		n, ok := l.begin("a", arrival{worker: worker, reads: reads}, life)
+		n, ok := h.attemptArrived("a", attempt{worker: worker, reads: reads}, server)
 		if !ok {
-			t.Fatal("not begun")
+			t.Fatal("the attempt was not recorded")
 		}
-		time.Sleep(time.Millisecond) // so that what ends has a time
+		time.Sleep(time.Millisecond) // so that the end has a time other than 0
 		return n
 	}
-	over := func(n int) { l.over("a", n, func(*arrival) {}) }
+	over := func(n int) { h.attemptEnded("a", n, func(*attempt) {}) }
 	read := begin("r", true)
-	if !l.hold("a", "w", true) || l.hold("a", "v", false) || q.placeAt != "w" {
-		t.Errorf("a place at %q", q.placeAt)
+	if !h.holdPlace("a", "w", true) || h.holdPlace("a", "v", false) || q.placeWorker != "w" {
+		t.Errorf("place held at %q, want w", q.placeWorker)
 	}
-	if l.release("a", "r"); q.placeAt != "w" {
-		t.Error("a release let go of a place that a read waits for")
+	if h.releaseReceived("a", "r"); q.placeWorker != "w" {
+		t.Error("a release freed a place that a read in flight needs")
 	}
-	if l.keep("a", read); q.stateAt != "" {
-		t.Error("a read left a state although all was let go beside it")
+	if h.promptRead("a", read); q.stateWorker != "" {
+		t.Error("a read left a state although everything was released during it")
 	}
 	over(read)
 	read = begin("r", true)
-	l.keep("a", read)
+	h.promptRead("a", read)
 	over(read)
-	if q.stateAt != "w" || q.heldAt == 0 {
-		t.Errorf("the state is at %q, held since %v", q.stateAt, q.heldAt)
+	if q.stateWorker != "w" || q.idleHeldSince == 0 {
+		t.Errorf("the state is at %q, held without an attempt since %v; want it at w", q.stateWorker, q.idleHeldSince)
 	}
 	write := begin("v", false)
-	if l.release("a", "r"); !q.held() {
-		t.Error("a release let go of a state that a write waits for")
+	if h.releaseReceived("a", "r"); !q.held() {
+		t.Error("a release dropped a state that a write in flight waits for")
 	}
-	if l.fetch("a", "v") {
-		t.Error("a writer fetched a state that another's place has drawn")
+	if h.fetchState("a", "v") {
+		t.Error("a writer fetched a state from another writer's held place")
 	}
 	over(write)
-	l.cutOff("w", Silent)
-	if l.release("a", "r"); !q.held() {
-		t.Error("a release reached a worker that is cut off")
+	h.workerIsolated("w", Silent)
+	if h.releaseReceived("a", "r"); !q.held() {
+		t.Error("a release reached an unreachable worker")
 	}
-	l.joined("w", Silent)
-	if l.release("a", "r"); q.held() {
-		t.Error("a release let nothing go")
+	h.workerReconnected("w", Silent)
+	if h.releaseReceived("a", "r"); q.held() {
+		t.Error("a release at the worker left the state or the place")
 	}
 	read = begin("r", true)
-	l.keep("a", read)
+	h.promptRead("a", read)
 	over(read)
 	write = begin("w", false)
-	if !l.fetch("a", "w") || q.held() {
-		t.Error("the state was not fetched")
+	if !h.fetchState("a", "w") || q.held() {
+		t.Error("the writer did not fetch the state")
 	}
 	over(write)
-	l.holdUnknown("a", "w")
-	if q.placeAt != "w" || q.heldAt == 0 {
-		t.Errorf("a place at %q that no read is known for, held since %v", q.placeAt, q.heldAt)
+	h.holdPlaceWithoutRead("a", "w")
+	if q.placeWorker != "w" || q.idleHeldSince == 0 {
+		t.Errorf("place without a known read at %q, held without an attempt since %v; want it at w", q.placeWorker, q.idleHeldSince)
 	}
 }
 
-// lateRun has a keyed request run again, in an attempt that waited in the socket of a worker that hung for longer than the window.
+// lateRun makes a keyed request run again after its key window, in an attempt that waited in the socket of a hanging worker.
 func lateRun(q *request) {
-	late := q.arrived[len(q.arrived)-1]
-	late.at += NewTerms(0).KeyWindow + time.Second
-	late.toldMS, late.lateBegun = 0, true
-	q.effect, q.arrived = Keyed, append(q.arrived, late)
+	late := q.attempts[len(q.attempts)-1]
+	late.arrivedAt += NewSettings(0).KeyWindow + time.Second
+	late.timeoutMS, late.startedAfterHang = 0, true
+	q.effect, q.attempts = Keyed, append(q.attempts, late)
 }
--- a/internal/soak/worker.go
+++ b/internal/soak/worker.go
@@ -15,49 +15,48 @@
 	"time"
 )
 
-// worker is one of the platform's workers, in this process. Routers reach it
-// through proxies of their own.
+// worker is one of the platform's workers, within this process. Each router reaches it through a proxy of its own.
 type worker struct {
-	uid    string
-	reads  bool
-	ledger *Ledger
-	server *http.Server
-	ln     net.Listener
+	uid     string
+	reads   bool // a reader, otherwise a writer
+	history *History
+	server  *http.Server
+	ln      net.Listener
 
-	mu      sync.Mutex
-	rnd     *rand.Rand
-	life    *serverLife
-	state   string
-	boot    int64 // Unix ms; 0: long ago
-	rev     int64
-	running int // attempts in slots
-	queued  int // attempts that wait for one
+	mu          sync.Mutex
+	rnd         *rand.Rand
+	incarnation *serverIncarnation
+	state       string // as discovery reports it
+	bootMS      int64  // Unix ms; 0: before the run
+	rev         int64  // of the list, at the worker's last change
+	running     int    // attempts that run
+	queued      int    // attempts that wait to run
 
-	hangs, jams, spoils, trickles, ponders atomic.Bool
+	hanging, jammed, malformed, trickling, slowReads atomic.Bool // active faults, see setFault
 }
 
-func newWorker(uid string, reads bool, seed uint64, l *Ledger, terms Terms) (*worker, error) {
+func newWorker(uid string, reads bool, seed uint64, h *History, settings Settings) (*worker, error) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
 	ln := net.Listener(inner)
-	if terms.WorkerConns > 0 {
-		ln = &boundedListener{Listener: inner, most: int32(terms.WorkerConns), turnedAway: l.turnAway}
+	if settings.WorkerConns > 0 {
+		ln = &boundedListener{Listener: inner, limit: int32(settings.WorkerConns), onReject: h.connRejected}
 	}
-	w := &worker{uid: uid, reads: reads, ledger: l, ln: ln, state: "SERVING", rnd: rand.New(rand.NewPCG(seed, 3))}
+	w := &worker{uid: uid, reads: reads, history: h, ln: ln, state: "SERVING", rnd: rand.New(rand.NewPCG(seed, 3))}
 	w.start(-1)
-	w.server = &http.Server{Handler: w, IdleTimeout: terms.IdleClose}
+	w.server = &http.Server{Handler: w, IdleTimeout: settings.IdleClose}
 	go w.server.Serve(ln)
 	return w, nil
 }
 
-// boundedListener holds so many connections; further ones are reset.
+// boundedListener accepts up to limit open connections and resets further ones.
 type boundedListener struct {
 	net.Listener
-	most       int32
-	open       atomic.Int32
-	turnedAway func()
+	limit    int32
+	open     atomic.Int32
+	onReject func()
 }
 
 func (l *boundedListener) Accept() (net.Conn, error) {
@@ -66,17 +65,17 @@
 		if err != nil {
 			return nil, err
 		}
-		if l.open.Add(1) <= l.most {
+		if l.open.Add(1) <= l.limit {
 			return &boundedConn{Conn: nc, listener: l}, nil
 		}
 		l.open.Add(-1)
-		l.turnedAway()
+		l.onReject()
 		nc.(*net.TCPConn).SetLinger(0)
 		nc.Close()
 	}
 }
 
-// boundedConn is a connection that counts.
+// boundedConn is a connection that counts towards the limit until it is closed.
 type boundedConn struct {
 	net.Conn
 	listener *boundedListener
@@ -88,108 +87,109 @@
 	return c.Conn.Close()
 }
 
-// start begins a life of the worker; a negative time is long ago.
+// start starts or restarts the worker at a time of the run; a negative time is before the run, so that the worker is warm.
 func (w *worker) start(at time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.boot = 0
+	w.bootMS = 0
 	if at >= 0 {
-		w.boot = time.Now().UnixMilli()
+		w.bootMS = time.Now().UnixMilli()
 	}
-	w.life = &serverLife{worker: w.uid, reads: w.reads, bootAt: at, boot: w.boot}
-	w.ledger.mu.Lock()
-	defer w.ledger.mu.Unlock()
-	w.ledger.served[fmt.Sprintf("%s from %.1fs", w.uid, at.Seconds())] = w.life
+	w.incarnation = &serverIncarnation{worker: w.uid, reads: w.reads, startedAt: at, bootMS: w.bootMS}
+	w.history.mu.Lock()
+	defer w.history.mu.Unlock()
+	w.history.servers[fmt.Sprintf("%s from %.1fs", w.uid, at.Seconds())] = w.incarnation
 }
 
-// set begins or ends a trouble; others that are under way go on.
-func (w *worker) set(kind Kind, on bool) {
+// setFault starts or ends a fault, independently of others that are active.
+func (w *worker) setFault(kind Kind, on bool) {
 	switch kind {
 	case Hang:
-		w.hangs.Store(on)
+		w.hanging.Store(on)
 	case Jam:
-		w.jams.Store(on)
+		w.jammed.Store(on)
 	case Spoil:
-		w.spoils.Store(on)
+		w.malformed.Store(on)
 	case Trickle:
-		w.trickles.Store(on)
+		w.trickling.Store(on)
 	case Fresh:
-		w.ponders.Store(on)
+		w.slowReads.Store(on)
 	}
 }
 
 func (w *worker) close() { w.server.Close() }
 
-func (w *worker) pause(least, most time.Duration) time.Duration {
+// drawDuration draws from low up to, but not including, high. It also serves for draws of plain numbers.
+func (w *worker) drawDuration(low, high time.Duration) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return least + time.Duration(w.rnd.Int64N(int64(most-least)))
+	return low + time.Duration(w.rnd.Int64N(int64(high-low)))
 }
 
-// Bounds and times of a worker.
+// Limits and delays of a worker.
 const (
-	slots       = 12 // attempts that run at once; past these they wait,
-	queueMost   = 24 // and past these they are turned away
-	workerLook  = 2 * time.Millisecond
-	noticeMost  = 25 * time.Millisecond // a close is noticed so late at the most
-	holdUnknown = 300 * time.Millisecond
+	maxRunning         = 12                     // attempts that run concurrently; further ones wait,
+	maxQueued          = 24                     // and beyond these they are rejected
+	workerPollInterval = 2 * time.Millisecond   // for the end of a fault or a free slot
+	maxCloseDelay      = 25 * time.Millisecond  // longest time after which a worker observes a close
+	unknownHoldDelay   = 300 * time.Millisecond // of the answer to a request for a place with no known read
 )
 
-// awaitRun waits while the worker hangs: it begins nothing and notices nothing. It tells whether it had to.
-func (w *worker) awaitRun() bool {
-	hung := w.hangs.Load()
-	for w.hangs.Load() {
-		time.Sleep(workerLook)
+// awaitResume waits while the worker hangs, since it then starts and observes nothing. It reports whether the worker hung.
+func (w *worker) awaitResume() bool {
+	hung := w.hanging.Load()
+	for w.hanging.Load() {
+		time.Sleep(workerPollInterval)
 	}
 	return hung
 }
 
-// notice waits until the worker notices that an attempt's connection was closed.
-func (w *worker) notice() {
-	w.awaitRun()
-	time.Sleep(w.pause(0, noticeMost))
+// observeClose waits until the worker observes that an attempt's connection was closed.
+func (w *worker) observeClose() {
+	w.awaitResume()
+	time.Sleep(w.drawDuration(0, maxCloseDelay))
 }
 
-// ServeHTTP answers as a worker of the platform does.
+// ServeHTTP serves attempts and requests about held places, by the worker protocol.
 func (w *worker) ServeHTTP(rw http.ResponseWriter, req *http.Request) {
 	if id, ok := strings.CutPrefix(req.URL.Path, "/v1/holds/"); ok {
-		w.awaitRun()
-		w.holds(rw, req, id)
+		w.awaitResume()
+		w.serveHold(rw, req, id)
 		return
 	}
 	id := req.Header.Get("X-Request-ID")
 	if _, err := io.ReadAll(req.Body); err != nil {
 		return
 	}
-	hung := w.awaitRun()
-	told, _ := strconv.ParseInt(req.Header.Get("X-Timeout-Ms"), 10, 64)
+	hung := w.awaitResume()
+	timeoutMS, _ := strconv.ParseInt(req.Header.Get("X-Timeout-Ms"), 10, 64)
 	w.mu.Lock()
-	life := w.life
+	inc := w.incarnation
 	w.mu.Unlock()
-	a := arrival{worker: w.uid, reads: w.reads, toldMS: told, lateBegun: hung, conn: req.RemoteAddr}
-	if w.trickles.Load() {
-		a.transit = trickled
+	a := attempt{worker: w.uid, reads: w.reads, timeoutMS: timeoutMS, startedAfterHang: hung, remoteAddr: req.RemoteAddr}
+	if w.trickling.Load() {
+		a.maxTransit = trickleTransit
 	}
-	n, ok := w.ledger.begin(id, a, life)
+	n, ok := w.history.attemptArrived(id, a, inc)
 	if !ok {
-		w.ledger.Break("unknown", fmt.Sprintf("%s %s %v at %s", req.Method, req.URL, req.Header, w.uid))
+		w.history.RecordViolation("unknown", fmt.Sprintf("%s %s %v at %s", req.Method, req.URL, req.Header, w.uid))
 		rw.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	end := func(*arrival) {}
-	defer func() { w.ledger.over(id, n, end) }()
-	timed, cancel := w.untilTold(req, told)
+	end := func(*attempt) {}
+	defer func() { w.history.attemptEnded(id, n, end) }()
+	timed, cancel := w.withTimeout(req, timeoutMS)
 	defer cancel()
-	if !w.enter(timed) {
-		end = func(a *arrival) { a.neverRan = true }
+	if !w.acquireSlot(timed) {
+		end = func(a *attempt) { a.notProcessed = true }
 		if req.Context().Err() != nil {
-			w.notice()
+			w.observeClose()
 			return
 		}
-		turnAway(rw, timed)
+		rejectUnprocessed(rw, timed)
 		return
 	}
-	defer w.leave()
+	defer w.releaseSlot()
 	if w.reads {
 		w.read(rw, req, timed, id, n)
 		return
@@ -197,18 +197,18 @@
 	end = w.write(rw, req, timed, id, n)
 }
 
-// untilTold is a request whose context ends as its time is up, where workers end it then: that which its router told, and up to the slack that routers have
-// to tell it.
-func (w *worker) untilTold(req *http.Request, toldMS int64) (*http.Request, context.CancelFunc) {
-	if toldMS <= 0 || !w.ledger.terms.EndsAsTold {
+// withTimeout returns a request whose context ends after the timeout that the router sent plus up to timeoutSlack, by
+// which routers may exceed it, if workers enforce timeouts.
+func (w *worker) withTimeout(req *http.Request, timeoutMS int64) (*http.Request, context.CancelFunc) {
+	if timeoutMS <= 0 || !w.history.settings.EnforceTimeout {
 		return req, func() {}
 	}
-	ctx, cancel := context.WithTimeout(req.Context(), time.Duration(toldMS)*time.Millisecond+w.pause(0, toldSlack))
+	ctx, cancel := context.WithTimeout(req.Context(), time.Duration(timeoutMS)*time.Millisecond+w.drawDuration(0, timeoutSlack))
 	return req.WithContext(ctx), cancel
 }
 
-// turnAway answers that a request was not processed, for want of room or since its time is up.
-func turnAway(rw http.ResponseWriter, req *http.Request) {
+// rejectUnprocessed answers that an attempt was not processed, because of a full queue or a passed timeout.
+func rejectUnprocessed(rw http.ResponseWriter, req *http.Request) {
 	status := http.StatusServiceUnavailable
 	if req.Context().Err() != nil {
 		status = http.StatusGatewayTimeout
@@ -217,11 +217,11 @@
 	rw.WriteHeader(status)
 }
 
-// enter waits in the queue until a slot is free, and the queue moves. It is false where the attempt is turned
-// away, or its router gave up meanwhile.
-func (w *worker) enter(req *http.Request) bool {
+// acquireSlot waits in the queue until a slot is free and no fault blocks the queue. It returns false if the attempt is
+// rejected, cancelled or timed out meanwhile.
+func (w *worker) acquireSlot(req *http.Request) bool {
 	w.mu.Lock()
-	if w.queued >= queueMost {
+	if w.queued >= maxQueued {
 		w.mu.Unlock()
 		return false
 	}
@@ -234,7 +234,7 @@
 	}()
 	for {
 		w.mu.Lock()
-		free := w.running < slots && !w.jams.Load() && !w.hangs.Load()
+		free := w.running < maxRunning && !w.jammed.Load() && !w.hanging.Load()
 		if free {
 			w.running++
 		}
@@ -242,21 +242,21 @@
 		if free {
 			return true
 		}
-		w.awaitRun()
-		if !wait(req, workerLook) {
+		w.awaitResume()
+		if !sleepOrDone(req, workerPollInterval) {
 			return false
 		}
 	}
 }
 
-func (w *worker) leave() {
+func (w *worker) releaseSlot() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.running--
 }
 
-// wait waits; it is false where the router gave up first.
-func wait(req *http.Request, d time.Duration) bool {
+// sleepOrDone waits for a time. It returns false if the request's context ended first.
+func sleepOrDone(req *http.Request, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -267,85 +267,85 @@
 	}
 }
 
-// read reads a prompt. Where it is called off it may have ended well before the worker notices.
+// read reads a prompt. A cancelled read may still have completed before the worker observes the close.
 func (w *worker) read(rw http.ResponseWriter, req, timed *http.Request, id string, n int) {
-	takes := w.pause(3*time.Millisecond, 60*time.Millisecond)
-	if w.ponders.Load() {
-		takes = w.pause(60*time.Millisecond, 260*time.Millisecond)
+	duration := w.drawDuration(3*time.Millisecond, 60*time.Millisecond)
+	if w.slowReads.Load() {
+		duration = w.drawDuration(60*time.Millisecond, 260*time.Millisecond)
 	}
-	called := wait(timed, takes)
-	w.awaitRun()
-	if !called && req.Context().Err() == nil {
-		turnAway(rw, timed)
+	completed := sleepOrDone(timed, duration)
+	w.awaitResume()
+	if !completed && req.Context().Err() == nil {
+		rejectUnprocessed(rw, timed)
 		return
 	}
-	if !called {
-		if w.pause(0, 2) == 0 {
-			w.ledger.keep(id, n)
+	if !completed {
+		if w.drawDuration(0, 2) == 0 {
+			w.history.promptRead(id, n)
 		}
-		w.notice()
+		w.observeClose()
 		return
 	}
-	w.ledger.keep(id, n)
+	w.history.promptRead(id, n)
 	rw.WriteHeader(http.StatusAccepted)
 	io.WriteString(rw, `{"cached_tokens":0}`)
 }
 
-// Streams of the workers.
+// Streams of the writers.
 const (
-	mostEvents = 12
-	eventGap   = 25 * time.Millisecond
+	maxEvents     = 12 // of a stream
+	eventInterval = 25 * time.Millisecond
 )
 
-// write fetches the state and streams an answer. It returns what its end is noted by.
-func (w *worker) write(rw http.ResponseWriter, req, timed *http.Request, id string, n int) func(*arrival) {
-	nothing := func(*arrival) {}
-	if !w.ledger.fetch(id, w.uid) {
+// write fetches the state and streams an answer. It returns the change by which the attempt's end is recorded.
+func (w *worker) write(rw http.ResponseWriter, req, timed *http.Request, id string, n int) func(*attempt) {
+	noChange := func(*attempt) {}
+	if !w.history.fetchState(id, w.uid) {
 		rw.Header().Set("X-Not-Processed", "1")
 		rw.WriteHeader(http.StatusGone)
-		return func(a *arrival) { a.neverRan = true }
+		return func(a *attempt) { a.notProcessed = true }
 	}
-	w.ledger.ran(id, n)
-	called := wait(timed, w.pause(3*time.Millisecond, 80*time.Millisecond))
-	w.awaitRun()
-	if !called && req.Context().Err() == nil { // its time is up: dropped without a word
+	w.history.attemptRan(id, n)
+	completed := sleepOrDone(timed, w.drawDuration(3*time.Millisecond, 80*time.Millisecond))
+	w.awaitResume()
+	if !completed && req.Context().Err() == nil { // its timeout has passed: the connection is closed without an answer
 		panic(http.ErrAbortHandler)
 	}
-	if !called {
-		w.notice()
-		return nothing
+	if !completed {
+		w.observeClose()
+		return noChange
 	}
-	if w.spoils.Load() && w.pause(0, 2) == 0 {
-		spoil(rw, id)
-		return nothing
+	if w.malformed.Load() && w.drawDuration(0, 2) == 0 {
+		writeMalformed(rw, id)
+		return noChange
 	}
-	w.ledger.first(id)
+	w.history.firstEvent(id)
 	rw.Header().Set("Content-Type", "text/event-stream")
-	for event := range 1 + int(w.pause(0, mostEvents)) {
-		w.awaitRun()
+	for event := range 1 + int(w.drawDuration(0, maxEvents)) {
+		w.awaitResume()
 		fmt.Fprintf(rw, "data: {\"id\":\"%s\",\"n\":%d}\n\n", id, event)
 		rw.(http.Flusher).Flush()
-		if !wait(req, eventGap) {
-			w.notice()
-			return nothing
+		if !sleepOrDone(req, eventInterval) {
+			w.observeClose()
+			return noChange
 		}
 	}
-	return func(a *arrival) { a.wroteLast = true }
+	return func(a *attempt) { a.streamDone = true }
 }
 
-// spoilt are answers that can't be read, in place of a stream.
-var spoilt = []string{
+// malformedAnswers are what the fault Spoil sends in place of a stream.
+var malformedAnswers = []string{
 	"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n\x00\x01",
 	"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\nc0000000\r\n" + strings.Repeat("x", 4096),
 	"\x01\x02\x03\r\n\r\n",
 	"HTTP/1.1 200 OK\r\nX-Half: ",
 }
 
-// spoil answers an attempt that has run with an error, or with what can't be read, by the request, and leaves the connection open for a
-// while.
-func spoil(rw http.ResponseWriter, id string) {
-	kind := int(crc32.ChecksumIEEE([]byte(id))) % (len(spoilt) + 1)
-	if kind == len(spoilt) {
+// writeMalformed answers an attempt that has run with an error or a malformed answer, chosen by the request's id, and
+// leaves the connection open for up to 2 s.
+func writeMalformed(rw http.ResponseWriter, id string) {
+	kind := int(crc32.ChecksumIEEE([]byte(id))) % (len(malformedAnswers) + 1)
+	if kind == len(malformedAnswers) {
 		rw.WriteHeader(http.StatusInternalServerError)
 		return
 	}
@@ -354,26 +354,27 @@
 		return
 	}
 	defer nc.Close()
-	io.WriteString(nc, spoilt[kind])
+	io.WriteString(nc, malformedAnswers[kind])
 	nc.SetReadDeadline(time.Now().Add(2 * time.Second))
 	io.Copy(io.Discard, nc)
 }
 
-func (w *worker) holds(rw http.ResponseWriter, req *http.Request, id string) {
+// serveHold serves requests for places and releases.
+func (w *worker) serveHold(rw http.ResponseWriter, req *http.Request, id string) {
 	switch req.Method {
 	case "DELETE":
-		w.ledger.release(id, w.uid)
+		w.history.releaseReceived(id, w.uid)
 		rw.WriteHeader(http.StatusNoContent)
 	case "POST":
 		switch {
-		case w.ledger.hold(id, w.uid, w.pause(0, 4) > 0):
-		case w.pause(0, 2) == 0:
+		case w.history.holdPlace(id, w.uid, w.drawDuration(0, 4) > 0):
+		case w.drawDuration(0, 2) == 0:
 			rw.WriteHeader(http.StatusConflict)
-		default: // not known: held all the same in one of two
-			if w.pause(0, 2) == 0 {
-				w.ledger.holdUnknown(id, w.uid)
+		default: // the read is not known: the place is held anyway in half of the cases
+			if w.drawDuration(0, 2) == 0 {
+				w.history.holdPlaceWithoutRead(id, w.uid)
 			}
-			time.Sleep(holdUnknown)
+			time.Sleep(unknownHoldDelay)
 			rw.WriteHeader(http.StatusNoContent)
 		}
 	default:
