--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -1,7 +1,6 @@
-// Package baseline has two simple deciders to set beside the module: one draws
-// servers at random, one takes them in turn. They keep the rules by the same
-// means (one attempt at a time, last answer by a timer) but know no load, no
-// health, no places and no warmth. They are for comparison only.
+// Package baseline has two simple routing policies for comparison with the module: one picks servers at random, one
+// round-robin. They keep the five rules by the same means (one attempt at a time, the final answer by a timer) but know no
+// load, no health, no places and no slow start.
 package baseline
 
 import (
@@ -13,165 +12,165 @@
 	"gannethook"
 )
 
-// Names of the deciders.
+// Names of the policies.
 const (
 	Random     = "random"
 	RoundRobin = "round-robin"
 )
 
-// Decider has the module's Handle.
-type Decider struct {
-	set  gannethook.Settings
-	turn func(n int) int
-	list []gannethook.Server
-	open map[gannethook.RequestID]*request
-	acts []gannethook.Action
+// Policy implements the module's Handle.
+type Policy struct { // Policy implements the module's Handle.
+	settings  gannethook.Settings
+	pickIndex func(n int) int
+	ready     []gannethook.Server
+	requests  map[gannethook.RequestID]*request
+	actions   []gannethook.Action
 }
 
 type request struct {
 	gannethook.Request
-	sent    int
-	out     int // the attempt that is out, or -1
-	reads   bool
-	state   bool
-	stream  bool
-	ended   bool
-	mayRun  bool
-	visited []gannethook.ServerID
+	sent       int
+	inFlight   int // number of the attempt in flight, or -1
+	atReader   bool
+	hasState   bool
+	streaming  bool
+	ended      bool
+	mayHaveRun bool
+	tried      []gannethook.ServerID
 }
 
-// New returns a decider by its name.
-func New(name string, set gannethook.Settings, seed uint64) (*Decider, error) {
-	d := &Decider{set: set, open: map[gannethook.RequestID]*request{}}
-	rnd, next := rand.New(rand.NewPCG(seed, 1)), 0
+// New returns a policy by its name.
+func New(name string, set gannethook.Settings, seed uint64) (*Policy, error) {
+	p := &Policy{settings: set, requests: map[gannethook.RequestID]*request{}}
+	rng, next := rand.New(rand.NewPCG(seed, 1)), 0
 	switch name {
 	case Random:
-		d.turn = rnd.IntN
+		p.pickIndex = rng.IntN
 	case RoundRobin:
-		d.turn = func(n int) int { next++; return next % n }
+		p.pickIndex = func(n int) int { next++; return next % n }
 	default:
 		return nil, fmt.Errorf("policy %q is not known; known are module, %s and %s", name, Random, RoundRobin)
 	}
-	return d, nil
+	return p, nil
 }
 
-// Handle takes an event and returns what is to be done, in order.
-func (d *Decider) Handle(_ gannethook.Millis, event gannethook.Event) []gannethook.Action {
-	d.acts = nil
+// Handle takes an event and returns the actions to perform, in order.
+func (p *Policy) Handle(_ gannethook.Millis, event gannethook.Event) []gannethook.Action {
+	p.actions = nil
 	switch ev := event.(type) {
 	case gannethook.Membership:
-		d.membership(ev)
+		p.membership(ev)
 	case gannethook.Request:
-		q := &request{Request: ev, out: -1}
-		d.open[ev.ID] = q
-		d.do(gannethook.Wake{In: max(ev.Budget-2*d.set.Quantum-1, 0), Ref: uint64(ev.ID) * 4})
-		d.next(q)
+		q := &request{Request: ev, inFlight: -1}
+		p.requests[ev.ID] = q
+		p.emit(gannethook.Wake{In: max(ev.Budget-2*p.settings.Quantum-1, 0), Ref: uint64(ev.ID) * 4})
+		p.sendNext(q)
 	case gannethook.Streaming:
-		if q := d.open[ev.ID]; q != nil {
-			q.stream = true
+		if q := p.requests[ev.ID]; q != nil {
+			q.streaming = true
 		}
 	case gannethook.Ended:
-		d.attemptEnded(ev)
+		p.attemptEnded(ev)
 	case gannethook.ClientGone:
-		if q := d.open[ev.ID]; q != nil {
-			d.end(q)
+		if q := p.requests[ev.ID]; q != nil {
+			p.closeRequest(q)
 		}
 	case gannethook.Wakeup:
-		if q := d.open[gannethook.RequestID(ev.Ref/4)]; q != nil && !q.stream && !q.ended {
-			d.finish(q)
+		if q := p.requests[gannethook.RequestID(ev.Ref/4)]; q != nil && !q.streaming && !q.ended {
+			p.refuseOrFail(q)
 		}
 	}
-	return d.acts
+	return p.actions
 }
 
-func (d *Decider) do(a gannethook.Action) { d.acts = append(d.acts, a) }
+func (p *Policy) emit(a gannethook.Action) { p.actions = append(p.actions, a) }
 
-func (d *Decider) membership(ev gannethook.Membership) {
+func (p *Policy) membership(ev gannethook.Membership) {
 	if ev.Whole {
-		d.list = nil
+		p.ready = nil
 	}
 	for _, s := range ev.Servers {
-		d.list = slices.DeleteFunc(d.list, func(o gannethook.Server) bool { return o.ID == s.ID })
+		p.ready = slices.DeleteFunc(p.ready, func(o gannethook.Server) bool { return o.ID == s.ID })
 		if s.State == gannethook.Ready {
-			d.list = append(d.list, s)
+			p.ready = append(p.ready, s)
 		}
 	}
-	slices.SortFunc(d.list, func(a, b gannethook.Server) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(p.ready, func(a, b gannethook.Server) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-func (d *Decider) pick(q *request, not gannethook.Role) (gannethook.Server, bool) {
-	list := slices.DeleteFunc(slices.Clone(d.list), func(s gannethook.Server) bool {
-		return d.set.Kinds[s.Kind].Role == not || slices.Contains(q.visited, s.ID)
+func (p *Policy) pick(q *request, excluded gannethook.Role) (gannethook.Server, bool) {
+	candidates := slices.DeleteFunc(slices.Clone(p.ready), func(s gannethook.Server) bool {
+		return p.settings.Kinds[s.Kind].Role == excluded || slices.Contains(q.tried, s.ID)
 	})
-	if len(list) == 0 {
+	if len(candidates) == 0 {
 		return gannethook.Server{}, false
 	}
-	return list[d.turn(len(list))], true
+	return candidates[p.pickIndex(len(candidates))], true
 }
 
-func (d *Decider) next(q *request) {
-	not := gannethook.Writer
-	if q.state {
-		not = gannethook.Reader
+func (p *Policy) sendNext(q *request) {
+	excluded := gannethook.Writer
+	if q.hasState {
+		excluded = gannethook.Reader
 	}
-	s, ok := d.pick(q, not)
-	if !ok || d.set.MaxAttempts > 0 && q.sent >= d.set.MaxAttempts {
-		d.finish(q)
+	server, ok := p.pick(q, excluded)
+	if !ok || p.settings.MaxAttempts > 0 && q.sent >= p.settings.MaxAttempts {
+		p.refuseOrFail(q)
 		return
 	}
-	q.out, q.reads = q.sent, d.set.Kinds[s.Kind].Role == gannethook.Reader
+	q.inFlight, q.atReader = q.sent, p.settings.Kinds[server.Kind].Role == gannethook.Reader
 	q.sent++
-	q.visited = append(q.visited, s.ID)
-	d.do(gannethook.Send{ID: q.ID, Server: s.ID})
+	q.tried = append(q.tried, server.ID)
+	p.emit(gannethook.Send{ID: q.ID, Server: server.ID})
 }
 
-func (d *Decider) attemptEnded(ev gannethook.Ended) {
-	q := d.open[ev.ID]
-	if q == nil || ev.Attempt != q.out {
+func (p *Policy) attemptEnded(ev gannethook.Ended) {
+	q := p.requests[ev.ID]
+	if q == nil || ev.Attempt != q.inFlight {
 		return
 	}
-	q.out = -1
+	q.inFlight = -1
 	switch {
-	case ev.Done || q.stream || q.ended:
-		d.end(q)
+	case ev.Done || q.streaming || q.ended:
+		p.closeRequest(q)
 	case ev.Outcome == gannethook.ReadDone:
-		q.state = true
-		d.next(q)
+		q.hasState = true
+		p.sendNext(q)
 	default:
-		if !q.reads && ev.Outcome != gannethook.Full && ev.Outcome != gannethook.ConnectFailed {
-			q.mayRun = true
+		if !q.atReader && ev.Outcome != gannethook.Full && ev.Outcome != gannethook.ConnectFailed {
+			q.mayHaveRun = true
 		}
-		if q.mayRun && d.set.Classes[q.Class].Effect != gannethook.Safe {
-			d.finish(q)
+		if q.mayHaveRun && p.settings.Classes[q.Class].Effect != gannethook.Safe {
+			p.refuseOrFail(q)
 			return
 		}
-		if q.reads || ev.NoState {
-			q.state = false
-			d.do(gannethook.Release{ID: q.ID})
+		if q.atReader || ev.NoState {
+			q.hasState = false
+			p.emit(gannethook.Release{ID: q.ID})
 		}
-		d.next(q)
+		p.sendNext(q)
 	}
 }
 
-func (d *Decider) finish(q *request) {
-	if d.set.Classes[q.Class].Effect == gannethook.Safe || !q.mayRun && q.out < 0 {
-		d.do(gannethook.Refuse{ID: q.ID, RetryAfter: d.set.MaxRetryAfter / 2})
+func (p *Policy) refuseOrFail(q *request) {
+	if p.settings.Classes[q.Class].Effect == gannethook.Safe || !q.mayHaveRun && q.inFlight < 0 {
+		p.emit(gannethook.Refuse{ID: q.ID, RetryAfter: p.settings.MaxRetryAfter / 2})
 	} else {
-		d.do(gannethook.Fail{ID: q.ID})
+		p.emit(gannethook.Fail{ID: q.ID})
 	}
-	d.end(q)
+	p.closeRequest(q)
 }
 
-func (d *Decider) end(q *request) {
+func (p *Policy) closeRequest(q *request) {
 	q.ended = true
-	if q.out >= 0 {
-		if !q.stream {
-			d.do(gannethook.Cancel{ID: q.ID, Attempt: q.out})
+	if q.inFlight >= 0 {
+		if !q.streaming {
+			p.emit(gannethook.Cancel{ID: q.ID, Attempt: q.inFlight})
 		}
 		return
 	}
-	if !q.stream {
-		d.do(gannethook.Release{ID: q.ID})
+	if !q.streaming {
+		p.emit(gannethook.Release{ID: q.ID})
 	}
-	delete(d.open, q.ID)
+	delete(p.requests, q.ID)
 }
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -1,5 +1,5 @@
-// Package record keeps what passed on the sockets, as clients and stand-ins saw
-// it, with one clock. The rule checker reads nothing else.
+// Package record keeps a log of the traffic as clients and stand-ins saw it, with one clock. Package rules checks a run by
+// this log alone.
 package record
 
 import (
@@ -11,53 +11,53 @@
 	"time"
 )
 
-// Kinds of events. Who is a client's name, an engine's address or "roster".
+// Kinds of events. Who is a client's name, an engine's address, "roster", "fleet" or "tool".
 const (
-	// Clients'.
-	Open  = "open"  // a session is open at Router
-	Offer = "offer" // a try is sent: Req, Try, Router, Class; N is the ms until it is given up, Note the tenant
-	Token = "token" // the first one alone
-	Final = "final" // Note is served, refused, failed or cancelled; N is the retry-after in ms
-	After = "after" // something came for a try that had its final answer
-	Lost  = "lost"  // the connection ended, or the client gave up, without a final answer; Note tells which
-	// Engines'.
-	Arrive      = "arrive"  // an attempt: Key, Req; Note is read or write
-	Swallow     = "swallow" // an attempt came to a frozen engine; as Arrive
-	End         = "end"     // of an attempt: Note tells how
-	Apply       = "apply"   // the request's effect happened
+	// Recorded by clients.
+	Open  = "open"  // a session or connection to Router is open
+	Offer = "offer" // a try is sent: Req, Try, Router, Class; N is the client's time limit in ms, Note the tenant
+	Token = "token" // first token of a try
+	Final = "final" // final answer: Note is served, refused, failed or cancelled; N is the retry-after in ms
+	After = "after" // data arrived after the final answer of a try
+	Lost  = "lost"  // no final answer: Note tells whether the connection ended or the client timed out or disconnected
+	// Recorded by engines and the roster, and by the run of a scenario.
+	Arrive      = "arrive"  // an attempt arrived: Key, Req; Note is read, write or whole (one-stage work)
+	Swallow     = "swallow" // an attempt arrived at a frozen engine; fields as for Arrive
+	End         = "end"     // an attempt ended: Note tells how
+	Apply       = "apply"   // the request took effect
 	Drop        = "drop"    // a repeat was dropped
 	Held        = "held"    // a state or place is held for Key: Note tells which
-	Freed       = "freed"   // and no longer: Note tells why
-	Fell        = "fell"    // pushed over while cold
+	Freed       = "freed"   // it is no longer held: Note tells which and why
+	Fell        = "fell"    // crashed from overload during slow start
 	Started     = "started"
 	Dead        = "dead"
-	Frozen      = "frozen" // it answers nothing from now on
+	Frozen      = "frozen" // answers nothing from now on
 	Thawed      = "thawed"
-	Jammed      = "jammed"         // new connections to it time out from now on
-	Opened      = "opened"         // and no longer
-	Told        = "told"           // the roster told Router of a server: Note is ready, draining or gone
-	RouterUp    = "router-up"      // Router
-	RouterReady = "router-ready"   // it takes connections
-	Stopped     = "router-stopped" // it was asked to end
-	Killed      = "router-killed"  // it is about to be
-	Reaped      = "router-reaped"  // and it was
-	Fault       = "fault"          // Note tells which
-	// The fleet tool's. Note is the command; Key names one run of the tool.
+	Jammed      = "jammed"         // new connections time out from now on
+	Opened      = "opened"         // new connections are accepted again
+	Told        = "told"           // the roster notified Router of a server: Note is ready, draining or gone
+	RouterUp    = "router-up"      // Router was started
+	RouterReady = "router-ready"   // Router accepts connections
+	Stopped     = "router-stopped" // Router was asked to end
+	Killed      = "router-killed"  // Router is about to be killed or suspended
+	Reaped      = "router-reaped"  // Router has ended, or runs on after a suspension
+	Fault       = "fault"          // a fault begins or ends: Note tells which
+	// Recorded around runs of the fleet tool. Note is the command; Key names one run.
 	ToolBegin = "tool-begin"
 	ToolEnd   = "tool-end" // N is the exit status
-	Probe     = "probe"    // what Router is outside of a run: N is its process, 0 for none; Note tells whether it is ready
+	Probe     = "probe"    // state of Router before and after a run: N is its process id, 0 for none; Note is "ready" if it is ready
 	ShutOut   = "shut-out" // a client got no session at Router; Note tells why
 )
 
-// Event is one thing seen.
+// Event is one observation.
 type Event struct {
 	T      float64 `json:"t"` // ms since the log began
 	Who    string  `json:"who"`
 	Kind   string  `json:"kind"`
-	Req    string  `json:"req,omitempty"` // the client's request, over all its tries
+	Req    string  `json:"req,omitempty"` // the client's request, the same for all its tries
 	Try    int     `json:"try,omitempty"`
 	Router string  `json:"router,omitempty"`
-	Key    string  `json:"key,omitempty"` // names a read at the engines
+	Key    string  `json:"key,omitempty"` // request id of an attempt at the engines
 	Class  string  `json:"class,omitempty"`
 	N      float64 `json:"n,omitempty"`
 	Note   string  `json:"note,omitempty"`
@@ -68,35 +68,35 @@
 		e.T, e.Who, e.Kind, e.Req, e.Try, e.Router, e.Key, e.Class, e.N, e.Note)
 }
 
-// Log collects events; it is safe for concurrent use. A nil Log takes none.
+// Log collects events; it is safe for concurrent use. A nil Log discards them.
 type Log struct {
-	start time.Time
-	mu    sync.Mutex
-	list  []Event
+	start  time.Time
+	mu     sync.Mutex
+	events []Event
 }
 
 // New returns a log that begins now.
 func New() *Log { return &Log{start: time.Now()} }
 
-// Now is the log's time in ms.
+// Now returns the log's time in ms.
 func (l *Log) Now() float64 { return float64(time.Since(l.start).Microseconds()) / 1000 }
 
-// Add stamps an event and keeps it.
+// Add stamps an event with the time and keeps it.
 func (l *Log) Add(e Event) {
 	if l == nil {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	e.T = l.Now() // under the lock: the order of the list is that of the times
-	l.list = append(l.list, e)
+	e.T = l.Now() // under the lock, so that the list is in the order of time
+	l.events = append(l.events, e)
 }
 
-// Events is a copy of what was seen, in order.
+// Events returns a copy of the events, in order.
 func (l *Log) Events() []Event {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return append([]Event(nil), l.list...)
+	return append([]Event(nil), l.events...)
 }
 
 // Write writes events as JSON lines.
@@ -111,7 +111,7 @@
 	return bw.Flush()
 }
 
-// Read reads JSON lines; a torn last line is left out.
+// Read reads JSON lines; a truncated last line is left out.
 func Read(r io.Reader) ([]Event, error) {
 	var list []Event
 	dec := json.NewDecoder(r)
--- a/internal/rules/operators.go
+++ b/internal/rules/operators.go
@@ -8,7 +8,7 @@
 	"gannethook/internal/record"
 )
 
-// Exit statuses of the fleet tool, as its pages give them.
+// Exit statuses of the fleet tool, as its documentation lists them.
 const (
 	toolDone        = 0
 	toolUnknown     = 4
@@ -16,54 +16,54 @@
 	toolUnreachable = 6
 )
 
-// Operations is what operators did, against what the records show.
+// Operations is the result of checking the runs of the fleet tool against the records.
 type Operations struct {
-	Runs    int
-	Codes   map[int]int // runs of the tool by exit status
-	ShutOut int         // clients that got no session
-	Excused int         // of these at a router that was dead, stopping or drained
-	Breaks  []string    // exit statuses that are not what happened, and clients shut out of a ready router
+	Runs      int
+	Codes     map[int]int // number of runs by exit status
+	NoSession int         // clients that got no session
+	Excused   int         // of these, at a router that was dead, stopping or drained
+	Breaks    []string    // exit statuses that don't match what happened, and clients that got no session at a ready router
 }
 
-// run is one run of the tool, with what its router was before and after.
-type run struct {
+// toolRun is one run of the tool, with the probes of its router before and after it.
+type toolRun struct {
 	begin, end    record.Event
 	before, after record.Event
 	killed        bool
 	killedAt      float64
 }
 
-// leaving is how long a process may take to end after its last look, in ms. A
-// kill within it comes after the tool's judgement.
-const leaving = 50
+// exitMarginMS is the longest time, in ms, from the last check of a tool process to its exit. A kill within it comes
+// after the tool has decided on its exit status.
+const exitMarginMS = 50
 
-// Operators judges the tool's exit statuses and the doors of ready routers.
-// dial is how long a client's try for a session may take, in ms.
-func Operators(events []record.Event, dial float64) *Operations {
+// Operators checks the tool's exit statuses, and that ready routers accept sessions. dialMS is how long a client's attempt
+// to open a session may take, in ms.
+func Operators(events []record.Event, dialMS float64) *Operations {
 	events = slices.Clone(events)
 	slices.SortStableFunc(events, func(a, b record.Event) int { return cmp.Compare(a.T, b.T) })
 	o := &Operations{Codes: map[int]int{}}
-	for _, r := range runs(events) {
+	for _, r := range toolRuns(events) {
 		o.Runs++
 		o.Codes[int(r.end.N)]++
-		if why := r.wrong(); why != "" {
-			o.Breaks = append(o.Breaks, fmt.Sprintf("%s %s of %s exits with %g, but %s", r.begin.Key, r.begin.Note, r.begin.Router, r.end.N, why))
+		if mismatch := r.mismatch(); mismatch != "" {
+			o.Breaks = append(o.Breaks, fmt.Sprintf("%s %s of %s exits with %g, but %s", r.begin.Key, r.begin.Note, r.begin.Router, r.end.N, mismatch))
 		}
 	}
-	o.doors(events, dial)
+	o.checkSessions(events, dialMS)
 	return o
 }
 
-func runs(events []record.Event) (list []*run) {
-	open := map[string]*run{}         // by key
-	last := map[string]record.Event{} // probe of a router
-	var wait []*run                   // for the probe after
-	dead := map[string]bool{}         // killed or hanging, and not reaped
+func toolRuns(events []record.Event) (list []*toolRun) {
+	open := map[string]*toolRun{}          // by the key of the run
+	lastProbe := map[string]record.Event{} // by router
+	var awaitingProbe []*toolRun           // runs that wait for the probe after them
+	killed := map[string]bool{}            // routers killed or suspended, and not reaped
 	for _, e := range events {
 		switch e.Kind {
 		case record.Probe:
-			last[e.Router] = e
-			wait = slices.DeleteFunc(wait, func(r *run) bool {
+			lastProbe[e.Router] = e
+			awaitingProbe = slices.DeleteFunc(awaitingProbe, func(r *toolRun) bool {
 				if r.begin.Router == e.Router {
 					r.after = e
 					return true
@@ -71,13 +71,13 @@
 				return false
 			})
 		case record.ToolBegin:
-			r := &run{begin: e, before: last[e.Router], killed: dead[e.Router]}
+			r := &toolRun{begin: e, before: lastProbe[e.Router], killed: killed[e.Router]}
 			open[e.Key] = r
 			list = append(list, r)
 		case record.Reaped:
-			dead[e.Router] = false
+			killed[e.Router] = false
 		case record.Killed:
-			dead[e.Router] = true
+			killed[e.Router] = true
 			for _, r := range open {
 				if r.begin.Router == e.Router {
 					r.killed, r.killedAt = true, e.T
@@ -87,35 +87,35 @@
 			if r := open[e.Key]; r != nil {
 				r.end = e
 				delete(open, e.Key)
-				wait = append(wait, r)
+				awaitingProbe = append(awaitingProbe, r)
 			}
 		}
 	}
 	return list
 }
 
-// happened tells whether the command did what it is for.
-func (r *run) happened() bool {
-	ready, was := r.after.Note == "ready", r.before.Note == "ready"
-	same := r.after.N == r.before.N
+// succeeded reports whether the command had its effect.
+func (r *toolRun) succeeded() bool {
+	ready, wasReady := r.after.Note == "ready", r.before.Note == "ready"
+	sameProcess := r.after.N == r.before.N
 	switch r.begin.Note {
 	case "restart": // a drained router stays drained
-		return r.after.N != 0 && !same && ready == was
+		return r.after.N != 0 && !sameProcess && ready == wasReady
 	case "drain":
-		return r.after.N != 0 && same && !ready
+		return r.after.N != 0 && sameProcess && !ready
 	case "resume":
-		return r.after.N != 0 && same && ready
+		return r.after.N != 0 && sameProcess && ready
 	}
 	return false
 }
 
-// wrong tells why an exit status is not what happened; "" if it is.
-func (r *run) wrong() string {
+// mismatch returns why an exit status doesn't match what happened; "" if it does.
+func (r *toolRun) mismatch() string {
 	code := int(r.end.N)
 	switch {
 	case r.end.Kind == "":
-		return "the run has no end"
-	case r.killed && code == toolDone && r.killedAt > r.end.T-leaving:
+		return "the end of the run is not recorded"
+	case r.killed && code == toolDone && r.killedAt > r.end.T-exitMarginMS:
 		return ""
 	case r.killed && code != toolUnknown:
 		return "the router was killed or hung in the middle"
@@ -123,35 +123,35 @@
 		return ""
 	case r.before.N == 0 && code != toolUnreachable:
 		return "no process of the router lived"
-	case r.happened() && code != toolDone:
+	case r.succeeded() && code != toolDone:
 		return "it was done"
-	case !r.happened() && code == toolDone:
+	case !r.succeeded() && code == toolDone:
 		return fmt.Sprintf("process %g, %q before, is process %g, %q after", r.before.N, r.before.Note, r.after.N, r.after.Note)
-	case !r.happened() && r.before.N != 0 && code != toolRefused && code != toolUnknown:
+	case !r.succeeded() && r.before.N != 0 && code != toolRefused && code != toolUnknown:
 		return "the router lived and was not killed"
 	}
 	return ""
 }
 
-// doors looks for clients that got no session at a router that should have given one.
-func (o *Operations) doors(events []record.Event, dial float64) {
-	shut := map[string]float64{} // since when, of routers that are not to be counted on
-	opened := map[string]float64{}
+// checkSessions looks for clients that got no session at a ready router.
+func (o *Operations) checkSessions(events []record.Event, dialMS float64) {
+	unavailableSince := map[string]float64{} // routers that need not accept sessions
+	readySince := map[string]float64{}
 	for _, e := range events {
 		switch {
 		case e.Kind == record.RouterUp, e.Kind == record.Killed, e.Kind == record.Stopped,
 			e.Kind == record.ToolBegin && e.Note == "drain":
-			if _, is := shut[e.Router]; !is {
-				shut[e.Router] = e.T
+			if _, unavailable := unavailableSince[e.Router]; !unavailable {
+				unavailableSince[e.Router] = e.T
 			}
 		case e.Kind == record.RouterReady,
 			e.Kind == record.ToolEnd && e.Note == "resume" && int(e.N) == toolDone:
-			delete(shut, e.Router)
-			opened[e.Router] = e.T
+			delete(unavailableSince, e.Router)
+			readySince[e.Router] = e.T
 		case e.Kind == record.ShutOut:
-			o.ShutOut++
-			_, is := shut[e.Router]
-			if was, known := opened[e.Router]; is || !known || e.T-was < dial {
+			o.NoSession++
+			_, unavailable := unavailableSince[e.Router]
+			if since, known := readySince[e.Router]; unavailable || !known || e.T-since < dialMS {
 				o.Excused++
 			} else {
 				o.Breaks = append(o.Breaks, fmt.Sprintf("at %.0f ms %s got no session at %s, which was ready: %s", e.T, e.Who, e.Router, e.Note))
--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -1,6 +1,5 @@
-// Package rules judges the five rules from what was recorded at the sockets,
-// and from nothing else: clients' records and stand-ins' records with one
-// clock. Each break comes with its request's timeline.
+// Package rules checks the five rules against a recorded run, using only the clients' and the stand-ins' records, which
+// share one clock. Each violation comes with the timeline of its request.
 package rules
 
 import (
@@ -13,111 +12,111 @@
 	"gannethook/internal/record"
 )
 
-// Effects of classes, as the checker needs them.
+// Effects of classes, with the names that the settings use.
 const (
 	Safe   = "safe"
 	Keyed  = "keyed"
 	Unsafe = "unsafe"
 )
 
-// Class is what a class promises.
+// Class is what the checker needs to know of a class.
 type Class struct {
 	Effect string
-	Group  string  // of a keyed one: all, zone or cell
-	Window float64 // ms
+	Group  string  // deduplication group of a keyed class: all, zone or cell
+	Window float64 // of the deduplication, in ms
 }
 
-// Place is where an engine stands.
-type Place struct {
+// Location is the location of an engine.
+type Location struct {
 	Zone string
 	Cell int
 }
 
-// Config has the figures that the rules are judged by, in ms.
+// Config has the limits that the rules are checked against. Times are in ms.
 type Config struct {
-	Classes map[string]Class
-	Engines map[string]Place
-	Slack   float64 // a final answer may be so late
-	Grace   float64 // new work may reach a draining engine for so long after its router was told
-	Pin     float64 // an idle state or place is let go by then
-	PinSlop float64 // the way of the release
-	Dials   float64 // what all dials of a request that time out may take: no socket shows these attempts
+	Classes       map[string]Class
+	Engines       map[string]Location
+	AnswerMargin  float64 // a final answer may be later than the client's deadline by this
+	DrainGrace    float64 // new work may reach a draining engine for this long after its router was notified
+	PinLimit      float64 // an idle state or place is released within this time
+	ReleaseMargin float64 // delivery time of a release
+	DialTimeouts  float64 // sum of all dial timeouts of a request: the sockets don't show attempts that fail to connect
 }
 
-// Break is one rule broken.
-type Break struct {
+// Violation is one violation of a rule.
+type Violation struct {
 	Rule     int
 	Req      string
 	What     string
 	Timeline []record.Event
 }
 
-func (b *Break) String() string { return fmt.Sprintf("rule %d, %s: %s", b.Rule, b.Req, b.What) }
+func (v *Violation) String() string { return fmt.Sprintf("rule %d, %s: %s", v.Rule, v.Req, v.What) }
 
-// Write writes a break with its timeline.
-func (b *Break) Write(w io.Writer) {
-	fmt.Fprintln(w, b)
-	for _, e := range b.Timeline {
+// Write writes a violation with its timeline.
+func (v *Violation) Write(w io.Writer) {
+	fmt.Fprintln(w, v)
+	for _, e := range v.Timeline {
 		fmt.Fprintln(w, "   ", e)
 	}
 }
 
-// Verdict is what the checker found.
+// Verdict is the result of a check.
 type Verdict struct {
 	Requests, Tries, Attempts int
-	Breaks                    []Break
+	Breaks                    []Violation
 }
 
-// Of counts the breaks of a rule.
-func (v *Verdict) Of(rule int) int {
+// Count returns the number of violations of a rule.
+func (v *Verdict) Count(rule int) int {
 	n := 0
-	for _, b := range v.Breaks {
-		if b.Rule == rule {
+	for _, violation := range v.Breaks {
+		if violation.Rule == rule {
 			n++
 		}
 	}
 	return n
 }
 
-// offered names a try.
-type offered struct {
+// tryKey identifies a try.
+type tryKey struct {
 	req string
 	try int
 }
 
-// checker holds the records in the orders that the rules ask for.
+// checker holds the records in the groupings that the rules need.
 type checker struct {
-	cfg    Config
-	events []record.Event
-	byReq  map[string][]record.Event
-	byRead map[string][]record.Event // by what names a request at the engines
-	reqOf  map[string]string         // from that to the client's request
-	killed map[string][]span         // router: when, from the signal to its end
-	opened map[offered]float64       // when the session of a try was opened
-	dead   map[string][]span         // engine: from its death or fall to its next start
-	frozen map[string][]span         // engine: while it let nothing pass
-	jams   []span                    // while dials to some engine timed out
-	last   float64
-	v      *Verdict
-}
-
-// Check judges a whole recording.
+	cfg          Config
+	events       []record.Event
+	byReq        map[string][]record.Event
+	byRequest    map[string][]record.Event // by request id at the engines, without the attempt number
+	clientReq    map[string]string         // request id at the engines: the client's request
+	killed       map[string][]span         // router: from each signal to the end of the process
+	opened       map[tryKey]float64        // when the session of a try was opened
+	dead         map[string][]span         // engine: from its death or crash to its next start
+	frozen       map[string][]span         // engine: while it was frozen
+	dialFailures []span                    // while dials to any engine timed out
+	end          float64
+	verdict      *Verdict
+}
+
+// Check checks a complete recording.
 func Check(cfg Config, events []record.Event) *Verdict {
-	c := &checker{cfg: cfg, events: events, byReq: map[string][]record.Event{}, byRead: map[string][]record.Event{},
-		reqOf: map[string]string{}, killed: map[string][]span{}, opened: map[offered]float64{}, v: &Verdict{}}
-	c.sort()
-	for _, req := range sorted(c.byReq) {
-		c.ruleOne(req, c.byReq[req])
-		c.ruleTwo(req, c.byReq[req])
+	c := &checker{cfg: cfg, events: events, byReq: map[string][]record.Event{}, byRequest: map[string][]record.Event{},
+		clientReq: map[string]string{}, killed: map[string][]span{}, opened: map[tryKey]float64{}, verdict: &Verdict{}}
+	c.index()
+	for _, req := range sortedKeys(c.byReq) {
+		c.checkFinalAnswers(req, c.byReq[req])
+		c.checkEffects(req, c.byReq[req])
 	}
-	c.ruleThree()
-	c.ruleFour()
-	c.ruleFive()
-	slices.SortStableFunc(c.v.Breaks, func(a, b Break) int { return a.Rule - b.Rule })
-	return c.v
+	c.checkDraining()
+	c.checkColdStart()
+	c.checkHolds()
+	slices.SortStableFunc(c.verdict.Breaks, func(a, b Violation) int { return a.Rule - b.Rule })
+	return c.verdict
 }
 
-func sorted[V any](m map[string]V) []string {
+func sortedKeys[V any](m map[string]V) []string {
 	keys := make([]string, 0, len(m))
 	for k := range m {
 		keys = append(keys, k)
@@ -126,8 +125,8 @@
 	return keys
 }
 
-// cut takes a key apart: "router-boot-id-attempt".
-func cut(key string) (router, request string) {
+// splitKey splits the key of an attempt, "router-boot-id-attempt", into the router's name and the key without the attempt.
+func splitKey(key string) (router, request string) {
 	request = key
 	if i := strings.LastIndexByte(key, '-'); i >= 0 {
 		request = key[:i]
@@ -141,25 +140,25 @@
 	return router, request
 }
 
-func (c *checker) sort() {
+func (c *checker) index() {
 	sessions := map[string]float64{}
 	for _, e := range c.events {
-		c.last = max(c.last, e.T)
+		c.end = max(c.end, e.T)
 		if e.Req != "" {
 			c.byReq[e.Req] = append(c.byReq[e.Req], e)
 		}
 		if e.Key != "" && e.Kind != record.Told {
-			_, request := cut(e.Key)
-			c.byRead[request] = append(c.byRead[request], e)
+			_, request := splitKey(e.Key)
+			c.byRequest[request] = append(c.byRequest[request], e)
 			if e.Req != "" {
-				c.reqOf[request] = e.Req
+				c.clientReq[request] = e.Req
 			}
 		}
 		switch e.Kind {
 		case record.Open:
 			sessions[e.Who] = e.T
 		case record.Offer:
-			c.opened[offered{e.Req, e.Try}] = sessions[e.Who]
+			c.opened[tryKey{e.Req, e.Try}] = sessions[e.Who]
 		case record.Killed:
 			c.killed[e.Router] = append(c.killed[e.Router], span{e.T, e.T})
 		case record.Reaped:
@@ -167,28 +166,28 @@
 				list[len(list)-1].to = e.T
 			}
 		case record.Arrive:
-			c.v.Attempts++
+			c.verdict.Attempts++
 		}
 	}
 }
 
-func (c *checker) broken(rule int, req, format string, args ...any) {
+func (c *checker) addViolation(rule int, req, format string, args ...any) {
 	timeline := slices.Clone(c.byReq[req])
-	for request, r := range c.reqOf {
+	for request, r := range c.clientReq {
 		if r == req {
-			timeline = append(timeline, c.byRead[request]...)
+			timeline = append(timeline, c.byRequest[request]...)
 		}
 	}
 	slices.SortStableFunc(timeline, func(a, b record.Event) int {
 		return cmp.Or(cmp.Compare(a.T, b.T), strings.Compare(a.Kind, b.Kind))
 	})
-	c.v.Breaks = append(c.v.Breaks, Break{Rule: rule, Req: req, What: fmt.Sprintf(format, args...),
+	c.verdict.Breaks = append(c.verdict.Breaks, Violation{Rule: rule, Req: req, What: fmt.Sprintf(format, args...),
 		Timeline: slices.Compact(timeline)})
 }
 
 // try is one try of a request, as its client saw it.
 type try struct {
-	opened float64 // when its session was
+	opened float64 // when its session was opened
 	offer  record.Event
 	token  float64
 	finals []record.Event
@@ -196,7 +195,7 @@
 	after  *record.Event
 }
 
-func (c *checker) tries(events []record.Event) []*try {
+func (c *checker) clientTries(events []record.Event) []*try {
 	var list []*try
 	find := func(n int) *try {
 		for _, t := range list {
@@ -208,7 +207,7 @@
 	}
 	for _, e := range events {
 		if e.Kind == record.Offer {
-			list = append(list, &try{offer: e, token: -1, opened: c.opened[offered{e.Req, e.Try}]})
+			list = append(list, &try{offer: e, token: -1, opened: c.opened[tryKey{e.Req, e.Try}]})
 			continue
 		}
 		t := find(e.Try)
@@ -229,48 +228,49 @@
 	return list
 }
 
-// died tells whether a router was killed in a span of time.
-func (c *checker) died(router string, from, to float64) bool {
+// killedWithin reports whether a router was killed in a span of time.
+func (c *checker) killedWithin(router string, from, to float64) bool {
 	return slices.ContainsFunc(c.killed[router], func(k span) bool { return k.to >= from && k.from <= to })
 }
 
-// excuses are the losses that a router does not answer for: it was not there,
-// its client left, or it told that it did not take the try.
-var excuses = map[string]bool{"unreachable": true, "left": true, "not taken": true}
+// excusedLosses are losses that are not the router's fault: it was not running, its client disconnected, or it reported
+// that it did not accept the try.
+var excusedLosses = map[string]bool{"unreachable": true, "left": true, "not taken": true}
 
-// ruleOne: each try at a running router has exactly one final answer, in time, and nothing after it.
-func (c *checker) ruleOne(req string, events []record.Event) {
-	list := c.tries(events)
+// checkFinalAnswers checks rule 1: each try at a running router has exactly one final answer, in time, and no data after it.
+func (c *checker) checkFinalAnswers(req string, events []record.Event) {
+	list := c.clientTries(events)
 	if len(list) > 0 {
-		c.v.Requests++
+		c.verdict.Requests++
 	}
 	for _, t := range list {
-		c.v.Tries++
-		end := c.last
+		c.verdict.Tries++
+		end := c.end
 		if t.lost != nil {
 			end = t.lost.T
 		}
-		excused := t.lost != nil && excuses[t.lost.Note] || c.died(t.offer.Router, t.opened, end)
+		excused := t.lost != nil && excusedLosses[t.lost.Note] || c.killedWithin(t.offer.Router, t.opened, end)
 		switch {
 		case len(t.finals) > 1:
-			c.broken(1, req, "try %d has %d final answers", t.offer.Try, len(t.finals))
+			c.addViolation(1, req, "try %d has %d final answers", t.offer.Try, len(t.finals))
 		case t.after != nil:
-			c.broken(1, req, "try %d: something was sent after the final answer", t.offer.Try)
+			c.addViolation(1, req, "try %d: data was sent after the final answer", t.offer.Try)
 		case len(t.finals) == 0 && !excused:
-			c.broken(1, req, "try %d has no final answer from router %s", t.offer.Try, t.offer.Router)
-		case len(t.finals) == 1 && t.token < 0 && t.finals[0].T > t.offer.T+t.offer.N+c.cfg.Slack &&
-			!c.died(t.offer.Router, t.offer.T, t.finals[0].T): // stopped in its tracks, it can't answer
-			c.broken(1, req, "try %d: the final answer came %.0f ms after its client gave up", t.offer.Try,
+			c.addViolation(1, req, "try %d has no final answer from router %s", t.offer.Try, t.offer.Router)
+		case len(t.finals) == 1 && t.token < 0 && t.finals[0].T > t.offer.T+t.offer.N+c.cfg.AnswerMargin &&
+			!c.killedWithin(t.offer.Router, t.offer.T, t.finals[0].T): // a suspended router can't answer
+			c.addViolation(1, req, "try %d: the final answer came %.0f ms after the client's deadline", t.offer.Try,
 				t.finals[0].T-t.offer.T-t.offer.N)
 		}
 	}
 }
 
-// proven are the ends that prove that an attempt did not run.
-var proven = map[string]bool{"full": true, "no_state": true, "draining": true, "throttled": true}
+// rejections are the ends which prove that an attempt did not run.
+var rejections = map[string]bool{"full": true, "no_state": true, "draining": true, "throttled": true}
 
-// ruleTwo: no effect twice; unsafe goes again, or is refused, only when no attempt can have run.
-func (c *checker) ruleTwo(req string, events []record.Event) {
+// checkEffects checks rule 2: no effect happens twice, and unsafe work is retried or refused only when no attempt can
+// have run.
+func (c *checker) checkEffects(req string, events []record.Event) {
 	class := c.cfg.Classes[classOf(events)]
 	if class.Effect != Unsafe && class.Effect != Keyed {
 		return
@@ -282,11 +282,11 @@
 		}
 	}
 	if applied > 1 {
-		c.broken(2, req, "its effect happened %d times", applied)
+		c.addViolation(2, req, "the effect happened %d times", applied)
 		return
 	}
-	c.refusals(req, events, class)
-	c.repeats(req, events, class)
+	c.checkRefusals(req, events, class)
+	c.checkRepeats(req, events, class)
 }
 
 func classOf(events []record.Event) string {
@@ -298,8 +298,8 @@
 	return ""
 }
 
-// refusals: where a try was refused, nothing of it ran, then or later.
-func (c *checker) refusals(req string, events []record.Event, class Class) {
+// checkRefusals checks that no attempt of a refused try took effect, before the refusal or after it.
+func (c *checker) checkRefusals(req string, events []record.Event, class Class) {
 	if class.Effect == Keyed && class.Group == "all" {
 		return
 	}
@@ -312,25 +312,25 @@
 			refused = e.Note == "refused"
 		case record.Apply:
 			if refused {
-				c.broken(2, req, "its effect happened after it was refused")
+				c.addViolation(2, req, "the effect happened after the request was refused")
 				return
 			}
 		}
 	}
-	for _, t := range c.tries(events) {
+	for _, t := range c.clientTries(events) {
 		for _, f := range t.finals {
 			if f.Note == "refused" && slices.ContainsFunc(events, func(e record.Event) bool {
 				return e.Kind == record.Apply && e.T >= t.offer.T && e.T <= f.T
 			}) {
-				c.broken(2, req, "try %d was refused although its effect had happened", t.offer.Try)
+				c.addViolation(2, req, "try %d was refused although its effect had happened", t.offer.Try)
 				return
 			}
 		}
 	}
 }
 
-// repeats: attempts at writers come one after the other's proof, or where repeats are dropped.
-func (c *checker) repeats(req string, events []record.Event, class Class) {
+// checkRepeats checks that a repeat goes out only after the earlier attempts were rejected, or where repeats are dropped.
+func (c *checker) checkRepeats(req string, events []record.Event, class Class) {
 	type sent struct {
 		at  record.Event
 		end string
@@ -338,13 +338,13 @@
 	var list []*sent
 	for _, e := range events {
 		switch {
-		case (e.Kind == record.Arrive || e.Kind == record.Swallow) && e.Note != "read": // one-stage work runs where it is read
+		case (e.Kind == record.Arrive || e.Kind == record.Swallow) && e.Note != "read": // one-stage work runs at readers as well
 			if slices.ContainsFunc(list, func(s *sent) bool { return s.at.Who == e.Who && s.at.Key == e.Key }) {
-				continue // swallowed first, and now it has come in
+				continue // swallowed before, arrived now
 			}
 			for _, s := range list {
-				if !proven[s.end] && !c.dropped(class, s.at, e) {
-					c.broken(2, req, "a writer got it again while the attempt at %s may have run", s.at.Who)
+				if !rejections[s.end] && !c.repeatDropped(class, s.at, e) {
+					c.addViolation(2, req, "the request was sent again while the attempt at %s may have run", s.at.Who)
 					return
 				}
 			}
@@ -359,12 +359,12 @@
 	}
 }
 
-// dropped tells whether a repeat falls to a group that drops it.
-func (c *checker) dropped(class Class, first, again record.Event) bool {
-	if class.Effect != Keyed || again.T-first.T > class.Window {
+// repeatDropped reports whether a repeat reaches the deduplication group that drops it.
+func (c *checker) repeatDropped(class Class, first, repeat record.Event) bool {
+	if class.Effect != Keyed || repeat.T-first.T > class.Window {
 		return false
 	}
-	a, b := c.cfg.Engines[first.Who], c.cfg.Engines[again.Who]
+	a, b := c.cfg.Engines[first.Who], c.cfg.Engines[repeat.Who]
 	switch class.Group {
 	case "zone":
 		return a.Zone == b.Zone
@@ -374,81 +374,81 @@
 	return true
 }
 
-// ruleThree: nothing new goes to an engine later than the grace after its router was told.
-func (c *checker) ruleThree() {
+// checkDraining checks rule 3: an engine gets no new work later than the grace after its router was notified.
+func (c *checker) checkDraining() {
 	type pair struct{ router, engine string }
-	told, swallowed := map[pair]float64{}, map[string]bool{}
+	notified, swallowed := map[pair]float64{}, map[string]bool{}
 	for _, e := range c.events {
 		switch e.Kind {
 		case record.Told:
 			p := pair{e.Router, e.Key}
-			if _, known := told[p]; e.Note == "ready" {
-				delete(told, p)
+			if _, known := notified[p]; e.Note == "ready" {
+				delete(notified, p)
 			} else if !known {
-				told[p] = e.T
+				notified[p] = e.T
 			}
-		case record.Killed: // a new life has learned nothing yet
-			for p := range told {
+		case record.Killed: // a new process of the router has received no update yet
+			for p := range notified {
 				if p.router == e.Router {
-					delete(told, p)
+					delete(notified, p)
 				}
 			}
 		case record.Arrive, record.Swallow:
 			if e.Kind == record.Arrive && swallowed[e.Who+" "+e.Key] {
-				continue // it was sent before it could be taken in
+				continue // it was sent when the engine swallowed it
 			}
 			swallowed[e.Who+" "+e.Key] = e.Kind == record.Swallow
-			router, _ := cut(e.Key)
-			if at, ok := told[pair{router, e.Who}]; ok && e.T > at+c.cfg.Grace {
-				c.broken(3, e.Req, "%s got new work from %s %.0f ms after that was told that it drains or is gone",
+			router, _ := splitKey(e.Key)
+			if at, ok := notified[pair{router, e.Who}]; ok && e.T > at+c.cfg.DrainGrace {
+				c.addViolation(3, e.Req, "%s got new work from %s %.0f ms after that router was notified that it drains or is gone",
 					e.Who, router, e.T-at)
 			}
 		}
 	}
 }
 
-// ruleFour: no cold engine is pushed over.
-func (c *checker) ruleFour() {
+// checkColdStart checks rule 4: no engine is overloaded during slow start.
+func (c *checker) checkColdStart() {
 	for _, e := range c.events {
 		if e.Kind == record.Fell {
-			c.broken(4, "", "%s fell over while cold at %.0f ms", e.Who, e.T)
+			c.addViolation(4, "", "%s fell over while cold at %.0f ms", e.Who, e.T)
 		}
 	}
 }
 
-// span is a stretch of time.
+// span is an interval of time, in ms.
 type span struct{ from, to float64 }
 
-// ruleFive: while no attempt of a request is out, what is held for it is taken or let go in time.
-func (c *checker) ruleFive() {
-	c.find()
-	for _, request := range sorted(c.byRead) {
-		events := c.byRead[request]
-		router, _ := cut(request + "-")
-		until := c.last
+// checkHolds checks rule 5: while no attempt of a request is in flight, what is held for it is taken or released in time.
+func (c *checker) checkHolds() {
+	c.findOutages()
+	for _, request := range sortedKeys(c.byRequest) {
+		events := c.byRequest[request]
+		router, _ := splitKey(request + "-")
+		until := c.end
 		for _, k := range c.killed[router] {
 			if k.to >= events[0].T {
-				until = min(until, k.from) // what a killed router held is not its to let go
+				until = min(until, k.from) // a killed router can't release what it held
 			}
 		}
-		out := c.attempts(events)
-		for _, h := range c.holds(events, until) {
-			idle := longestIdle(h, out)
-			most := c.cfg.Pin + c.cfg.PinSlop
-			if overlaps(c.jams, idle) {
-				most += c.cfg.Dials
+		inFlight := c.attemptSpans(events)
+		for _, h := range c.holdSpans(events, until) {
+			idle := longestIdle(h, inFlight)
+			limit := c.cfg.PinLimit + c.cfg.ReleaseMargin
+			if overlaps(c.dialFailures, idle) {
+				limit += c.cfg.DialTimeouts
 			}
-			if idle := idle.to - idle.from; idle > most {
-				c.broken(5, c.reqOf[request], "something was held for %.0f ms with no attempt out", idle)
+			if idle := idle.to - idle.from; idle > limit {
+				c.addViolation(5, c.clientReq[request], "a state or place was held for %.0f ms with no attempt in flight", idle)
 				break
 			}
 		}
 	}
 }
 
-// between are the stretches of each engine from an event of one kind to the
-// next of the others, or to the end of the records.
-func (c *checker) between(begin string, ends ...string) map[string][]span {
+// intervals returns the intervals of each engine from an event of one kind to the next event of the other kinds, or to
+// the end of the records.
+func (c *checker) intervals(begin string, ends ...string) map[string][]span {
 	list, from := map[string][]span{}, map[string]float64{}
 	for _, e := range c.events {
 		at, open := from[e.Who]
@@ -461,21 +461,21 @@
 		}
 	}
 	for who, at := range from {
-		list[who] = append(list[who], span{at, c.last})
+		list[who] = append(list[who], span{at, c.end})
 	}
 	return list
 }
 
-// find gathers when engines were dead, let nothing pass, or could not be dialled.
-func (c *checker) find() {
-	c.dead = c.between(record.Dead, record.Started)
-	for who, fell := range c.between(record.Fell, record.Started) {
+// findOutages collects the intervals in which engines were dead, frozen, or not accepting connections.
+func (c *checker) findOutages() {
+	c.dead = c.intervals(record.Dead, record.Started)
+	for who, fell := range c.intervals(record.Fell, record.Started) {
 		c.dead[who] = append(c.dead[who], fell...)
 	}
-	c.frozen = c.between(record.Frozen, record.Thawed, record.Dead, record.Fell)
-	for _, m := range []map[string][]span{c.frozen, c.between(record.Jammed, record.Opened, record.Dead, record.Fell)} {
+	c.frozen = c.intervals(record.Frozen, record.Thawed, record.Dead, record.Fell)
+	for _, m := range []map[string][]span{c.frozen, c.intervals(record.Jammed, record.Opened, record.Dead, record.Fell)} {
 		for _, list := range m {
-			c.jams = append(c.jams, list...)
+			c.dialFailures = append(c.dialFailures, list...)
 		}
 	}
 }
@@ -484,8 +484,8 @@
 	return slices.ContainsFunc(list, func(j span) bool { return j.from < s.to && s.from < j.to })
 }
 
-// next is when the first stretch that is not over at t begins, t at the earliest.
-func next(list []span, t, otherwise float64) float64 {
+// nextStart returns the start of the first interval that ends at t or later, but at least t; otherwise if there is none.
+func nextStart(list []span, t, otherwise float64) float64 {
 	for _, s := range list {
 		if s.to >= t {
 			otherwise = min(otherwise, max(s.from, t))
@@ -494,24 +494,24 @@
 	return otherwise
 }
 
-// attempts are the stretches in which attempts were out.
-func (c *checker) attempts(events []record.Event) []span {
+// attemptSpans returns the intervals in which attempts were in flight.
+func (c *checker) attemptSpans(events []record.Event) []span {
 	var list []span
 	for i, e := range events {
 		if e.Kind != record.Arrive && e.Kind != record.Swallow {
 			continue
 		}
-		s := span{e.T, c.last}
+		s := span{e.T, c.end}
 		for _, f := range events[i:] {
 			if f.Kind == record.End && f.Who == e.Who && f.Key == e.Key {
 				s.to = min(s.to, f.T)
 				break
 			}
 		}
-		s.to = min(s.to, next(c.dead[e.Who], e.T, c.last))
-		for _, ice := range c.frozen[e.Who] { // what a frozen engine answers has not left it
-			if ice.from <= s.to && s.from <= ice.to {
-				s.to = max(s.to, ice.to)
+		s.to = min(s.to, nextStart(c.dead[e.Who], e.T, c.end))
+		for _, freeze := range c.frozen[e.Who] { // an answer of a frozen engine has not been sent
+			if freeze.from <= s.to && s.from <= freeze.to {
+				s.to = max(s.to, freeze.to)
 			}
 		}
 		list = append(list, s)
@@ -525,14 +525,14 @@
 	return list
 }
 
-// holds are the stretches in which something was held at engines that could let it go.
-func (c *checker) holds(events []record.Event, until float64) []span {
+// holdSpans returns the intervals in which a state or place was held at engines that could release it.
+func (c *checker) holdSpans(events []record.Event, until float64) []span {
 	var list []span
 	for i, e := range events {
 		if e.Kind != record.Held {
 			continue
 		}
-		s := span{e.T, next(c.frozen[e.Who], e.T, next(c.dead[e.Who], e.T, until))}
+		s := span{e.T, nextStart(c.frozen[e.Who], e.T, nextStart(c.dead[e.Who], e.T, until))}
 		for _, f := range events[i:] {
 			if f.Kind == record.Freed && f.Who == e.Who && f.Key == e.Key && strings.HasPrefix(f.Note, e.Note+" ") {
 				s.to = min(s.to, f.T)
@@ -544,15 +544,15 @@
 	return list
 }
 
-// longestIdle is the longest stretch of a hold in which no attempt was out.
-func longestIdle(h span, out []span) span {
+// longestIdle returns the longest part of a hold in which no attempt was in flight.
+func longestIdle(h span, inFlight []span) span {
 	longest, at := span{}, h.from
 	keep := func(s span) {
 		if s.to-s.from > longest.to-longest.from {
 			longest = s
 		}
 	}
-	for _, a := range out {
+	for _, a := range inFlight {
 		if a.to < at {
 			continue
 		}
--- a/internal/rules/rules_test.go
+++ b/internal/rules/rules_test.go
@@ -8,9 +8,9 @@
 )
 
 var cfg = Config{
-	Classes: map[string]Class{"q": {Effect: Safe}, "a": {Effect: Unsafe}, "k": {Effect: Keyed, Group: "zone", Window: 1000}},
-	Engines: map[string]Place{"w1": {Zone: "n"}, "w2": {Zone: "s"}, "w3": {Zone: "n", Cell: 1}},
-	Slack:   100, Grace: 2000, Pin: 500, PinSlop: 100, Dials: 800,
+	Classes:      map[string]Class{"q": {Effect: Safe}, "a": {Effect: Unsafe}, "k": {Effect: Keyed, Group: "zone", Window: 1000}},
+	Engines:      map[string]Location{"w1": {Zone: "n"}, "w2": {Zone: "s"}, "w3": {Zone: "n", Cell: 1}},
+	AnswerMargin: 100, DrainGrace: 2000, PinLimit: 500, ReleaseMargin: 100, DialTimeouts: 800,
 }
 
 func offer(at float64, class string, try int) record.Event {
@@ -120,7 +120,7 @@
 		switch {
 		case c.rule == 0 && len(v.Breaks) > 0:
 			t.Errorf("%s: %v", c.name, &v.Breaks[0])
-		case c.rule > 0 && (v.Of(c.rule) == 0 || len(v.Breaks) != v.Of(c.rule)):
+		case c.rule > 0 && (v.Count(c.rule) == 0 || len(v.Breaks) != v.Count(c.rule)):
 			t.Errorf("%s: rule %d not found alone in %v", c.name, c.rule, v.Breaks)
 		}
 	}
--- a/internal/scenario/chart.go
+++ b/internal/scenario/chart.go
@@ -18,12 +18,12 @@
 // Chart draws the share served in time over the day, a line for each policy,
 // over all its seeds, and the times of the faults; the file's ending names the
 // format (svg, png, pdf).
-func Chart(path string, days []*Result) error {
-	if len(days) == 0 {
+func Chart(path string, results []*Result) error {
+	if len(results) == 0 {
 		return fmt.Errorf("chart: no days")
 	}
 	p := plot.New()
-	s := days[0].Script
+	s := results[0].Script
 	p.Title.Text = fmt.Sprintf("Day %s: %g requests a second, %d routers, %d+%d stand-in engines", s.Name, s.Rate,
 		s.Routers, s.Readers, s.Writers)
 	p.X.Label.Text = "seconds"
@@ -32,17 +32,17 @@
 	p.Legend.Left = true
 	p.Legend.Top = false
 	for i := range s.Faults {
-		if err := drawFault(p, s, i); err != nil {
+		if err := addFault(p, s, i); err != nil {
 			return err
 		}
 	}
 	byPolicy := map[string][]*Result{}
-	for _, d := range days {
+	for _, d := range results {
 		byPolicy[d.Policy] = append(byPolicy[d.Policy], d)
 	}
 	colors := palette()
 	for i, policy := range slices.Sorted(maps.Keys(byPolicy)) {
-		line, err := plotter.NewLine(inTime(byPolicy[policy]))
+		line, err := plotter.NewLine(servedInTime(byPolicy[policy]))
 		if err != nil {
 			return err
 		}
@@ -53,8 +53,8 @@
 	return p.Save(22*vg.Centimeter, 11*vg.Centimeter, path)
 }
 
-// drawFault draws a fault as a bar, with its name, near the foot of the chart.
-func drawFault(p *plot.Plot, s *Script, i int) error {
+// addFault draws a fault as a bar, with its name, near the foot of the chart.
+func addFault(p *plot.Plot, s *Script, i int) error {
 	f := &s.Faults[i]
 	y := 0.5 - 0.45*float64(i%10)/10
 	bar, err := plotter.NewLine(plotter.XYs{{X: f.From.Seconds(), Y: y}, {X: (f.From + f.For).Seconds(), Y: y}})
@@ -70,12 +70,12 @@
 	return nil
 }
 
-// inTime is the share served in time by the time of asking.
-func inTime(days []*Result) plotter.XYs {
-	n := int(days[0].Script.Length/chartBin) + 1
+// servedInTime is the share served in time by the time of asking.
+func servedInTime(results []*Result) plotter.XYs {
+	n := int(results[0].Script.Length/chartBin) + 1
 	asked, served := make([]float64, n), make([]float64, n)
-	for _, d := range days {
-		for _, e := range d.Ends {
+	for _, d := range results {
+		for _, e := range d.Outcomes {
 			if i := int(e.at / chartBin); i < n {
 				asked[i]++
 				if e.inTime {
--- a/internal/scenario/faults.go
+++ b/internal/scenario/faults.go
@@ -22,72 +22,72 @@
 	}
 }
 
-// troubles plays all faults; it returns when each has ended.
-func (f *fleet) troubles(ctx context.Context) {
+// runFaults plays all faults; it returns when each has ended.
+func (f *fleet) runFaults(ctx context.Context) {
 	var wg sync.WaitGroup
 	for i := range f.s.Faults {
 		wg.Go(func() {
-			t := &f.s.Faults[i]
-			if !sleep(ctx, time.Until(f.start.Add(t.From))) {
+			fault := &f.s.Faults[i]
+			if !sleep(ctx, time.Until(f.start.Add(fault.From))) {
 				return
 			}
-			f.log.Add(record.Event{Who: "fleet", Kind: record.Fault, Note: t.Kind + " begins", N: t.Size})
-			f.play(ctx, i, t)
-			f.log.Add(record.Event{Who: "fleet", Kind: record.Fault, Note: t.Kind + " ends"})
+			f.log.Add(record.Event{Who: "fleet", Kind: record.Fault, Note: fault.Kind + " begins", N: fault.Size})
+			f.runFault(ctx, i, fault)
+			f.log.Add(record.Event{Who: "fleet", Kind: record.Fault, Note: fault.Kind + " ends"})
 		})
 	}
 	wg.Wait()
 }
 
-// struck are the engines that a fault strikes.
-func (f *fleet) struck(i int, t *Fault) []*standin.Engine {
+// targets are the engines that a fault strikes.
+func (f *fleet) targets(i int, fault *Fault) []*standin.Engine {
 	all := f.engines()
-	switch t.On {
+	switch fault.On {
 	case "readers":
 		all = f.readers
 	case "writers":
 		all = f.writers
 	}
 	var list []*standin.Engine
-	for _, n := range f.s.chosen(i, len(all)) {
+	for _, n := range f.s.chooseTargets(i, len(all)) {
 		list = append(list, all[n])
 	}
 	return list
 }
 
-func (f *fleet) play(ctx context.Context, i int, t *Fault) {
-	switch t.Kind {
+func (f *fleet) runFault(ctx context.Context, i int, fault *Fault) {
+	switch fault.Kind {
 	case "crash":
-		f.each(f.struck(i, t), func(e *standin.Engine) { f.crash(ctx, e, t.For) })
+		f.forEach(f.targets(i, fault), func(e *standin.Engine) { f.crashEngine(ctx, e, fault.For) })
 	case "vanish":
-		f.each(f.struck(i, t), func(e *standin.Engine) { f.vanish(ctx, e, t.For) })
+		f.forEach(f.targets(i, fault), func(e *standin.Engine) { f.freezeEngine(ctx, e, fault.For) })
 	case "deploy":
-		f.deploy(ctx, f.struck(i, t), t.For)
+		f.rollEngines(ctx, f.targets(i, fault), fault.For)
 	case "router-crash":
-		f.crashRouters(ctx, f.s.chosen(i, len(f.routers)), t.For)
+		f.crashRouters(ctx, f.s.chooseTargets(i, len(f.routers)), fault.For)
 	case "router-roll":
-		f.rollRouters(ctx, f.s.chosen(i, len(f.routers)), t.For)
+		f.rollRouters(ctx, f.s.chooseTargets(i, len(f.routers)), fault.For)
 	case "fleet-restart", "fleet-drain", "kill-restart", "kill-drain", "hang-drain":
-		f.operate(ctx, t.Kind, f.s.chosen(i, len(f.routers)), t.For)
+		f.operate(ctx, fault.Kind, f.s.chooseTargets(i, len(f.routers)), fault.For)
 	case "ageing":
-		f.ageing(ctx, f.struck(i, t), t)
+		f.slowGradually(ctx, f.targets(i, fault), fault)
 	case "slow-handshakes":
-		f.slowHandshakes(ctx, f.struck(i, t), t)
+		f.blockDials(ctx, f.targets(i, fault), fault)
 	case "shared-slow":
-		f.toggle(ctx, f.zone(i), t)
+		f.applyFor(ctx, f.zoneEngines(i), fault)
 	case "burst", "eager-retries": // the clients' doing: it is in their plan
-		sleep(ctx, t.For)
+		sleep(ctx, fault.For)
 	case "roster-cut":
 		f.roster.Forget()
 		f.roster.Stop()
-		sleep(ctx, t.For)
-		f.roster.Start(f.api)
+		sleep(ctx, fault.For)
+		f.roster.Start(f.rosterAddr)
 	default:
-		f.toggle(ctx, f.struck(i, t), t)
+		f.applyFor(ctx, f.targets(i, fault), fault)
 	}
 }
 
-func (f *fleet) each(list []*standin.Engine, do func(*standin.Engine)) {
+func (f *fleet) forEach(list []*standin.Engine, do func(*standin.Engine)) {
 	var wg sync.WaitGroup
 	for _, e := range list {
 		wg.Go(func() { do(e) })
@@ -95,145 +95,145 @@
 	wg.Wait()
 }
 
-// zone are all engines of one zone, as when they share what grows slow.
-func (f *fleet) zone(i int) []*standin.Engine {
+// zoneEngines are all engines of one zone, as when they share what grows slow.
+func (f *fleet) zoneEngines(i int) []*standin.Engine {
 	want := zones[i%len(zones)]
 	var list []*standin.Engine
 	for _, e := range f.engines() {
-		if _, z, _ := f.place(e); z == want {
+		if _, z, _ := f.location(e); z == want {
 			list = append(list, e)
 		}
 	}
 	return list
 }
 
-// toggle sets a fault for its time.
-func (f *fleet) toggle(ctx context.Context, list []*standin.Engine, t *Fault) {
+// applyFor sets a fault for its time.
+func (f *fleet) applyFor(ctx context.Context, list []*standin.Engine, fault *Fault) {
 	set := func(on bool) {
 		for _, e := range list {
-			e.Set(func(x *standin.Faults) { apply(x, t, on) })
+			e.Set(func(x *standin.Faults) { applyFault(x, fault, on) })
 		}
 	}
 	set(true)
-	sleep(ctx, t.For)
+	sleep(ctx, fault.For)
 	set(false)
 }
 
-// apply sets or clears the part of the faults that a trouble is about.
-func apply(x *standin.Faults, t *Fault, on bool) {
-	size := t.Size
+// applyFault sets or clears the part of the faults that a trouble is about.
+func applyFault(faults *standin.Faults, fault *Fault, on bool) {
+	size := fault.Size
 	if !on {
 		size = 0
 	}
-	switch t.Kind {
+	switch fault.Kind {
 	case "slow", "shared-slow", "ageing":
-		x.Slow = size
+		faults.Slow = size
 	case "hang":
-		x.Hang = on
+		faults.Hang = on
 	case "fast-errors":
-		x.Errors = size
+		faults.Errors = size
 	case "late-reports":
-		x.LateReport = on
+		faults.StaleReports = on
 	case "throttle":
-		if x.Throttle = ""; on {
-			x.Throttle = t.Note
+		if faults.Throttle = ""; on {
+			faults.Throttle = fault.Class
 		}
 	case "break-streams":
-		x.BreakAfter = int(size)
+		faults.BreakAfter = int(size)
 	case "stall-streams":
-		x.StallAfter = int(size)
+		faults.StallAfter = int(size)
 	}
 }
 
-// crash kills an engine; the roster tells of it late, and of its return.
-func (f *fleet) crash(ctx context.Context, e *standin.Engine, down time.Duration) {
+// crashEngine kills an engine; the roster tells of it late, and of its return.
+func (f *fleet) crashEngine(ctx context.Context, e *standin.Engine, downtime time.Duration) {
 	e.Kill()
-	f.list(e, "gone", time.Time{})
-	sleep(ctx, down)
-	f.again(e)
+	f.listEngine(e, "gone", time.Time{})
+	sleep(ctx, downtime)
+	f.restartEngine(e)
 }
 
-// again starts an engine cold.
-func (f *fleet) again(e *standin.Engine) {
+// restartEngine starts an engine cold.
+func (f *fleet) restartEngine(e *standin.Engine) {
 	if err := e.Start(true); err != nil {
 		f.log.Add(record.Event{Who: e.Addr(), Kind: record.Fault, Note: "does not start again: " + err.Error()})
 		return
 	}
-	f.list(e, "ready", time.Now())
+	f.listEngine(e, "ready", time.Now())
 }
 
-// vanish makes an engine silent, without a reset; nobody tells before it is killed.
-func (f *fleet) vanish(ctx context.Context, e *standin.Engine, down time.Duration) {
+// freezeEngine makes an engine silent, without a reset; nobody tells before it is killed.
+func (f *fleet) freezeEngine(ctx context.Context, e *standin.Engine, downtime time.Duration) {
 	e.Freeze(true)
-	sleep(ctx, down/2)
-	f.list(e, "gone", time.Time{})
-	sleep(ctx, down/2)
+	sleep(ctx, downtime/2)
+	f.listEngine(e, "gone", time.Time{})
+	sleep(ctx, downtime/2)
 	e.Kill()
-	f.again(e)
+	f.restartEngine(e)
 }
 
-// deploy drains, stops and starts engines one after the other.
-func (f *fleet) deploy(ctx context.Context, list []*standin.Engine, whole time.Duration) {
-	step := whole / time.Duration(len(list))
+// rollEngines drains, stops and starts engines one after the other.
+func (f *fleet) rollEngines(ctx context.Context, list []*standin.Engine, duration time.Duration) {
+	step := duration / time.Duration(len(list))
 	for _, e := range list {
-		f.list(e, "draining", time.Time{})
+		f.listEngine(e, "draining", time.Time{})
 		if !sleep(ctx, step*2/3) {
 			return
 		}
 		e.Set(func(x *standin.Faults) { x.Draining = true })
 		e.Kill()
-		f.list(e, "gone", time.Time{})
+		f.listEngine(e, "gone", time.Time{})
 		sleep(ctx, step/3)
-		f.again(e)
+		f.restartEngine(e)
 	}
 }
 
-// restarted starts a router again and waits until it serves.
-func (f *fleet) restarted(ctx context.Context, r *router) {
-	err := r.up()
+// restartRouter starts a router again and waits until it serves.
+func (f *fleet) restartRouter(ctx context.Context, r *router) {
+	err := r.start()
 	if err == nil {
-		err = r.ready(ctx)
+		err = r.waitListening(ctx)
 	}
 	if err != nil {
 		f.log.Add(record.Event{Who: "fleet", Kind: record.Fault, Router: r.name, Note: err.Error()})
 	}
 }
 
-func (f *fleet) crashRouters(ctx context.Context, which []int, down time.Duration) {
+func (f *fleet) crashRouters(ctx context.Context, which []int, downtime time.Duration) {
 	var wg sync.WaitGroup
 	for _, n := range which {
 		wg.Go(func() {
 			r := f.routers[n]
 			r.kill()
-			sleep(ctx, down)
-			f.restarted(ctx, r)
+			sleep(ctx, downtime)
+			f.restartRouter(ctx, r)
 		})
 	}
 	wg.Wait()
 }
 
 // rollRouters stops routers politely and starts them again, one after the other.
-func (f *fleet) rollRouters(ctx context.Context, which []int, whole time.Duration) {
+func (f *fleet) rollRouters(ctx context.Context, which []int, duration time.Duration) {
 	for _, n := range which {
 		r, from := f.routers[n], time.Now()
 		if err := r.stop(f.s.Settings.Drain + 5*time.Second); err != nil {
 			f.log.Add(record.Event{Who: "fleet", Kind: record.Fault, Router: r.name, Note: err.Error()})
 		}
-		f.restarted(ctx, r)
-		if !sleep(ctx, whole/time.Duration(len(which))-time.Since(from)) {
+		f.restartRouter(ctx, r)
+		if !sleep(ctx, duration/time.Duration(len(which))-time.Since(from)) {
 			return
 		}
 	}
 }
 
-// ageing makes engines slower and slower, up to the size.
-func (f *fleet) ageing(ctx context.Context, list []*standin.Engine, t *Fault) {
+// slowGradually makes engines slower and slower, up to the size.
+func (f *fleet) slowGradually(ctx context.Context, list []*standin.Engine, fault *Fault) {
 	const steps = 20
 	for n := 1; n <= steps; n++ {
 		for _, e := range list {
-			e.Set(func(x *standin.Faults) { x.Slow = 1 + (t.Size-1)*float64(n)/steps })
+			e.Set(func(x *standin.Faults) { x.Slow = 1 + (fault.Size-1)*float64(n)/steps })
 		}
-		if !sleep(ctx, t.For/steps) {
+		if !sleep(ctx, fault.For/steps) {
 			break
 		}
 	}
@@ -242,26 +242,26 @@
 	}
 }
 
-// slowHandshakes shuts the door to new connections for the greater part of
+// blockDials shuts the door to new connections for the greater part of
 // every while: what dials then times out, what is open goes on.
-func (f *fleet) slowHandshakes(ctx context.Context, list []*standin.Engine, t *Fault) {
-	end := time.Now().Add(t.For)
+func (f *fleet) blockDials(ctx context.Context, list []*standin.Engine, fault *Fault) {
+	end := time.Now().Add(fault.For)
 	for time.Now().Before(end) && ctx.Err() == nil {
-		f.each(list, func(e *standin.Engine) { e.Jam(true) })
+		f.forEach(list, func(e *standin.Engine) { e.Jam(true) })
 		sleep(ctx, min(600*time.Millisecond, time.Until(end)))
-		f.each(list, func(e *standin.Engine) { e.Jam(false) })
+		f.forEach(list, func(e *standin.Engine) { e.Jam(false) })
 		sleep(ctx, min(200*time.Millisecond, time.Until(end)))
 	}
 }
 
 // String tells a trouble in one line.
-func (t *Fault) String() string {
-	s := fmt.Sprintf("%s at %v for %v", t.Kind, t.From, t.For)
-	if t.Part > 0 {
-		s += fmt.Sprintf(", part %g", t.Part)
+func (f *Fault) String() string {
+	s := fmt.Sprintf("%s at %v for %v", f.Kind, f.From, f.For)
+	if f.Share > 0 {
+		s += fmt.Sprintf(", part %g", f.Share)
 	}
-	if t.Size > 0 {
-		s += fmt.Sprintf(", size %g", t.Size)
+	if f.Size > 0 {
+		s += fmt.Sprintf(", size %g", f.Size)
 	}
 	return s
 }
--- a/internal/scenario/fleet.go
+++ b/internal/scenario/fleet.go
@@ -29,44 +29,44 @@
 type router struct {
 	name, addr, config, dir string
 	f                       *fleet
-	ops                     sync.Mutex // held by what operates on it
+	opsMu                   sync.Mutex // held by what operates on it
 
-	mu    sync.Mutex
-	group int
-	done  chan struct{} // closed when the first process of the group has ended
-	down  bool
-	lost  time.Time // when it last went; the front notices later
+	mu           sync.Mutex
+	processGroup int
+	done         chan struct{} // closed when the first process of the group has ended
+	down         bool
+	downSince    time.Time // when it last went; the front notices later
 }
 
 // fleet is all that a day runs.
 type fleet struct {
-	s       *Script
-	log     *record.Log
-	command Command
-	policy  string
-	dir     string
-	roster  *standin.Roster
-	api     string
-	readers []*standin.Engine
-	writers []*standin.Engine
-	routers []*router
-	start   time.Time
-	seconds sync.WaitGroup
-	runs    sync.Mutex
-	serial  int // of the tool's runs
-	ports   []func()
+	s            *Script
+	log          *record.Log
+	command      Command
+	policy       string
+	dir          string
+	roster       *standin.Roster
+	rosterAddr   string
+	readers      []*standin.Engine
+	writers      []*standin.Engine
+	routers      []*router
+	start        time.Time
+	faultsDone   sync.WaitGroup
+	toolMu       sync.Mutex
+	toolRuns     int // of the tool's runs
+	releasePorts []func()
 }
 
 var zones = [...]string{"north", "south"}
 
-func (s *Script) engine(e Engine, writes bool, seed uint64) standin.Config {
+func (s *Script) engineConfig(e Engine, writes bool, seed uint64) standin.Config {
 	return standin.Config{Addr: "127.0.0.1:0", Writes: writes, Slots: e.Slots, Queue: e.Queue, Memory: float64(e.Memory),
 		ReadRate: float64(e.ReadRate), FetchRate: float64(e.FetchRate), TokenGap: e.TokenGap, Early: 0.7,
 		ColdFrom: e.ColdFrom, WarmAfter: e.WarmAfter, Overload: 3, Fall: 3 * time.Second, Keep: 5 * time.Second,
-		Extended: true, Deaf: e.Deaf, Seed: seed}
+		Extended: true, IgnoreCancel: e.IgnoreCancel, Seed: seed}
 }
 
-func (s *Script) keyed() []string {
+func (s *Script) keyedClasses() []string {
 	var names []string
 	for _, c := range s.Classes {
 		if c.Effect == "keyed" {
@@ -76,19 +76,19 @@
 	return names
 }
 
-// raise starts engines, roster and routers.
-func (f *fleet) raise(ctx context.Context) error {
+// setUp starts engines, roster and routers.
+func (f *fleet) setUp(ctx context.Context) error {
 	group := &standin.Dedupe{}
 	f.roster = standin.NewRoster("engines", f.log)
-	delay := f.s.Notice
-	f.roster.Delay = func(router string, n int) time.Duration { return late(delay, router, n, f.s.Seed) }
+	delay := f.s.NoticeDelay
+	f.roster.Delay = func(router string, n int) time.Duration { return noticeDelay(delay, router, n, f.s.Seed) }
 	for i := range f.s.Readers + f.s.Writers {
 		writes := i >= f.s.Readers
-		cfg := f.s.engine(f.s.Reader, false, f.s.Seed)
+		cfg := f.s.engineConfig(f.s.Reader, false, f.s.Seed)
 		if writes {
-			cfg = f.s.engine(f.s.Writer, true, f.s.Seed)
+			cfg = f.s.engineConfig(f.s.Writer, true, f.s.Seed)
 		}
-		e := standin.NewEngine(cfg, f.log, group, f.s.keyed()...)
+		e := standin.NewEngine(cfg, f.log, group, f.s.keyedClasses()...)
 		if err := e.Start(false); err != nil {
 			return err
 		}
@@ -97,10 +97,10 @@
 		} else {
 			f.readers = append(f.readers, e)
 		}
-		f.list(e, "ready", time.Time{})
+		f.listEngine(e, "ready", time.Time{})
 	}
 	var err error
-	if f.api, err = f.roster.Start("127.0.0.1:0"); err != nil {
+	if f.rosterAddr, err = f.roster.Start("127.0.0.1:0"); err != nil {
 		return err
 	}
 	for i := range f.s.Routers {
@@ -109,20 +109,20 @@
 			return err
 		}
 		f.routers = append(f.routers, r)
-		if err := r.up(); err != nil {
+		if err := r.start(); err != nil {
 			return err
 		}
 	}
 	for _, r := range f.routers {
-		if err := r.ready(ctx); err != nil {
+		if err := r.waitListening(ctx); err != nil {
 			return err
 		}
 	}
-	return f.fleetFile()
+	return f.writeFleetFile()
 }
 
-// late is between half the notice and one and a half, by router and change.
-func late(mean time.Duration, router string, n int, seed uint64) time.Duration {
+// noticeDelay is between half the notice and one and a half, by router and change.
+func noticeDelay(mean time.Duration, router string, n int, seed uint64) time.Duration {
 	h := seed
 	for _, c := range fmt.Sprintf("%s/%d", router, n) {
 		h = (h ^ uint64(c)) * 1099511628211
@@ -134,8 +134,8 @@
 	return append(append([]*standin.Engine{}, f.readers...), f.writers...)
 }
 
-// place is where engine i of its kind stands.
-func (f *fleet) place(e *standin.Engine) (kind, zone string, cell int) {
+// location is where engine i of its kind stands.
+func (f *fleet) location(e *standin.Engine) (kind, zone string, cell int) {
 	for i, r := range f.readers {
 		if r == e {
 			return "prompt", zones[i%2], i % 4
@@ -149,8 +149,8 @@
 	return "", "", 0
 }
 
-func (f *fleet) list(e *standin.Engine, state string, started time.Time) {
-	kind, zone, cell := f.place(e)
+func (f *fleet) listEngine(e *standin.Engine, state string, started time.Time) {
+	kind, zone, cell := f.location(e)
 	f.roster.Set(standin.Listed{Addr: e.Addr(), Kind: kind, Zone: zone, Cell: cell, Started: started, State: state})
 }
 
@@ -160,29 +160,29 @@
 	if err != nil {
 		return nil, err
 	}
-	f.ports = append(f.ports, release)
+	f.releasePorts = append(f.releasePorts, release)
 	r := &router{name: fmt.Sprintf("r%d", i), addr: addr, f: f, dir: f.dir}
 	r.config = filepath.Join(f.dir, r.name+".gann")
-	os.Remove(r.list()) // of an earlier day in the same folder
-	return r, os.WriteFile(r.config, []byte(f.s.settings(r, f.api, i)), 0o644)
+	os.Remove(r.cachePath()) // of an earlier day in the same folder
+	return r, os.WriteFile(r.config, []byte(f.s.settingsText(r, f.rosterAddr, i)), 0o644)
 }
 
-// list is where the router keeps its last list.
-func (r *router) list() string { return filepath.Join(r.dir, r.name+".list") }
+// cachePath is where the router keeps its last list.
+func (r *router) cachePath() string { return filepath.Join(r.dir, r.name+".list") }
 
-// run is the router's folder of pid, lock and control socket.
-func (r *router) run() string { return filepath.Join(r.dir, r.name) }
+// runDir is the router's folder of pid, lock and control socket.
+func (r *router) runDir() string { return filepath.Join(r.dir, r.name) }
 
 // pid is the process that serves, or did last.
 func (r *router) pid() int {
-	text, _ := os.ReadFile(filepath.Join(r.run(), "pid"))
+	text, _ := os.ReadFile(filepath.Join(r.runDir(), "pid"))
 	n, _ := strconv.Atoi(strings.TrimSpace(string(text)))
 	return n
 }
 
 // alive tells whether a process of the router lives: its lock is held then.
 func (r *router) alive() bool {
-	lock, err := os.Open(filepath.Join(r.run(), "lock"))
+	lock, err := os.Open(filepath.Join(r.runDir(), "lock"))
 	if err != nil {
 		return false
 	}
@@ -190,8 +190,8 @@
 	return unix.Flock(int(lock.Fd()), unix.LOCK_EX|unix.LOCK_NB) != nil
 }
 
-// gone waits until no process of the router lives.
-func (r *router) gone(limit time.Duration) bool {
+// waitExit waits until no process of the router lives.
+func (r *router) waitExit(limit time.Duration) bool {
 	for end := time.Now().Add(limit); r.alive(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			return false
@@ -200,8 +200,8 @@
 	return true
 }
 
-// serves tells whether the router says that it takes sessions.
-func (r *router) serves() bool {
+// isReady tells whether the router says that it takes sessions.
+func (r *router) isReady() bool {
 	c := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	res, err := c.Get("http://" + r.addr + front.ReadyPath)
 	if err != nil {
@@ -211,14 +211,14 @@
 	return res.StatusCode == 200
 }
 
-// settings are a router's, as text.
-func (s *Script) settings(r *router, api string, i int) string {
+// settingsText are a router's, as text.
+func (s *Script) settingsText(r *router, api string, i int) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "(name %s)\n(routers %d)\n(seed %d)\n(listen %q)\n(zones north south)\n", r.name, s.Routers,
 		s.Seed*1000+uint64(i), r.addr)
 	for _, c := range s.Classes {
 		fmt.Fprintf(&b, "(class %s (work %v) (aim %v) (aim-per-1000 %v) (give-up %v) (worth %g) (effect %s) (max-tokens %d) (priority %d)",
-			c.Name, c.Work, c.Aim, c.PerKilo, c.GiveUp, c.Worth, c.Effect, c.Out, c.Prio)
+			c.Name, c.Work, c.Aim, c.AimPer1000, c.Timeout, c.Worth, c.Effect, c.MaxTokens, c.Priority)
 		if c.Effect == "keyed" {
 			fmt.Fprintf(&b, " (group %s) (window %v)", c.Group, c.Window)
 		}
@@ -235,31 +235,31 @@
 		}
 		b.WriteString(")\n")
 	}
-	fmt.Fprintf(&b, "(admit (on %s) (back %v) (in-hand-start %d))\n", yes(s.Settings.Limits), s.Settings.Back, s.Settings.InHand)
+	fmt.Fprintf(&b, "(admit (on %s) (back %v) (in-hand-start %d))\n", yesNo(s.Settings.Limits), s.Settings.MinRetryAfter, s.Settings.InitialLimit)
 	fmt.Fprintf(&b, "(kind prompt (role reader) (memory %g))\n(kind answer (role writer) (memory %g))\n",
 		float64(s.Reader.Memory), float64(s.Writer.Memory))
 	fmt.Fprintf(&b, "(rules (cold-from %g) (warm-after %v) (overload 3) (pin-limit %v))\n", s.Writer.ColdFrom,
 		s.Writer.WarmAfter, s.Settings.PinLimit)
 	fmt.Fprintf(&b, "(engines (holds %s) (cancel %s) (stream-idle 3s))\n(sessions (drain %v))\n(http (write 3s))\n(limits (attempts %d))\n",
-		yes(s.Settings.Holds), yes(!s.Reader.Deaf), s.Settings.Drain, s.Settings.Attempts)
-	fmt.Fprintf(&b, "(control (run %q))\n", r.run())
-	fmt.Fprintf(&b, "(roster (watch %q) (service engines) (cache %q)", api, r.list())
-	if s.Settings.Listed {
+		yesNo(s.Settings.Holds), yesNo(!s.Reader.IgnoreCancel), s.Settings.Drain, s.Settings.Attempts)
+	fmt.Fprintf(&b, "(control (run %q))\n", r.runDir())
+	fmt.Fprintf(&b, "(roster (watch %q) (service engines) (cache %q)", api, r.cachePath())
+	if s.Settings.ListRouters {
 		b.WriteString(" (routers routers)")
 	}
 	b.WriteString(")\n")
 	return b.String()
 }
 
-func yes(b bool) string {
+func yesNo(b bool) string {
 	if b {
 		return "yes"
 	}
 	return "no"
 }
 
-// up starts a life.
-func (r *router) up() error {
+// start starts a life.
+func (r *router) start() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out, err := os.OpenFile(filepath.Join(r.dir, r.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
@@ -271,18 +271,18 @@
 	cmd.Stdout, cmd.Stderr = out, out
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	r.f.log.Add(record.Event{Who: "fleet", Kind: record.RouterUp, Router: r.name})
-	r.listed("ready")
+	r.listRouter("ready")
 	if err := cmd.Start(); err != nil {
 		return err
 	}
 	done := make(chan struct{})
 	go func() { cmd.Wait(); close(done) }()
-	r.group, r.done, r.down = cmd.Process.Pid, done, false
+	r.processGroup, r.done, r.down = cmd.Process.Pid, done, false
 	return nil
 }
 
-// ready waits until the router takes connections.
-func (r *router) ready(ctx context.Context) error {
+// waitListening waits until the router takes connections.
+func (r *router) waitListening(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, 10*time.Second)
 	defer cancel()
 	for {
@@ -306,47 +306,47 @@
 	}
 }
 
-// away marks the router as gone, for the front to notice.
-func (r *router) away(gone bool) {
+// setDown marks the router as gone, for the front to notice.
+func (r *router) setDown(down bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.down, r.lost = gone, time.Now()
+	r.down, r.downSince = down, time.Now()
 }
 
 // kill ends all its processes outright.
 func (r *router) kill() {
-	r.away(true)
+	r.setDown(true)
 	r.f.log.Add(record.Event{Who: "fleet", Kind: record.Killed, Router: r.name})
-	syscall.Kill(-r.group, syscall.SIGKILL)
-	r.gone(10 * time.Second)
+	syscall.Kill(-r.processGroup, syscall.SIGKILL)
+	r.waitExit(10 * time.Second)
 	r.f.log.Add(record.Event{Who: "fleet", Kind: record.Reaped, Router: r.name})
-	r.listed("gone")
+	r.listRouter("gone")
 }
 
-// listed has the roster list the router, where it lists routers.
-func (r *router) listed(state string) {
-	if r.f.s.Settings.Listed {
+// listRouter has the roster list the router, where it lists routers.
+func (r *router) listRouter(state string) {
+	if r.f.s.Settings.ListRouters {
 		r.f.roster.Set(standin.Listed{Addr: r.addr, Service: "routers", State: state})
 	}
 }
 
 // stop asks a router to end and waits for it.
 func (r *router) stop(limit time.Duration) error {
-	r.away(true)
+	r.setDown(true)
 	r.f.log.Add(record.Event{Who: "fleet", Kind: record.Stopped, Router: r.name})
 	if pid := r.pid(); pid > 0 && r.alive() {
 		syscall.Kill(pid, syscall.SIGTERM)
 	}
-	if !r.gone(limit) {
-		syscall.Kill(-r.group, syscall.SIGKILL)
-		r.gone(10 * time.Second)
+	if !r.waitExit(limit) {
+		syscall.Kill(-r.processGroup, syscall.SIGKILL)
+		r.waitExit(10 * time.Second)
 		return fmt.Errorf("router %s did not stop within %v", r.name, limit)
 	}
 	return nil
 }
 
-// lower ends everything that was started.
-func (f *fleet) lower() (err error) {
+// tearDown ends everything that was started.
+func (f *fleet) tearDown() (err error) {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	for _, r := range f.routers {
@@ -359,7 +359,7 @@
 		})
 	}
 	wg.Wait()
-	for _, release := range f.ports {
+	for _, release := range f.releasePorts {
 		release()
 	}
 	for _, e := range f.engines() {
--- a/internal/scenario/http.go
+++ b/internal/scenario/http.go
@@ -22,46 +22,46 @@
 	"gannethook/internal/standin"
 )
 
-// leaveHTTP ends the connection; what still comes on it breaks rule 1.
-func (g *guest) leaveHTTP() {
-	if g.http == nil {
+// closeHTTP ends the connection; what still comes on it breaks rule 1.
+func (u *virtualUser) closeHTTP() {
+	if u.http == nil {
 		return
 	}
-	if err := g.http.Close(); err != nil && g.asked != nil {
-		g.note(g.asked, g.sent, record.After, err.Error(), 0)
+	if err := u.http.Close(); err != nil && u.lastRequest != nil {
+		u.logEvent(u.lastRequest, u.lastTry, record.After, err.Error(), 0)
 	}
-	g.http = nil
+	u.http = nil
 }
 
 // connectHTTP gives a connection that stands, at a router that the front takes to be up.
-func (g *guest) connectHTTP(ctx context.Context) error {
-	if g.http != nil {
-		err := g.http.Stands()
-		if errors.Is(err, client.ErrOutOfTurn) && g.asked != nil {
-			g.note(g.asked, g.sent, record.After, err.Error(), 0)
+func (u *virtualUser) connectHTTP(ctx context.Context) error {
+	if u.http != nil {
+		err := u.http.Stands()
+		if errors.Is(err, client.ErrOutOfTurn) && u.lastRequest != nil {
+			u.logEvent(u.lastRequest, u.lastTry, record.After, err.Error(), 0)
 		}
 		if err == nil {
 			return nil
 		}
-		g.http.Cut()
-		g.http = nil
+		u.http.Cut()
+		u.http = nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
-	h, err := client.DialHTTP(ctx, g.router.addr)
+	h, err := client.DialHTTP(ctx, u.router.addr)
 	if err != nil {
-		g.c.f.log.Add(record.Event{Who: g.name, Kind: record.ShutOut, Router: g.router.name, Note: err.Error()})
+		u.pool.f.log.Add(record.Event{Who: u.name, Kind: record.ShutOut, Router: u.router.name, Note: err.Error()})
 		return err
 	}
-	g.http = h
-	g.c.f.log.Add(record.Event{Who: g.name, Kind: record.Open, Router: g.router.name})
+	u.http = h
+	u.pool.f.log.Add(record.Event{Who: u.name, Kind: record.Open, Router: u.router.name})
 	return nil
 }
 
-// list has a batch's texts: they go by the request's name, and have its tokens in all.
-func (a *ask) list() []string {
+// batchTexts has a batch's texts: they go by the request's name, and have its tokens in all.
+func (a *plannedRequest) batchTexts() []string {
 	list := make([]string, a.texts)
-	each := max(a.prompt*4/max(a.texts, 1), 8)
+	each := max(a.promptTokens*4/max(a.texts, 1), 8)
 	for i := range list {
 		head := fmt.Sprintf("%s/%d ", a.name, i)
 		list[i] = head + strings.Repeat("x", max(each-len(head), 1))
@@ -69,125 +69,125 @@
 	return list
 }
 
-// httpBody is a request of a class, and where it goes.
-func (g *guest) httpBody(a *ask, class *Class) (path string, body []byte) {
-	var ask any
+// requestBody is a request of a class, and where it goes.
+func (u *virtualUser) requestBody(a *plannedRequest, class *Class) (path string, body []byte) {
+	var request any
 	switch class.Work {
 	case settings.Chat:
 		path = front.ChatPath
-		ask = map[string]any{"model": "day", "stream": true, "max_completion_tokens": class.Out,
+		request = map[string]any{"model": "day", "stream": true, "max_completion_tokens": class.MaxTokens,
 			"messages": []any{map[string]string{"role": "user", "content": "question " + a.name}}}
 	case settings.Embedding:
-		path, ask = front.EmbeddingsPath, map[string]any{"model": "day", "input": a.list()}
+		path, request = front.EmbeddingsPath, map[string]any{"model": "day", "input": a.batchTexts()}
 	default:
-		path, ask = front.RerankPath, map[string]any{"model": "day", "query": a.name, "documents": a.list(), "top_n": topN}
+		path, request = front.RerankPath, map[string]any{"model": "day", "query": a.name, "documents": a.batchTexts(), "top_n": rerankTopN}
 	}
-	body, _ = json.Marshal(ask)
+	body, _ = json.Marshal(request)
 	return path, body
 }
 
-const topN = 5
+const rerankTopN = 5
 
 // tryHTTP sends a request once over HTTP and waits for its final answer.
-func (g *guest) tryHTTP(ctx context.Context, a *ask, n int, again bool) tried {
-	class := &g.c.f.s.Classes[a.class]
-	if g.connectHTTP(ctx) != nil {
-		return tried{unreachable: true}
+func (u *virtualUser) tryHTTP(ctx context.Context, a *plannedRequest, n int, retry bool) tryResult {
+	class := &u.pool.f.s.Classes[a.class]
+	if u.connectHTTP(ctx) != nil {
+		return tryResult{unreachable: true}
 	}
-	h := http1.Header{{Name: "X-Gannethook-Class", Value: class.Name}, {Name: "Idempotency-Key", Value: a.name}}
+	headers := http1.Header{{Name: "X-Gannethook-Class", Value: class.Name}, {Name: "Idempotency-Key", Value: a.name}}
 	if class.Work == settings.Chat {
-		h = append(h, http1.Field{Name: "X-Gannethook-Prompt-Tokens", Value: strconv.Itoa(a.prompt)},
-			http1.Field{Name: "X-Gannethook-Session-Key", Value: g.name})
+		headers = append(headers, http1.Field{Name: "X-Gannethook-Prompt-Tokens", Value: strconv.Itoa(a.promptTokens)},
+			http1.Field{Name: "X-Gannethook-Session-Key", Value: u.name})
 	}
-	if g.tenant != "" {
-		h = append(h, http1.Field{Name: "X-Gannethook-Tenant", Value: g.tenant})
+	if u.tenant != "" {
+		headers = append(headers, http1.Field{Name: "X-Gannethook-Tenant", Value: u.tenant})
 	}
-	if again {
-		h = append(h, http1.Field{Name: "X-Gannethook-Retry", Value: "true"})
+	if retry {
+		headers = append(headers, http1.Field{Name: "X-Gannethook-Retry", Value: "true"})
 	}
 	if n > 1 {
-		h = append(h, http1.Field{Name: "X-Gannethook-Try", Value: strconv.Itoa(n)})
+		headers = append(headers, http1.Field{Name: "X-Gannethook-Try", Value: strconv.Itoa(n)})
 	}
-	path, body := g.httpBody(a, class)
-	g.asked, g.sent = a, n
-	g.note(a, n, record.Offer, g.tenant, class.GiveUp.Seconds()*1000)
-	conn := g.http
+	path, body := u.requestBody(a, class)
+	u.lastRequest, u.lastTry = a, n
+	u.logEvent(a, n, record.Offer, u.tenant, class.Timeout.Seconds()*1000)
+	conn := u.http
 	var cut atomic.Value
-	after := func(d time.Duration, why string) *time.Timer {
+	cutAfter := func(d time.Duration, why string) *time.Timer {
 		return time.AfterFunc(d, func() { cut.Store(why); conn.Cut() })
 	}
-	defer after(class.GiveUp+12*time.Second, "gave up").Stop()
-	if a.drop {
-		defer after(a.dropAt, "left").Stop()
+	defer cutAfter(class.Timeout+12*time.Second, "gave up").Stop()
+	if a.disconnect {
+		defer cutAfter(a.disconnectAfter, "left").Stop()
 	}
-	if conn.Post(path, h, body) != nil {
-		return g.goneHTTP(a, n, "connection", &cut)
+	if conn.Post(path, headers, body) != nil {
+		return u.recordLostHTTP(a, n, "connection", &cut)
 	}
 	res, answer, err := conn.Head()
 	if err != nil {
-		return g.goneHTTP(a, n, "connection", &cut)
+		return u.recordLostHTTP(a, n, "connection", &cut)
 	}
 	if res.Status != 200 {
-		return g.turnedHTTP(a, n, res, answer, &cut)
+		return u.readErrorHTTP(a, n, res, answer, &cut)
 	}
 	if class.Work == settings.Chat {
-		return g.streamHTTP(a, n, answer, &cut)
+		return u.readStreamHTTP(a, n, answer, &cut)
 	}
-	return g.wholeHTTP(a, n, answer, &cut)
+	return u.readBatchHTTP(a, n, answer, &cut)
 }
 
-// goneHTTP records a try without a final answer.
-func (g *guest) goneHTTP(a *ask, n int, why string, cut *atomic.Value) tried {
-	if own, ok := cut.Load().(string); ok {
-		why = own
-	}
-	g.note(a, n, record.Lost, why, 0)
-	g.http.Cut()
-	g.http = nil
-	return tried{kind: "lost", left: why == "left"}
+// recordLostHTTP records a try without a final answer.
+func (u *virtualUser) recordLostHTTP(a *plannedRequest, n int, reason string, cut *atomic.Value) tryResult {
+	if cutReason, ok := cut.Load().(string); ok {
+		reason = cutReason
+	}
+	u.logEvent(a, n, record.Lost, reason, 0)
+	u.http.Cut()
+	u.http = nil
+	return tryResult{kind: "lost", disconnected: reason == "left"}
 }
 
-// turnedHTTP takes an answer that is not 200.
-func (g *guest) turnedHTTP(a *ask, n int, res *http1.Response, answer *http1.Body, cut *atomic.Value) tried {
+// readErrorHTTP takes an answer that is not 200.
+func (u *virtualUser) readErrorHTTP(a *plannedRequest, n int, res *http1.Response, answer *http1.Body, cut *atomic.Value) tryResult {
 	body, err := io.ReadAll(answer)
 	var e struct {
 		Error struct{ Code, Message string }
 	}
 	if err != nil || json.Unmarshal(body, &e) != nil {
-		return g.goneHTTP(a, n, "connection", cut)
+		return u.recordLostHTTP(a, n, "connection", cut)
 	}
-	t := tried{why: e.Error.Message}
+	result := tryResult{reason: e.Error.Message}
 	switch e.Error.Code {
 	case httpapi.CodeRefused, httpapi.CodeLimited:
-		t.kind = "refused"
+		result.kind = "refused"
 		ms, _ := strconv.Atoi(res.Header.Get("Retry-After-Ms"))
-		t.retryAfter = time.Duration(ms) * time.Millisecond
+		result.retryAfter = time.Duration(ms) * time.Millisecond
 	case httpapi.CodeFailed:
-		t.kind = "failed"
+		result.kind = "failed"
 	default:
-		return g.goneHTTP(a, n, fmt.Sprintf("error %d %s", res.Status, body), cut)
+		return u.recordLostHTTP(a, n, fmt.Sprintf("error %d %s", res.Status, body), cut)
 	}
-	g.note(a, n, record.Final, t.kind, float64(t.retryAfter.Milliseconds()))
-	return t
+	u.logEvent(a, n, record.Final, result.kind, float64(result.retryAfter.Milliseconds()))
+	return result
 }
 
-// streamHTTP reads a streamed chat to its end. A client that stalls reads
+// readStreamHTTP reads a streamed chat to its end. A client that stalls reads
 // nothing after its first token, until its trouble is over; then it leaves.
-func (g *guest) streamHTTP(a *ask, n int, answer *http1.Body, cut *atomic.Value) tried {
+func (u *virtualUser) readStreamHTTP(a *plannedRequest, n int, answer *http1.Body, cut *atomic.Value) tryResult {
 	events := http1.NewEvents(answer)
 	first := time.Time{}
 	for {
 		data, err := events.Next()
 		if err != nil {
-			return g.goneHTTP(a, n, "connection", cut)
+			return u.recordLostHTTP(a, n, "connection", cut)
 		}
 		if first.IsZero() {
 			first = time.Now()
-			g.note(a, n, record.Token, "", 0)
-			if left := g.c.f.s.stalls(time.Since(g.c.f.start), a.seed); left > 0 {
-				time.Sleep(left)
+			u.logEvent(a, n, record.Token, "", 0)
+			if remaining := u.pool.f.s.stallTime(time.Since(u.pool.f.start), a.seed); remaining > 0 {
+				time.Sleep(remaining)
 				cut.Store("left")
-				return g.goneHTTP(a, n, "left", cut)
+				return u.recordLostHTTP(a, n, "left", cut)
 			}
 		}
 		done, failed := string(data) == "[DONE]", strings.HasPrefix(string(data), `{"error"`)
@@ -195,47 +195,47 @@
 			continue
 		}
 		if _, err := io.Copy(io.Discard, answer); err != nil { // the last chunk belongs to the answer
-			return g.goneHTTP(a, n, "connection", cut)
+			return u.recordLostHTTP(a, n, "connection", cut)
 		}
 		if failed {
-			g.note(a, n, record.Final, "failed", 0)
-			return tried{kind: "failed", why: "the stream broke"}
+			u.logEvent(a, n, record.Final, "failed", 0)
+			return tryResult{kind: "failed", reason: "the stream broke"}
 		}
-		g.note(a, n, record.Final, "served", 0)
-		return tried{kind: "served", afterFirst: time.Since(first)}
+		u.logEvent(a, n, record.Final, "served", 0)
+		return tryResult{kind: "served", sinceFirstToken: time.Since(first)}
 	}
 }
 
-// stalls is how long a client reads nothing, 0 for one that reads.
-func (s *Script) stalls(at time.Duration, seed uint64) time.Duration {
+// stallTime is how long a client reads nothing, 0 for one that reads.
+func (s *Script) stallTime(at time.Duration, seed uint64) time.Duration {
 	for _, f := range s.Faults {
-		if f.Kind == "stalled-clients" && at >= f.From && at < f.From+f.For && float64(seed%1000)/1000 < max(f.Part, 0.001) {
+		if f.Kind == "stalled-clients" && at >= f.From && at < f.From+f.For && float64(seed%1000)/1000 < max(f.Share, 0.001) {
 			return f.From + f.For - at
 		}
 	}
 	return 0
 }
 
-// wholeHTTP reads the answer to a batch and checks it, text by text.
-func (g *guest) wholeHTTP(a *ask, n int, answer *http1.Body, cut *atomic.Value) tried {
+// readBatchHTTP reads the answer to a batch and checks it, text by text.
+func (u *virtualUser) readBatchHTTP(a *plannedRequest, n int, answer *http1.Body, cut *atomic.Value) tryResult {
 	body, err := io.ReadAll(answer)
 	if err != nil {
-		return g.goneHTTP(a, n, "connection", cut)
+		return u.recordLostHTTP(a, n, "connection", cut)
 	}
-	check := rightVectors
-	if g.c.f.s.Classes[a.class].Work == settings.Rerank {
-		check = rightRanking
+	check := checkEmbeddings
+	if u.pool.f.s.Classes[a.class].Work == settings.Rerank {
+		check = checkRanking
 	}
 	if err := check(a, body); err != nil {
-		return g.goneHTTP(a, n, "error "+err.Error(), cut)
+		return u.recordLostHTTP(a, n, "error "+err.Error(), cut)
 	}
-	g.note(a, n, record.Token, "", 0)
-	g.note(a, n, record.Final, "served", 0)
-	return tried{kind: "served"}
+	u.logEvent(a, n, record.Token, "", 0)
+	u.logEvent(a, n, record.Final, "served", 0)
+	return tryResult{kind: "served"}
 }
 
-// rightVectors tells whether each text has its own embedding, in order.
-func rightVectors(a *ask, body []byte) error {
+// checkEmbeddings tells whether each text has its own embedding, in order.
+func checkEmbeddings(a *plannedRequest, body []byte) error {
 	var v struct {
 		Data []struct {
 			Index     int
@@ -245,7 +245,7 @@
 	if err := json.Unmarshal(body, &v); err != nil {
 		return err
 	}
-	list := a.list()
+	list := a.batchTexts()
 	if len(v.Data) != len(list) {
 		return fmt.Errorf("%d embeddings of %d", len(v.Data), len(list))
 	}
@@ -259,8 +259,8 @@
 	return nil
 }
 
-// rightRanking tells whether the best documents came, in order.
-func rightRanking(a *ask, body []byte) error {
+// checkRanking tells whether the best documents came, in order.
+func checkRanking(a *plannedRequest, body []byte) error {
 	var v struct {
 		Results []struct {
 			Index int
@@ -271,14 +271,14 @@
 		return err
 	}
 	var scores []float64
-	list := a.list()
+	list := a.batchTexts()
 	for _, d := range list {
 		scores = append(scores, standin.Relevance(a.name, d))
 	}
 	want := slices.Clone(scores)
 	slices.Sort(want)
 	slices.Reverse(want)
-	if len(v.Results) != min(topN, len(list)) {
+	if len(v.Results) != min(rerankTopN, len(list)) {
 		return fmt.Errorf("%d results", len(v.Results))
 	}
 	for i, r := range v.Results {
--- a/internal/scenario/loads.go
+++ b/internal/scenario/loads.go
@@ -17,18 +17,18 @@
 //go:embed overload.gann
 var OverloadDay string
 
-// settleIn is left out of goodput: engines and limits start cold.
-const settleIn = 5 * time.Second
+// warmUpTime is left out of goodput: engines and limits start cold.
+const warmUpTime = 5 * time.Second
 
 // Goodput is the worth that was served in time a second, once the day had settled in.
 func (r *Result) Goodput() float64 {
 	sum := 0.0
-	for i := range r.Ends {
-		if e := &r.Ends[i]; e.inTime && e.at >= settleIn {
+	for i := range r.Outcomes {
+		if e := &r.Outcomes[i]; e.inTime && e.at >= warmUpTime {
 			sum += r.Script.Classes[e.class].Worth
 		}
 	}
-	return sum / (r.Script.Length - settleIn).Seconds()
+	return sum / (r.Script.Length - warmUpTime).Seconds()
 }
 
 // Recovery is how long after the day's first burst service was back for good:
@@ -45,27 +45,27 @@
 	if burst == nil {
 		return 0, false
 	}
-	const span = 3 * time.Second
-	before := r.worth(settleIn, burst.From)
+	const window = 3 * time.Second
+	before := r.servedWorth(warmUpTime, burst.From)
 	end := burst.From + burst.For
-	back := time.Duration(-1)
-	for at := end; at+span <= r.Script.Length; at += time.Second {
-		if r.worth(at, at+span) >= 0.9*before {
-			if back < 0 {
-				back = at - end
+	recovered := time.Duration(-1)
+	for at := end; at+window <= r.Script.Length; at += time.Second {
+		if r.servedWorth(at, at+window) >= 0.9*before {
+			if recovered < 0 {
+				recovered = at - end
 			}
 		} else {
-			back = -1
+			recovered = -1
 		}
 	}
-	return back, back >= 0
+	return recovered, recovered >= 0
 }
 
-// worth is the share of the worth asked for in a span that was served in time.
-func (r *Result) worth(from, to time.Duration) float64 {
+// servedWorth is the share of the worth asked for in a span that was served in time.
+func (r *Result) servedWorth(from, to time.Duration) float64 {
 	asked, served := 0.0, 0.0
-	for i := range r.Ends {
-		e := &r.Ends[i]
+	for i := range r.Outcomes {
+		e := &r.Outcomes[i]
 		if e.at < from || e.at >= to {
 			continue
 		}
@@ -77,22 +77,22 @@
 	return served / max(asked, 1e-9)
 }
 
-// refusals are the parts of the requests that were turned away last by the
+// refusalShares are the parts of the requests that were turned away last by the
 // limits, for want of room and for their tenants' budgets, and by the module.
-func (r *Result) refusals() (room, budget, module float64) {
-	for why, n := range r.Why {
-		part := float64(n) / max(float64(r.All.Offered), 1)
+func (r *Result) refusalShares() (capacity, budget, module float64) {
+	for reason, n := range r.Reasons {
+		fraction := float64(n) / max(float64(r.All.Offered), 1)
 		switch {
-		case strings.HasPrefix(why, "refused: limits: requests"), strings.HasPrefix(why, "refused: limits: tokens"),
-			strings.HasPrefix(why, "refused: limits: retries"):
-			budget += part
-		case strings.HasPrefix(why, "refused: limits: "):
-			room += part
-		case strings.HasPrefix(why, "refused"):
-			module += part
+		case strings.HasPrefix(reason, "refused: limits: requests"), strings.HasPrefix(reason, "refused: limits: tokens"),
+			strings.HasPrefix(reason, "refused: limits: retries"):
+			budget += fraction
+		case strings.HasPrefix(reason, "refused: limits: "):
+			capacity += fraction
+		case strings.HasPrefix(reason, "refused"):
+			module += fraction
 		}
 	}
-	return room, budget, module
+	return capacity, budget, module
 }
 
 // CompareLoads prints days at several loads, a line each.
@@ -100,12 +100,12 @@
 	fmt.Fprintf(w, "%-7s %6s %8s %9s %9s %8s %9s %8s %7s %7s %9s %s\n", "limits", "times", "offered", "goodput", "in time",
 		"no room", "budgets", "module", "tries", "Jain", "recovery", "rules")
 	for _, r := range list {
-		room, budget, module := r.refusals()
-		back, jain, kept := "-", "-", "kept"
+		capacity, budget, module := r.refusalShares()
+		recovery, jain, kept := "-", "-", "kept"
 		if d, ok := r.Recovery(); ok {
-			back = fmt.Sprintf("%.0f s", d.Seconds())
+			recovery = fmt.Sprintf("%.0f s", d.Seconds())
 		} else if r.hasBurst() {
-			back = "never"
+			recovery = "never"
 		}
 		if len(r.Tenant) > 0 {
 			jain = fmt.Sprintf("%.3f", r.Jain())
@@ -117,8 +117,8 @@
 			kept += fmt.Sprintf(", %s %s in time", r.Script.Tenants[i].Name, share(r.Tenant[i].InTime, r.Tenant[i].Offered))
 		}
 		fmt.Fprintf(w, "%-7s %6g %8d %7.1f/s %9s %7.1f%% %8.1f%% %7.1f%% %7.2f %7s %9s %s\n", onOff(r.Script.Settings.Limits), r.Times,
-			r.All.Offered, r.Goodput(), share(r.All.InTime, r.All.Offered), 100*room, 100*budget, 100*module,
-			float64(r.All.Tries)/max(float64(r.All.Offered), 1), jain, back, kept)
+			r.All.Offered, r.Goodput(), share(r.All.InTime, r.All.Offered), 100*capacity, 100*budget, 100*module,
+			float64(r.All.Tries)/max(float64(r.All.Offered), 1), jain, recovery, kept)
 	}
 }
 
--- a/internal/scenario/operate.go
+++ b/internal/scenario/operate.go
@@ -14,12 +14,12 @@
 	"gannethook/internal/record"
 )
 
-// fleetFile writes the file that the fleet tool knows the routers from.
-func (f *fleet) fleetFile() error {
+// writeFleetFile writes the file that the fleet tool knows the routers from.
+func (f *fleet) writeFleetFile() error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "(fleet day)\n(times (call 2s) (drain %v) (start 10s) (hang 2s) (again 6s))\n", f.s.Settings.Drain)
 	for i, r := range f.routers {
-		fmt.Fprintf(&b, "(router %s (at %q) (centre %s))\n", r.name, "unix:"+filepath.Join(r.run(), "control.sock"), zones[i%2])
+		fmt.Fprintf(&b, "(router %s (at %q) (centre %s))\n", r.name, "unix:"+filepath.Join(r.runDir(), "control.sock"), zones[i%2])
 	}
 	return os.WriteFile(f.fleetPath(), []byte(b.String()), 0o644)
 }
@@ -31,21 +31,21 @@
 	e := record.Event{Who: "fleet", Kind: record.Probe, Router: r.name}
 	if r.alive() {
 		e.N = float64(r.pid())
-		if r.serves() {
+		if r.isReady() {
 			e.Note = "ready"
 		}
 	}
 	f.log.Add(e)
 }
 
-// tool runs the fleet tool on one router and records its exit status, and what
+// runTool runs the fleet tool on one router and records its exit status, and what
 // the router was before and after. meanwhile runs beside it, with a context
 // that ends with the tool.
-func (f *fleet) tool(r *router, verb string, meanwhile func(context.Context)) int {
-	f.runs.Lock()
-	f.serial++
-	key := fmt.Sprintf("tool-%d", f.serial)
-	f.runs.Unlock()
+func (f *fleet) runTool(r *router, verb string, concurrent func(context.Context)) int {
+	f.toolMu.Lock()
+	f.toolRuns++
+	key := fmt.Sprintf("tool-%d", f.toolRuns)
+	f.toolMu.Unlock()
 	f.probe(r)
 	cmd := f.command("fleet", "--fleet", f.fleetPath(), verb, r.name)
 	out, err := os.OpenFile(filepath.Join(f.dir, "tool.log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
@@ -54,10 +54,10 @@
 		cmd.Stdout, cmd.Stderr = out, out
 	}
 	f.log.Add(record.Event{Who: "tool", Kind: record.ToolBegin, Router: r.name, Key: key, Note: verb})
-	ctx, ended := context.WithCancel(context.Background())
-	defer ended()
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
 	code, done := -1, make(chan struct{})
-	go func() { defer close(done); meanwhile(ctx) }()
+	go func() { defer close(done); concurrent(ctx) }()
 	if err := cmd.Start(); err == nil {
 		err = cmd.Wait()
 		var ee *exec.ExitError
@@ -66,46 +66,46 @@
 		}
 	}
 	f.log.Add(record.Event{Who: "tool", Kind: record.ToolEnd, Router: r.name, Key: key, Note: verb, N: float64(code)})
-	ended()
+	cancel()
 	<-done
 	f.probe(r)
 	return code
 }
 
-func nothing(context.Context) {}
+func noop(context.Context) {}
 
 // operate does to routers, one after the other, what an operator does.
-func (f *fleet) operate(ctx context.Context, kind string, which []int, whole time.Duration) {
+func (f *fleet) operate(ctx context.Context, kind string, which []int, duration time.Duration) {
 	for n, i := range which {
 		r, from := f.routers[i], time.Now()
-		r.ops.Lock() // one operator at a router: what happened is one command's doing
+		r.opsMu.Lock() // one operator at a router: what happened is one command's doing
 		switch kind {
 		case "fleet-restart":
-			f.tool(r, "restart", nothing)
+			f.runTool(r, "restart", noop)
 		case "fleet-drain":
-			r.away(true)
-			f.tool(r, "drain", nothing)
+			r.setDown(true)
+			f.runTool(r, "drain", noop)
 			sleep(ctx, 200*time.Millisecond)
-			f.tool(r, "resume", nothing)
-			r.away(false)
+			f.runTool(r, "resume", noop)
+			r.setDown(false)
 		case "kill-restart", "kill-drain":
-			f.killed(ctx, r, strings.TrimPrefix(kind, "kill-"), n)
+			f.killDuring(ctx, r, strings.TrimPrefix(kind, "kill-"), n)
 		case "hang-drain":
-			f.hung(r)
+			f.hangDuring(r)
 		}
-		r.ops.Unlock()
-		if !sleep(ctx, whole/time.Duration(len(which))-time.Since(from)) {
+		r.opsMu.Unlock()
+		if !sleep(ctx, duration/time.Duration(len(which))-time.Since(from)) {
 			return
 		}
 	}
 }
 
-// killed kills a router while it carries out a command: the router says in its
+// killDuring kills a router while it carries out a command: the router says in its
 // events that it has the command before the signal goes out.
-func (f *fleet) killed(ctx context.Context, r *router, verb string, n int) {
-	had, pid := f.commands(r, verb), r.pid()
-	f.tool(r, verb, func(during context.Context) {
-		for during.Err() == nil && f.commands(r, verb) <= had && r.pid() == pid {
+func (f *fleet) killDuring(ctx context.Context, r *router, verb string, n int) {
+	before, pid := f.commandsTaken(r, verb), r.pid()
+	f.runTool(r, verb, func(during context.Context) {
+		for during.Err() == nil && f.commandsTaken(r, verb) <= before && r.pid() == pid {
 			sleep(during, time.Millisecond)
 		}
 		if during.Err() != nil {
@@ -114,34 +114,34 @@
 		r.kill()
 		if n%2 == 0 { // started again while the tool looks for it
 			sleep(ctx, 500*time.Millisecond)
-			f.restarted(ctx, r)
+			f.restartRouter(ctx, r)
 		}
 	})
 	if !r.alive() {
-		f.restarted(ctx, r)
+		f.restartRouter(ctx, r)
 	}
-	if !r.serves() {
-		f.tool(r, "resume", nothing)
+	if !r.isReady() {
+		f.runTool(r, "resume", noop)
 	}
 }
 
-// commands counts a router's events of having taken a command.
-func (f *fleet) commands(r *router, verb string) int {
+// commandsTaken counts a router's events of having taken a command.
+func (f *fleet) commandsTaken(r *router, verb string) int {
 	out, _ := f.command("fleet", "--fleet", f.fleetPath(), "watch", "--once", r.name).Output()
 	return strings.Count(string(out), " command   "+verb+", id ")
 }
 
-// hung stops a router's processes in their tracks before the command.
-func (f *fleet) hung(r *router) {
-	f.tool(r, "drain", func(during context.Context) {
+// hangDuring stops a router's processes in their tracks before the command.
+func (f *fleet) hangDuring(r *router) {
+	f.runTool(r, "drain", func(during context.Context) {
 		if sleep(during, 100*time.Millisecond) {
 			f.log.Add(record.Event{Who: "fleet", Kind: record.Killed, Router: r.name, Note: "hangs"})
-			syscall.Kill(-r.group, syscall.SIGSTOP)
+			syscall.Kill(-r.processGroup, syscall.SIGSTOP)
 		}
 	})
-	r.away(true)
-	syscall.Kill(-r.group, syscall.SIGCONT)
+	r.setDown(true)
+	syscall.Kill(-r.processGroup, syscall.SIGCONT)
 	f.log.Add(record.Event{Who: "fleet", Kind: record.Reaped, Router: r.name, Note: "goes on"})
-	f.tool(r, "resume", nothing)
-	r.away(false)
+	f.runTool(r, "resume", noop)
+	r.setDown(false)
 }
--- a/internal/scenario/operations.go
+++ b/internal/scenario/operations.go
@@ -16,7 +16,7 @@
 type operation struct {
 	Verb, Router string
 	At, Took     float64 // ms
-	Open         int     // tries without a final answer as it began
+	OpenTries    int     // tries without a final answer as it began
 	Longest      float64 // ms from then to the last of their final answers
 	killed       bool
 }
@@ -27,9 +27,9 @@
 		req string
 		n   int
 	}
-	begun := map[string]*operation{}      // by the tool's key
+	byKey := map[string]*operation{}      // by the tool's key
 	open := map[string]map[try]bool{}     // by router
-	waits := map[try][]*operation{}       // whose longest answer this may be
+	pending := map[try][]*operation{}     // whose longest answer this may be
 	ended := map[*operation]bool{}        // the tool is done
 	byRouter := map[string][]*operation{} // that run
 	var order []*operation
@@ -43,7 +43,7 @@
 			open[e.Router][t] = true
 		case record.Final, record.Lost:
 			delete(open[e.Router], t)
-			for _, o := range waits[t] {
+			for _, o := range pending[t] {
 				if e.Kind == record.Final { // also one that outlives the tool's run
 					o.Longest = max(o.Longest, e.T-o.At)
 				}
@@ -56,14 +56,14 @@
 			if e.Note == "resume" {
 				continue
 			}
-			o := &operation{Verb: e.Note, Router: e.Router, At: e.T, Open: len(open[e.Router])}
+			o := &operation{Verb: e.Note, Router: e.Router, At: e.T, OpenTries: len(open[e.Router])}
 			for t := range open[e.Router] {
-				waits[t] = append(waits[t], o)
+				pending[t] = append(pending[t], o)
 			}
-			begun[e.Key], byRouter[e.Router] = o, append(byRouter[e.Router], o)
+			byKey[e.Key], byRouter[e.Router] = o, append(byRouter[e.Router], o)
 			order = append(order, o)
 		case record.ToolEnd:
-			if o := begun[e.Key]; o != nil {
+			if o := byKey[e.Key]; o != nil {
 				o.Took, ended[o] = e.T-o.At, true
 			}
 		}
@@ -79,7 +79,7 @@
 // firstTokens are the ms to the first token of first tries: in the second half
 // of the time before the first restart, when engines are warm, and while one runs.
 func firstTokens(events []record.Event) (before, during []float64) {
-	first, running := false, map[string]bool{}
+	restarted, running := false, map[string]bool{}
 	warm := 0.0
 	for _, e := range events {
 		if e.Kind == record.ToolBegin {
@@ -88,18 +88,18 @@
 		}
 	}
 	offered := map[string]record.Event{}
-	while := map[string]bool{}
+	duringRestart := map[string]bool{}
 	for _, e := range events {
 		switch e.Kind {
 		case record.ToolBegin:
 			if e.Note == "restart" {
-				first, running[e.Key] = true, true
+				restarted, running[e.Key] = true, true
 			}
 		case record.ToolEnd:
 			delete(running, e.Key)
 		case record.Offer:
 			if e.Try == 1 {
-				offered[e.Req], while[e.Req] = e, len(running) > 0
+				offered[e.Req], duringRestart[e.Req] = e, len(running) > 0
 			}
 		case record.Token:
 			o, ok := offered[e.Req]
@@ -108,9 +108,9 @@
 			}
 			delete(offered, e.Req)
 			switch {
-			case while[e.Req]:
+			case duringRestart[e.Req]:
 				during = append(during, e.T-o.T)
-			case !first && o.T >= warm:
+			case !restarted && o.T >= warm:
 				before = append(before, e.T-o.T)
 			}
 		}
@@ -135,16 +135,16 @@
 	}
 	fmt.Fprintf(w, "%-8s %6s %12s %12s %12s %14s\n", "command", "runs", "open", "longest ms", "took ms", "more than it")
 	for _, verb := range []string{"drain", "restart"} {
-		n, open, longest, took, most := 0, 0, 0.0, 0.0, 0.0
+		n, open, longest, took, maxExcess := 0, 0, 0.0, 0.0, 0.0
 		for _, o := range list {
 			if o.Verb == verb {
-				n, open, longest, took = n+1, open+o.Open, longest+o.Longest, took+o.Took
-				most = max(most, o.Took-o.Longest)
+				n, open, longest, took = n+1, open+o.OpenTries, longest+o.Longest, took+o.Took
+				maxExcess = max(maxExcess, o.Took-o.Longest)
 			}
 		}
 		if n > 0 {
 			f := float64(n)
-			fmt.Fprintf(w, "%-8s %6d %12.1f %12.0f %12.0f %8.0f at most\n", verb, n, float64(open)/f, longest/f, took/f, most)
+			fmt.Fprintf(w, "%-8s %6d %12.1f %12.0f %12.0f %8.0f at most\n", verb, n, float64(open)/f, longest/f, took/f, maxExcess)
 		}
 	}
 	before, during := firstTokens(r.Events)
@@ -159,13 +159,13 @@
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("Drains and restarts of day %s, seed %d (stand-ins)", r.Script.Name, r.Script.Seed)
 	p.X.Label.Text, p.Y.Label.Text = "longest open answer, s", "the tool took, s"
-	most := 0.1
+	longest := 0.1
 	for i, verb := range []string{"drain", "restart"} {
 		var points plotter.XYs
 		for _, o := range operations(r.Events) {
 			if o.Verb == verb {
 				points = append(points, plotter.XY{X: o.Longest / 1000, Y: o.Took / 1000})
-				most = max(most, o.Longest/1000, o.Took/1000)
+				longest = max(longest, o.Longest/1000, o.Took/1000)
 			}
 		}
 		if len(points) == 0 {
@@ -179,12 +179,12 @@
 		p.Add(s)
 		p.Legend.Add(verb, s)
 	}
-	even, err := plotter.NewLine(plotter.XYs{{X: 0, Y: 0}, {X: most, Y: most}})
+	diagonal, err := plotter.NewLine(plotter.XYs{{X: 0, Y: 0}, {X: longest, Y: longest}})
 	if err != nil {
 		return err
 	}
-	p.Add(even)
-	p.Legend.Add("no longer than the answer", even)
+	p.Add(diagonal)
+	p.Legend.Add("no longer than the answer", diagonal)
 	p.Legend.Top, p.Legend.Left = true, true
 	return p.Save(14*vg.Centimeter, 10*vg.Centimeter, path)
 }
--- a/internal/scenario/plan.go
+++ b/internal/scenario/plan.go
@@ -8,145 +8,145 @@
 	"time"
 )
 
-// ask is one request that a client will make.
-type ask struct {
-	name   string
-	class  int
-	prompt int
-	texts  int // of a batch
-	prefix string
-	think  time.Duration // before it, within a session
-	drop   bool          // its client cuts the socket once the answer has begun or soon after it asked
-	dropAt time.Duration
-	seed   uint64
+// plannedRequest is one request that a client will make.
+type plannedRequest struct {
+	name            string
+	class           int
+	promptTokens    int
+	texts           int // of a batch
+	prefix          string
+	think           time.Duration // before it, within a session
+	disconnect      bool          // its client cuts the socket once the answer has begun or soon after it asked
+	disconnectAfter time.Duration
+	seed            uint64
 }
 
-// visit is one session's requests, from a time on.
-type visit struct {
-	at     time.Duration
-	name   string
-	tenant int // -1: none
-	asks   []ask
-	first  int // router that it comes to, by the front's draw
+// plannedSession is one session's requests, from a time on.
+type plannedSession struct {
+	at       time.Duration
+	name     string
+	tenant   int // -1: none
+	requests []plannedRequest
+	router   int // router that it comes to, by the front's draw
 }
 
 // plan draws a day's sessions from its seed: the same script and seed give the
 // same requests at the same times.
-func (s *Script) plan() []visit {
-	rnd := rand.New(rand.NewPCG(s.Seed, 0x646179))
-	meanTurns := float64(1+s.Clients.TurnsMost) / 2
-	var list []visit
+func (s *Script) plan() []plannedSession {
+	rng := rand.New(rand.NewPCG(s.Seed, 0x646179))
+	meanTurns := float64(1+s.Clients.MaxTurns) / 2
+	var list []plannedSession
 	for at, n := time.Duration(0), 0; ; n++ {
-		parts, sum := s.parts(at)
-		gap := rnd.ExpFloat64() / (s.Rate / meanTurns * sum)
-		at += time.Duration(gap * float64(time.Second))
+		shares, sum := s.trafficShares(at)
+		interval := rng.ExpFloat64() / (s.Rate / meanTurns * sum)
+		at += time.Duration(interval * float64(time.Second))
 		if at >= s.Length {
 			return list
 		}
 		tenant := -1
 		if len(s.Tenants) > 0 {
-			tenant = pick(rnd, parts)
+			tenant = drawWeighted(rng, shares)
 		}
-		list = append(list, s.visit(rnd, at, n, tenant))
+		list = append(list, s.planSession(rng, at, n, tenant))
 	}
 }
 
-// parts are how many times the usual traffic there is, from each tenant, and
+// trafficShares are how many times the usual traffic there is, from each tenant, and
 // their sum; where there are no tenants, of all.
-func (s *Script) parts(at time.Duration) (parts []float64, sum float64) {
-	all := 0.0
+func (s *Script) trafficShares(at time.Duration) (shares []float64, sum float64) {
+	total := 0.0
 	for _, t := range s.Tenants {
-		parts = append(parts, t.Part)
-		all += t.Part
+		shares = append(shares, t.Share)
+		total += t.Share
 	}
-	if len(parts) == 0 {
-		parts, all = []float64{1}, 1
+	if len(shares) == 0 {
+		shares, total = []float64{1}, 1
 	}
-	for i := range parts {
-		parts[i] /= all
+	for i := range shares {
+		shares[i] /= total
 		for _, f := range s.Faults {
-			if f.Kind == "burst" && at >= f.From && at < f.From+f.For && (f.Whom == "" || s.tenant(f.Whom) == i) {
-				parts[i] *= math.Max(f.Size, 1)
+			if f.Kind == "burst" && at >= f.From && at < f.From+f.For && (f.Tenant == "" || s.tenantIndex(f.Tenant) == i) {
+				shares[i] *= math.Max(f.Size, 1)
 			}
 		}
-		sum += parts[i]
+		sum += shares[i]
 	}
-	return parts, sum
+	return shares, sum
 }
 
-func (s *Script) visit(rnd *rand.Rand, at time.Duration, n, tenant int) visit {
-	v := visit{at: at, name: fmt.Sprintf("s%d", n), first: rnd.IntN(s.Routers), tenant: tenant}
-	class := s.draw(rnd, tenant)
+func (s *Script) planSession(rng *rand.Rand, at time.Duration, n, tenant int) plannedSession {
+	session := plannedSession{at: at, name: fmt.Sprintf("s%d", n), router: rng.IntN(s.Routers), tenant: tenant}
+	class := s.drawClass(rng, tenant)
 	c := &s.Classes[class]
 	prefix := ""
-	if c.Prefix > 0 {
-		prefix = fmt.Sprintf("b%d-%d", class, rnd.IntN(c.Prefix))
+	if c.Prefixes > 0 {
+		prefix = fmt.Sprintf("b%d-%d", class, rng.IntN(c.Prefixes))
 	}
-	for i := range 1 + rnd.IntN(s.Clients.TurnsMost) {
-		least, most := float64(c.Prompt[0]), float64(c.Prompt[1])
-		a := ask{name: fmt.Sprintf("%s.%d", v.name, i), class: class, prefix: prefix, seed: rnd.Uint64(),
-			prompt: int(least + rnd.Float64()*(most-least)),
-			think:  time.Duration(rnd.ExpFloat64() * float64(s.Clients.Think)),
-			texts:  between(rnd, c.Texts),
-			drop:   rnd.Float64() < s.Clients.Drop, dropAt: time.Duration(rnd.Float64() * float64(500*time.Millisecond))}
-		v.asks = append(v.asks, a)
+	for i := range 1 + rng.IntN(s.Clients.MaxTurns) {
+		minTokens, maxTokens := float64(c.Prompt[0]), float64(c.Prompt[1])
+		r := plannedRequest{name: fmt.Sprintf("%s.%d", session.name, i), class: class, prefix: prefix, seed: rng.Uint64(),
+			promptTokens: int(minTokens + rng.Float64()*(maxTokens-minTokens)),
+			think:        time.Duration(rng.ExpFloat64() * float64(s.Clients.ThinkTime)),
+			texts:        drawBetween(rng, c.Texts),
+			disconnect:   rng.Float64() < s.Clients.DisconnectShare, disconnectAfter: time.Duration(rng.Float64() * float64(500*time.Millisecond))}
+		session.requests = append(session.requests, r)
 	}
-	return v
+	return session
 }
 
-// between draws a number from a least to a most; 0 where they are not given.
-func between(rnd *rand.Rand, bounds []int) int {
+// drawBetween draws a number from a least to a most; 0 where they are not given.
+func drawBetween(rng *rand.Rand, bounds []int) int {
 	if len(bounds) != 2 {
 		return 0
 	}
-	return bounds[0] + rnd.IntN(bounds[1]-bounds[0]+1)
+	return bounds[0] + rng.IntN(bounds[1]-bounds[0]+1)
 }
 
-// draw draws a class, of those that a tenant asks for.
-func (s *Script) draw(rnd *rand.Rand, tenant int) int {
-	parts := make([]float64, len(s.Classes))
+// drawClass draws a class, of those that a tenant asks for.
+func (s *Script) drawClass(rng *rand.Rand, tenant int) int {
+	weights := make([]float64, len(s.Classes))
 	for i, c := range s.Classes {
-		if tenant < 0 || len(s.Tenants[tenant].Only) == 0 || slices.Contains(s.Tenants[tenant].Only, c.Name) {
-			parts[i] = c.Part
+		if tenant < 0 || len(s.Tenants[tenant].Classes) == 0 || slices.Contains(s.Tenants[tenant].Classes, c.Name) {
+			weights[i] = c.Share
 		}
 	}
-	return pick(rnd, parts)
+	return drawWeighted(rng, weights)
 }
 
-// pick draws a place by the parts.
-func pick(rnd *rand.Rand, parts []float64) int {
-	all, last := 0.0, 0
-	for i, p := range parts {
-		all += p
-		if p > 0 {
+// drawWeighted draws a place by the parts.
+func drawWeighted(rng *rand.Rand, weights []float64) int {
+	total, last := 0.0, 0
+	for i, weight := range weights {
+		total += weight
+		if weight > 0 {
 			last = i
 		}
 	}
-	x := rnd.Float64() * all
-	for i, p := range parts {
-		if x -= p; x < 0 {
+	x := rng.Float64() * total
+	for i, weight := range weights {
+		if x -= weight; x < 0 {
 			return i
 		}
 	}
 	return last
 }
 
-// chosen draws which of n a trouble strikes: at least one, by the day's seed and the trouble's place.
-func (s *Script) chosen(trouble, n int) []int {
-	f := &s.Faults[trouble]
-	part := f.Part
-	if part == 0 {
-		part = 1
+// chooseTargets draws which of n a trouble strikes: at least one, by the day's seed and the trouble's place.
+func (s *Script) chooseTargets(fault, n int) []int {
+	f := &s.Faults[fault]
+	share := f.Share
+	if share == 0 {
+		share = 1
 	}
-	count := min(max(int(math.Round(part*float64(n))), 1), n)
-	rnd := rand.New(rand.NewPCG(s.Seed, uint64(trouble)+1))
-	list := rnd.Perm(n)[:count]
+	count := min(max(int(math.Round(share*float64(n))), 1), n)
+	rng := rand.New(rand.NewPCG(s.Seed, uint64(fault)+1))
+	list := rng.Perm(n)[:count]
 	slices.Sort(list)
 	return list
 }
 
-// eager tells whether clients come again at once and more often at a time.
-func (s *Script) eager(at time.Duration) (retries int, on bool) {
+// eagerRetries tells whether clients come again at once and more often at a time.
+func (s *Script) eagerRetries(at time.Duration) (retries int, on bool) {
 	for _, f := range s.Faults {
 		if f.Kind == "eager-retries" && at >= f.From && at < f.From+f.For {
 			return max(int(f.Size), 2), true
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -16,83 +16,83 @@
 	"gannethook/internal/rules"
 )
 
-// Tally counts how requests ended.
-type Tally struct {
+// Counts counts how requests ended.
+type Counts struct {
 	Offered, InTime, Served, Refused, Failed, Lost, Tries int
-	First                                                 *hdrhistogram.Histogram // ms to the first token
+	FirstToken                                            *hdrhistogram.Histogram // ms to the first token
 	Worth                                                 float64                 // served in time
 }
 
 // Result is a day's.
 type Result struct {
-	Script  *Script
-	Policy  string
-	All     Tally
-	Class   []Tally
-	Tenant  []Tally
-	Why     map[string]int // requests that were not served, by the router's last reason
-	Verdict *rules.Verdict
-	Events  []record.Event
-	Ends    []outcome // of the requests
-	Applied int       // effects that happened, as the stand-ins count them
-	Twice   int       // requests whose effect happened more than once, as they count
-	Took    time.Duration
-	Ops     *rules.Operations // what operators did
-	Times   float64           // the script's rate, where it was played at several
-	Lower   error             // what went wrong as all was stopped
+	Script      *Script
+	Policy      string
+	All         Counts
+	Class       []Counts
+	Tenant      []Counts
+	Reasons     map[string]int // requests that were not served, by the router's last reason
+	Verdict     *rules.Verdict
+	Events      []record.Event
+	Outcomes    []outcome // of the requests
+	Applied     int       // effects that happened, as the stand-ins count them
+	Duplicated  int       // requests whose effect happened more than once, as they count
+	Elapsed     time.Duration
+	Ops         *rules.Operations // what operators did
+	Times       float64           // the script's rate, where it was played at several
+	ShutdownErr error             // what went wrong as all was stopped
 }
 
 // Run plays a day in a folder, which keeps settings, logs and records.
 func Run(ctx context.Context, s *Script, policy, dir string, command Command) (*Result, error) {
 	f := &fleet{s: s, log: record.New(), command: command, policy: policy, dir: dir}
-	err := f.raise(ctx)
+	err := f.setUp(ctx)
 	if err != nil {
-		f.lower()
+		f.tearDown()
 		return nil, err
 	}
 	f.start = time.Now()
-	c := &crowd{f: f}
-	f.seconds.Go(func() { f.troubles(ctx) })
-	c.run(ctx, s.plan())
-	f.seconds.Wait()
+	pool := &userPool{f: f}
+	f.faultsDone.Go(func() { f.runFaults(ctx) })
+	pool.run(ctx, s.plan())
+	f.faultsDone.Wait()
 	if err := ctx.Err(); err != nil { // an interrupted day proves nothing
-		f.lower()
+		f.tearDown()
 		return nil, err
 	}
 	time.Sleep(s.Settings.PinLimit) // what is held to the last shows itself
-	res := &Result{Script: s, Policy: policy, Took: time.Since(f.start), Lower: f.lower()}
+	res := &Result{Script: s, Policy: policy, Elapsed: time.Since(f.start), ShutdownErr: f.tearDown()}
 	res.Events = f.log.Events()
-	res.Ends = c.ends
-	res.tally(c.ends)
-	res.count(f)
+	res.Outcomes = pool.outcomes
+	res.countOutcomes(pool.outcomes)
+	res.countEffects(f)
 	res.Verdict = rules.Check(f.ruleConfig(), res.Events)
 	res.Ops = rules.Operators(res.Events, 2000)
-	return res, res.keep(dir)
+	return res, res.save(dir)
 }
 
 // ruleConfig is what the checker judges by.
 func (f *fleet) ruleConfig() rules.Config {
-	cfg := rules.Config{Classes: map[string]rules.Class{}, Engines: map[string]rules.Place{},
-		Slack: 250, Grace: f.s.Settings.Grace.Seconds() * 1000, Pin: f.s.Settings.PinLimit.Seconds() * 1000, PinSlop: 100, Dials: 800}
+	cfg := rules.Config{Classes: map[string]rules.Class{}, Engines: map[string]rules.Location{},
+		AnswerMargin: 250, DrainGrace: f.s.Settings.Grace.Seconds() * 1000, PinLimit: f.s.Settings.PinLimit.Seconds() * 1000, ReleaseMargin: 100, DialTimeouts: 800}
 	for _, c := range f.s.Classes {
 		cfg.Classes[c.Name] = rules.Class{Effect: c.Effect, Group: c.Group, Window: c.Window.Seconds() * 1000}
 	}
 	for _, e := range f.engines() {
-		_, zone, cell := f.place(e)
-		cfg.Engines[e.Addr()] = rules.Place{Zone: zone, Cell: cell}
+		_, zone, cell := f.location(e)
+		cfg.Engines[e.Addr()] = rules.Location{Zone: zone, Cell: cell}
 	}
 	return cfg
 }
 
-func newTally() Tally { return Tally{First: hdrhistogram.New(1, 120000, 3)} }
+func newCounts() Counts { return Counts{FirstToken: hdrhistogram.New(1, 120000, 3)} }
 
-func (t *Tally) add(o *outcome) {
+func (t *Counts) add(o *outcome) {
 	t.Offered++
 	t.Tries += o.tries
 	switch o.kind {
 	case "served":
 		t.Served++
-		t.First.RecordValue(max(o.first.Milliseconds(), 1))
+		t.FirstToken.RecordValue(max(o.firstToken.Milliseconds(), 1))
 		if o.inTime {
 			t.InTime++
 		}
@@ -105,20 +105,20 @@
 	}
 }
 
-func (r *Result) tally(ends []outcome) {
-	r.All = newTally()
+func (r *Result) countOutcomes(ends []outcome) {
+	r.All = newCounts()
 	for range r.Script.Classes {
-		r.Class = append(r.Class, newTally())
+		r.Class = append(r.Class, newCounts())
 	}
 	for range r.Script.Tenants {
-		r.Tenant = append(r.Tenant, newTally())
+		r.Tenant = append(r.Tenant, newCounts())
 	}
-	r.Why = map[string]int{}
+	r.Reasons = map[string]int{}
 	for i := range ends {
 		r.All.add(&ends[i])
 		r.Class[ends[i].class].add(&ends[i])
 		worth := r.Script.Classes[ends[i].class].Worth
-		for _, t := range r.tallies(&ends[i]) {
+		for _, t := range r.countsFor(&ends[i]) {
 			if ends[i].inTime && ends[i].kind == "served" {
 				t.Worth += worth
 			}
@@ -127,18 +127,18 @@
 			r.Tenant[t].add(&ends[i])
 		}
 		if ends[i].kind == "refused" || ends[i].kind == "failed" {
-			why := ends[i].kind + ": " + ends[i].why
+			reason := ends[i].kind + ": " + ends[i].reason
 			if t := ends[i].tenant; t >= 0 {
-				why += " (" + r.Script.Tenants[t].Name + ")"
+				reason += " (" + r.Script.Tenants[t].Name + ")"
 			}
-			r.Why[why]++
+			r.Reasons[reason]++
 		}
 	}
 }
 
-// tallies are those that a request counts in.
-func (r *Result) tallies(o *outcome) []*Tally {
-	list := []*Tally{&r.All, &r.Class[o.class]}
+// countsFor are those that a request counts in.
+func (r *Result) countsFor(o *outcome) []*Counts {
+	list := []*Counts{&r.All, &r.Class[o.class]}
 	if o.tenant >= 0 && o.tenant < len(r.Tenant) {
 		list = append(list, &r.Tenant[o.tenant])
 	}
@@ -159,8 +159,8 @@
 	return sum * sum / squares / float64(len(r.Tenant))
 }
 
-// count takes the stand-ins' own count of effects.
-func (r *Result) count(f *fleet) {
+// countEffects takes the stand-ins' own count of effects.
+func (r *Result) countEffects(f *fleet) {
 	sum := map[string]int{}
 	for _, e := range f.engines() {
 		for req, n := range e.Applied() {
@@ -183,13 +183,13 @@
 		}
 		r.Applied += n
 		if n > 1 {
-			r.Twice++
+			r.Duplicated++
 		}
 	}
 }
 
-// keep writes the records, and the timelines of what broke.
-func (r *Result) keep(dir string) error {
+// save writes the records, and the timelines of what broke.
+func (r *Result) save(dir string) error {
 	w, err := os.Create(filepath.Join(dir, "records.jsonl"))
 	if err != nil {
 		return err
@@ -213,7 +213,7 @@
 
 // OK tells whether no rule broke and the stand-ins agree.
 func (r *Result) OK() bool {
-	return len(r.Verdict.Breaks) == 0 && r.Twice == 0 && r.Lower == nil && len(r.Ops.Breaks) == 0
+	return len(r.Verdict.Breaks) == 0 && r.Duplicated == 0 && r.ShutdownErr == nil && len(r.Ops.Breaks) == 0
 }
 
 func share(n, of int) string {
@@ -233,10 +233,10 @@
 	}
 	fmt.Fprintf(w, "%-16s %8s %8s %8s %8s %8s %8s %7s %7s %7s\n", "class", "offered", "in time", "served", "refused",
 		"failed", "lost", "tries", "p50 ms", "p99 ms")
-	row := func(name string, t *Tally) {
+	row := func(name string, t *Counts) {
 		fmt.Fprintf(w, "%-16s %8d %8s %8s %8s %8s %8s %7.2f %7d %7d\n", name, t.Offered, share(t.InTime, t.Offered),
 			share(t.Served, t.Offered), share(t.Refused, t.Offered), share(t.Failed, t.Offered), share(t.Lost, t.Offered),
-			float64(t.Tries)/max(float64(t.Offered), 1), t.First.ValueAtQuantile(50), t.First.ValueAtQuantile(99))
+			float64(t.Tries)/max(float64(t.Offered), 1), t.FirstToken.ValueAtQuantile(50), t.FirstToken.ValueAtQuantile(99))
 	}
 	for i := range s.Classes {
 		row(s.Classes[i].Name, &r.Class[i])
@@ -248,13 +248,13 @@
 	if len(r.Tenant) > 0 {
 		fmt.Fprintf(w, "Jain's index over the tenants' served worth: %.3f\n", r.Jain())
 	}
-	for _, why := range slices.Sorted(maps.Keys(r.Why)) {
-		fmt.Fprintf(w, "  %6d %s\n", r.Why[why], why)
+	for _, reason := range slices.Sorted(maps.Keys(r.Reasons)) {
+		fmt.Fprintf(w, "  %6d %s\n", r.Reasons[reason], reason)
 	}
-	fmt.Fprintf(w, "attempts at engines %d, effects %d, effects twice %d\n", r.Verdict.Attempts, r.Applied, r.Twice)
+	fmt.Fprintf(w, "attempts at engines %d, effects %d, effects twice %d\n", r.Verdict.Attempts, r.Applied, r.Duplicated)
 	for rule := 1; rule <= 5; rule++ {
 		word := "kept"
-		if n := r.Verdict.Of(rule); n > 0 {
+		if n := r.Verdict.Count(rule); n > 0 {
 			word = fmt.Sprintf("BROKEN %d times", n)
 		}
 		fmt.Fprintf(w, "rule %d %s\n", rule, word)
@@ -269,17 +269,17 @@
 		fmt.Fprintf(w, "  %s\n", b)
 	}
 	r.WriteOperations(w)
-	fmt.Fprintf(w, "clients without a session %d, of these at routers dead, stopping or drained %d\n", r.Ops.ShutOut, r.Ops.Excused)
-	if r.Lower != nil {
-		fmt.Fprintf(w, "at the end: %v\n", r.Lower)
+	fmt.Fprintf(w, "clients without a session %d, of these at routers dead, stopping or drained %d\n", r.Ops.NoSession, r.Ops.Excused)
+	if r.ShutdownErr != nil {
+		fmt.Fprintf(w, "at the end: %v\n", r.ShutdownErr)
 	}
 }
 
 // Compare prints days of one script under several policies, a line each.
-func Compare(w io.Writer, days []*Result) {
+func Compare(w io.Writer, results []*Result) {
 	fmt.Fprintf(w, "%-12s %5s %8s %8s %8s %8s %8s %8s %7s %s\n", "policy", "seed", "offered", "in time", "served",
 		"refused", "failed", "lost", "tries", "rules")
-	for _, r := range days {
+	for _, r := range results {
 		t, kept := &r.All, "kept"
 		if !r.OK() {
 			var broken []int
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -11,7 +11,7 @@
 	"gannethook/internal/rules"
 )
 
-func bad(t *testing.T) *Script {
+func badScript(t *testing.T) *Script {
 	t.Helper()
 	s, err := Parse("bad.gann", Bad)
 	if err != nil {
@@ -22,14 +22,14 @@
 
 // The same seed gives the same requests at the same times; another one does not.
 func TestPlan(t *testing.T) {
-	s := bad(t)
+	s := badScript(t)
 	one, two := fmt.Sprint(s.plan()), fmt.Sprint(s.plan())
 	if one != two {
 		t.Error("a seed gives two plans")
 	}
 	n := 0
 	for _, v := range s.plan() {
-		n += len(v.asks)
+		n += len(v.requests)
 	}
 	if want := s.Rate * s.Length.Seconds(); float64(n) < 0.9*want || float64(n) > 1.1*want {
 		t.Errorf("%d requests, about %g asked for", n, want)
@@ -41,16 +41,16 @@
 }
 
 func TestChosen(t *testing.T) {
-	s := bad(t)
+	s := badScript(t)
 	for i, f := range s.Faults {
-		if got, want := len(s.chosen(i, 16)), max(int(f.Part*16+0.5), 1); got != want {
+		if got, want := len(s.chooseTargets(i, 16)), max(int(f.Share*16+0.5), 1); got != want {
 			t.Errorf("%v: strikes %d of 16, want %d", &f, got, want)
 		}
 	}
 }
 
 func TestStretch(t *testing.T) {
-	s := bad(t)
+	s := badScript(t)
 	s.Stretch(0.5)
 	if s.Length != 30*time.Second || s.Faults[0].From != 6*time.Second || s.Rate != 95 || s.check() != nil {
 		t.Errorf("%+v", s)
@@ -59,19 +59,19 @@
 
 // What comes after a final answer, also as the session ends, reaches the checker as a break of rule 1.
 func TestLateEventsCount(t *testing.T) {
-	s := bad(t)
+	s := badScript(t)
 	f := &fleet{s: s, log: record.New()}
-	g := &guest{c: &crowd{f: f}, name: "c", router: &router{name: "r0"}}
-	a := &ask{name: "x"}
-	g.asked, g.sent, g.current = a, 1, "resp"
-	g.note(a, 1, record.Offer, "", 1000)
-	g.note(a, 1, record.Final, "served", 0)
-	g.late(&realtime.Server{Type: realtime.ItemDone}) // of no response
+	u := &virtualUser{pool: &userPool{f: f}, name: "c", router: &router{name: "r0"}}
+	a := &plannedRequest{name: "x"}
+	u.lastRequest, u.lastTry, u.responseID = a, 1, "resp"
+	u.logEvent(a, 1, record.Offer, "", 1000)
+	u.logEvent(a, 1, record.Final, "served", 0)
+	u.recordLate(&realtime.Server{Type: realtime.ItemDone}) // of no response
 	if v := rules.Check(f.ruleConfig(), f.log.Events()); len(v.Breaks) != 0 {
 		t.Errorf("%v", v.Breaks)
 	}
-	g.late(&realtime.Server{Type: realtime.TextDelta, ResponseID: "resp"})
-	if v := rules.Check(f.ruleConfig(), f.log.Events()); v.Of(1) != 1 {
+	u.recordLate(&realtime.Server{Type: realtime.TextDelta, ResponseID: "resp"})
+	if v := rules.Check(f.ruleConfig(), f.log.Events()); v.Count(1) != 1 {
 		t.Errorf("%v", v.Breaks)
 	}
 }
@@ -101,7 +101,7 @@
 	events := []record.Event{ev(1, record.Offer, "a", ""), ev(2, record.Offer, "b", ""), ev(10, record.ToolBegin, "", "drain"),
 		ev(30, record.Final, "a", "served"), ev(40, record.ToolEnd, "", "drain"), ev(90, record.Final, "b", "served")}
 	list := operations(events)
-	if len(list) != 1 || list[0].Open != 2 || list[0].Took != 30 || list[0].Longest != 80 {
+	if len(list) != 1 || list[0].OpenTries != 2 || list[0].Took != 30 || list[0].Longest != 80 {
 		t.Errorf("%+v", list)
 	}
 	killed := append(events[:3:3], ev(20, record.Killed, "", ""), ev(40, record.ToolEnd, "", "drain"))
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -14,59 +14,59 @@
 	"gannethook/internal/record"
 )
 
-// Config sizes an engine.
+// Config sizes a stand-in engine.
 type Config struct {
-	Addr      string // host:port; port 0 takes a free one at the first start
-	Writes    bool   // a writer; else a reader
-	Mixed     bool   // reads and writes
-	Slots     int
-	Queue     int
-	Memory    float64       // tokens
-	ReadRate  float64       // prompt tokens a second in one slot
-	FetchRate float64       // tokens a second of a state on its way
-	TokenGap  time.Duration // between two tokens of an answer
-	Early     float64       // part of a state that flows during the read where a place is held
-	ColdFrom  float64       // part of its speed that it starts with
-	WarmAfter time.Duration
-	Overload  float64       // sent more than this multiple while cold, for Fall, it falls over
-	Fall      time.Duration // 0: it never falls
-	Keep      time.Duration // a state that nobody takes is dropped by then
-	Extended  bool          // it speaks the extension: places and releases
-	Deaf      bool          // it goes on with what was given up
-	Seed      uint64
+	Addr         string // host:port; port 0 takes a free port at the first start
+	Writes       bool   // serves writes; otherwise reads
+	Mixed        bool   // serves both reads and writes
+	Slots        int
+	Queue        int
+	Memory       float64       // tokens
+	ReadRate     float64       // prompt tokens per second in one slot
+	FetchRate    float64       // tokens per second when a state is transferred
+	TokenGap     time.Duration // between two tokens of an answer
+	Early        float64       // share of a state that is transferred during the read if a place is held
+	ColdFrom     float64       // share of full speed right after a cold start
+	WarmAfter    time.Duration // length of the slow start
+	Overload     float64       // during slow start the engine crashes at this multiple of its speed, sustained for Fall
+	Fall         time.Duration // 0: it never crashes
+	Keep         time.Duration // lifetime of a state or place that no write takes
+	Extended     bool          // offers the engine-protocol extension: places and releases
+	IgnoreCancel bool          // continues with requests that the router cancelled
+	Seed         uint64
 }
 
-// Faults are what an engine may be made to suffer; the zero value is none.
+// Faults are injected faults; the zero value injects none.
 type Faults struct {
-	Slow       float64 // times slower; 0 and 1 mean none
-	Errors     float64 // part of the requests that fail at once, with nothing run
-	Hang       bool    // requests are taken and never answered
-	Draining   bool    // new requests are turned away with 503
-	Throttle   string  // class turned away
-	BreakAfter int     // a stream breaks after so many tokens
-	StallAfter int     // or stops for good, its connection open
-	LateReport bool    // load reports stay as they were
+	Slow         float64 // factor by which work takes longer; 0 and 1 mean none
+	Errors       float64 // share of the requests that fail at once, with nothing run
+	Hang         bool    // requests are accepted and never answered
+	Draining     bool    // new requests are rejected with 503
+	Throttle     string  // class that is rejected
+	BreakAfter   int     // streams break after this number of tokens
+	StallAfter   int     // streams stall after this number of tokens, with the connection open
+	StaleReports bool    // load reports keep their last value
 }
 
-// Dedupe remembers the keys that a group of engines has applied.
+// Dedupe remembers the idempotency keys that a group of engines has applied.
 type Dedupe struct {
 	mu   sync.Mutex
 	seen map[string]bool
 }
 
-// first tells whether a key is new, and remembers it.
-func (d *Dedupe) first(key string) bool {
+// markNew reports whether a key is new, and remembers it.
+func (d *Dedupe) markNew(key string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.seen == nil {
 		d.seen = map[string]bool{}
 	}
-	was := d.seen[key]
+	known := d.seen[key]
 	d.seen[key] = true
-	return !was
+	return !known
 }
 
-// Engine is one engine over its lives. Its methods are safe for concurrent use.
+// Engine is a stand-in engine that can be started and killed repeatedly. Its methods are safe for concurrent use.
 type Engine struct {
 	cfg   Config
 	log   *record.Log
@@ -75,45 +75,44 @@
 
 	mu      sync.Mutex
 	addr    string
-	life    *life
+	current *lifetime
 	applied map[string]int
 }
 
-// life is an engine from a start to its end.
-type life struct {
-	e       *Engine
-	ln      *gate
-	srv     *http.Server
-	began   time.Time
-	cold    bool // started cold
-	dead    chan struct{}
-	client  *http.Client // fetches states from readers
-	slots   chan struct{}
-	rnd     *rand.Rand
-	wg      sync.WaitGroup
-	dieOnce sync.Once
-
-	mu     sync.Mutex
-	faults Faults
-	queued int
-	used   float64 // memory in tokens
-	room   chan struct{}
-	states map[string]*state
-	places map[string]*place
-	pushed []push
-	kept   map[string]bool // shared beginnings whose text is kept
-	report float64
-	over   map[string]bool // reads whose state is gone
-	news   chan struct{}   // closed when a read begins
+// lifetime is one run of an engine, from Start until it is killed or crashes.
+type lifetime struct {
+	e         *Engine
+	ln        *faultListener
+	srv       *http.Server
+	startedAt time.Time
+	cold      bool // started with a slow start
+	stopped   chan struct{}
+	client    *http.Client // fetches states from readers
+	slots     chan struct{}
+	rng       *rand.Rand
+	wg        sync.WaitGroup
+	stopOnce  sync.Once
+
+	mu             sync.Mutex
+	faults         Faults
+	queued         int
+	memoryUsed     float64       // in tokens
+	memoryFreed    chan struct{} // closed when memory is released
+	states         map[string]*state
+	places         map[string]*place
+	recentWork     []workSample
+	cachedPrefixes map[string]bool // shared prefixes that have been read before
+	lastReport     float64
+	droppedReads   map[string]bool // reads whose state was dropped
+	readStarted    chan struct{}   // closed when a read begins
 }
 
-type push struct {
-	at   time.Time
-	work float64
+type workSample struct {
+	at     time.Time
+	amount float64
 }
 
-// NewEngine returns an engine that is not running. keyed names the classes
-// whose repeats the group drops.
+// NewEngine returns an engine that is not running. keyed names the classes whose repeats the group drops.
 func NewEngine(cfg Config, log *record.Log, group *Dedupe, keyed ...string) *Engine {
 	e := &Engine{cfg: cfg, log: log, group: group, keyed: map[string]bool{}, addr: cfg.Addr, applied: map[string]int{}}
 	for _, k := range keyed {
@@ -122,99 +121,99 @@
 	return e
 }
 
-// Addr is where the engine listens, once it has started.
+// Addr returns the address that the engine listens on, once it has started.
 func (e *Engine) Addr() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.addr
 }
 
-// Applied is how often each request had its effect here, over all lives.
+// Applied returns how often each request took effect here, over all lifetimes.
 func (e *Engine) Applied() map[string]int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	out := map[string]int{}
+	counts := map[string]int{}
 	for k, n := range e.applied {
-		out[k] = n
+		counts[k] = n
 	}
-	return out
+	return counts
 }
 
-// Start begins a life; cold makes it warm up.
+// Start begins a lifetime; cold gives it a slow start.
 func (e *Engine) Start(cold bool) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.life != nil {
-		return errors.New("standin: the engine runs")
+	if e.current != nil {
+		return errors.New("standin: the engine is already running")
 	}
 	ln, err := listen(e.addr)
 	if err != nil {
 		return err
 	}
-	if addr := ln.Addr().String(); addr != e.addr { // handlers of an earlier life may still read it
+	if addr := ln.Addr().String(); addr != e.addr { // handlers of an earlier lifetime may still read it
 		e.addr = addr
 	}
-	l := &life{e: e, ln: ln, began: time.Now(), cold: cold, dead: make(chan struct{}),
-		slots: make(chan struct{}, e.cfg.Slots), room: make(chan struct{}), states: map[string]*state{},
-		places: map[string]*place{}, kept: map[string]bool{}, over: map[string]bool{}, news: make(chan struct{}),
-		rnd: rand.New(rand.NewPCG(e.cfg.Seed, uint64(len(e.addr))))}
-	ln.swallowed = l.swallowed
+	l := &lifetime{e: e, ln: ln, startedAt: time.Now(), cold: cold, stopped: make(chan struct{}),
+		slots: make(chan struct{}, e.cfg.Slots), memoryFreed: make(chan struct{}), states: map[string]*state{},
+		places: map[string]*place{}, cachedPrefixes: map[string]bool{}, droppedReads: map[string]bool{}, readStarted: make(chan struct{}),
+		rng: rand.New(rand.NewPCG(e.cfg.Seed, uint64(len(e.addr))))}
+	ln.onFrozenRead = l.recordSwallowed
 	l.client = &http.Client{Transport: &http.Transport{DialContext: (&net.Dialer{Timeout: 250 * time.Millisecond}).DialContext,
 		MaxIdleConnsPerHost: 8, IdleConnTimeout: 5 * time.Second, DisableCompression: true}}
 	l.srv = &http.Server{Handler: l.routes(), BaseContext: func(net.Listener) context.Context { return context.Background() }}
-	e.life = l
+	e.current = l
 	l.wg.Go(func() { l.srv.Serve(ln) })
 	e.log.Add(record.Event{Who: e.addr, Kind: record.Started})
 	return nil
 }
 
-// Kill ends the life at once: connections are reset, what is held is lost.
+// Kill ends the lifetime at once: connections are reset, held states and places are lost.
 func (e *Engine) Kill() {
 	e.mu.Lock()
-	l := e.life
-	e.life = nil
+	l := e.current
+	e.current = nil
 	e.mu.Unlock()
 	if l != nil {
-		l.die(record.Dead)
+		l.stop(record.Dead)
 		l.wg.Wait()
 	}
 }
 
-// die ends a life from within or without.
-func (l *life) die(why string) {
-	l.dieOnce.Do(func() {
-		l.e.log.Add(record.Event{Who: l.e.addr, Kind: why})
-		close(l.dead)
+// stop ends the lifetime; Kill and a crash call it.
+func (l *lifetime) stop(kind string) {
+	l.stopOnce.Do(func() {
+		l.e.log.Add(record.Event{Who: l.e.addr, Kind: kind})
+		close(l.stopped)
 		l.mu.Lock()
 		for _, p := range l.places {
 			p.cancel()
 		}
 		l.mu.Unlock()
-		l.ln.die()
+		l.ln.abort()
 		l.srv.Close()
 		l.client.CloseIdleConnections()
 	})
 }
 
-// Alive tells whether the engine runs and has not fallen.
+// Alive reports whether the engine runs and has not crashed.
 func (e *Engine) Alive() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.life == nil {
+	if e.current == nil {
 		return false
 	}
 	select {
-	case <-e.life.dead:
+	case <-e.current.stopped:
 		return false
 	default:
 		return true
 	}
 }
 
-// Set changes the faults of the present life.
+// Set changes the faults of the current lifetime.
 func (e *Engine) Set(change func(*Faults)) {
 	e.mu.Lock()
-	l := e.life
+	l := e.current
 	e.mu.Unlock()
 	if l != nil {
 		l.mu.Lock()
@@ -223,10 +222,10 @@
 	}
 }
 
-// Freeze makes the engine vanish without a reset, or come back.
+// Freeze stops all traffic without a reset, or resumes it.
 func (e *Engine) Freeze(on bool) {
 	e.mu.Lock()
-	l := e.life
+	l := e.current
 	e.mu.Unlock()
 	if l == nil {
 		return
@@ -239,10 +238,10 @@
 	l.ln.freeze(on)
 }
 
-// Jam makes new connections time out, or end that.
+// Jam makes new connections time out, or ends that.
 func (e *Engine) Jam(on bool) {
 	e.mu.Lock()
-	l := e.life
+	l := e.current
 	e.mu.Unlock()
 	if l == nil {
 		return
@@ -255,83 +254,82 @@
 	l.ln.jam(on)
 }
 
-func (l *life) fault() Faults {
+func (l *lifetime) currentFaults() Faults {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.faults
 }
 
-// warmth is the part of its speed that the engine has.
-func (l *life) warmth() float64 {
-	age := time.Since(l.began)
+// rampFactor returns the share of full speed that slow start allows at present.
+func (l *lifetime) rampFactor() float64 {
+	age := time.Since(l.startedAt)
 	if !l.cold || age >= l.e.cfg.WarmAfter {
 		return 1
 	}
 	return l.e.cfg.ColdFrom + (1-l.e.cfg.ColdFrom)*float64(age)/float64(l.e.cfg.WarmAfter)
 }
 
-// work sleeps for as long as a piece of work takes now; it tells whether it was done.
-func (l *life) work(ctx context.Context, d time.Duration) bool {
-	f := l.fault()
-	slow := max(f.Slow, 1) / l.warmth()
-	t := time.NewTimer(time.Duration(float64(d) * slow))
+// doWork sleeps for the time that work of duration d takes at the present speed; it reports whether the work completed.
+func (l *lifetime) doWork(ctx context.Context, d time.Duration) bool {
+	faults := l.currentFaults()
+	factor := max(faults.Slow, 1) / l.rampFactor()
+	t := time.NewTimer(time.Duration(float64(d) * factor))
 	defer t.Stop()
 	select {
 	case <-t.C:
 		return true
 	case <-ctx.Done():
 		return false
-	case <-l.dead:
+	case <-l.stopped:
 		return false
 	}
 }
 
-// push counts work that came in, done or not; a cold engine that gets too much of it falls over.
-func (l *life) push(work float64) {
+// recordWork counts work that arrived, completed or not. An engine in slow start crashes if it gets too much of it.
+func (l *lifetime) recordWork(amount float64) {
 	cfg := &l.e.cfg
-	if cfg.Fall == 0 || l.warmth() >= 1 {
+	if cfg.Fall == 0 || l.rampFactor() >= 1 {
 		return
 	}
 	l.mu.Lock()
-	now, sum, most := time.Now(), 0.0, 0.0
-	l.pushed = append(l.pushed, push{now, work})
-	for len(l.pushed) > 0 && now.Sub(l.pushed[0].at) > cfg.Fall {
-		l.pushed = l.pushed[1:]
+	now, sum, largest := time.Now(), 0.0, 0.0
+	l.recentWork = append(l.recentWork, workSample{now, amount})
+	for len(l.recentWork) > 0 && now.Sub(l.recentWork[0].at) > cfg.Fall {
+		l.recentWork = l.recentWork[1:]
 	}
-	for _, p := range l.pushed {
-		sum, most = sum+p.work, max(most, p.work)
+	for _, p := range l.recentWork {
+		sum, largest = sum+p.amount, max(largest, p.amount)
 	}
-	can := l.capacity() * l.warmth() * cfg.Fall.Seconds()
+	possible := l.warmRate() * l.rampFactor() * cfg.Fall.Seconds()
 	l.mu.Unlock()
-	if sum > cfg.Overload*can+2*most { // two of the largest are chance
-		go l.die(record.Fell)
+	if sum > cfg.Overload*possible+2*largest { // tolerates two of the largest requests that arrive together by chance
+		go l.stop(record.Fell)
 	}
 }
 
-// capacity is the work a second that a warm engine does: prompt tokens of a
-// reader, answer tokens of a writer.
-func (l *life) capacity() float64 {
+// warmRate returns the work per second at full speed: prompt tokens of a reader, answer tokens of a writer.
+func (l *lifetime) warmRate() float64 {
 	if l.e.cfg.Writes && !l.e.cfg.Mixed {
 		return float64(l.e.cfg.Slots) / l.e.cfg.TokenGap.Seconds()
 	}
 	return float64(l.e.cfg.Slots) * l.e.cfg.ReadRate
 }
 
-// errTurned tells that there is no room in the queue.
-var errTurned = errors.New("full")
+// errQueueFull means that the request queue has no free entry.
+var errQueueFull = errors.New("full")
 
-// slot waits for a slot; leave gives it back.
-func (l *life) slot(ctx context.Context) (leave func(), err error) {
-	leave = func() { <-l.slots }
+// acquireSlot waits for a slot; release frees it.
+func (l *lifetime) acquireSlot(ctx context.Context) (release func(), err error) {
+	release = func() { <-l.slots }
 	select {
 	case l.slots <- struct{}{}:
-		return leave, nil
+		return release, nil
 	default:
 	}
 	l.mu.Lock()
 	if l.queued >= l.e.cfg.Queue {
 		l.mu.Unlock()
-		return nil, errTurned
+		return nil, errQueueFull
 	}
 	l.queued++
 	l.mu.Unlock()
@@ -342,65 +340,65 @@
 	}()
 	select {
 	case l.slots <- struct{}{}:
-		return leave, nil
+		return release, nil
 	case <-ctx.Done():
 		return nil, ctx.Err()
-	case <-l.dead:
+	case <-l.stopped:
 		return nil, errors.New("dead")
 	}
 }
 
-// take waits for memory; tryTake does not wait.
-func (l *life) take(ctx context.Context, tokens float64) error {
+// acquireMemory waits for memory; tryAcquireMemory does not wait.
+func (l *lifetime) acquireMemory(ctx context.Context, tokens float64) error {
 	for {
 		l.mu.Lock()
-		if l.used+tokens <= l.e.cfg.Memory || l.used == 0 {
-			l.used += tokens
+		if l.memoryUsed+tokens <= l.e.cfg.Memory || l.memoryUsed == 0 {
+			l.memoryUsed += tokens
 			l.mu.Unlock()
 			return nil
 		}
-		room := l.room
+		freed := l.memoryFreed
 		l.mu.Unlock()
 		select {
-		case <-room:
+		case <-freed:
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-l.dead:
+		case <-l.stopped:
 			return errors.New("dead")
 		}
 	}
 }
 
-func (l *life) tryTake(tokens float64) bool {
+func (l *lifetime) tryAcquireMemory(tokens float64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.used+tokens > l.e.cfg.Memory {
+	if l.memoryUsed+tokens > l.e.cfg.Memory {
 		return false
 	}
-	l.used += tokens
+	l.memoryUsed += tokens
 	return true
 }
 
-func (l *life) give(tokens float64) {
+func (l *lifetime) releaseMemory(tokens float64) {
 	l.mu.Lock()
-	l.used -= tokens
-	close(l.room)
-	l.room = make(chan struct{})
+	l.memoryUsed -= tokens
+	close(l.memoryFreed)
+	l.memoryFreed = make(chan struct{})
 	l.mu.Unlock()
 }
 
-// loadReport is the ORCA header's value, in the TEXT format.
-func (l *life) loadReport() string {
+// loadReport returns the value of the ORCA header, in the TEXT format.
+func (l *lifetime) loadReport() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.faults.LateReport {
-		l.report = min(l.used/l.e.cfg.Memory, 1)
+	if !l.faults.StaleReports {
+		l.lastReport = min(l.memoryUsed/l.e.cfg.Memory, 1)
 	}
-	return fmt.Sprintf("TEXT named_metrics.kv_cache_usage_perc=%.4f", l.report)
+	return fmt.Sprintf("TEXT named_metrics.kv_cache_usage_perc=%.4f", l.lastReport)
 }
 
-// part is a number from 0 to 1 that goes by a name and the engines' seed alone.
-func part(name string, seed uint64) float64 {
+// unitHash returns a number in [0, 1) that depends on name and seed alone.
+func unitHash(name string, seed uint64) float64 {
 	h := fnv.New64a()
 	h.Write([]byte(name))
 	return rand.New(rand.NewPCG(h.Sum64(), seed)).Float64()
--- a/internal/standin/port.go
+++ b/internal/standin/port.go
@@ -6,9 +6,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// HoldPort takes a free loopback port from the kernel and keeps it until
-// release: a process started later can listen on it, as often as it dies, and
-// no other socket is given it meanwhile. The socket that holds it is bound and
+// HoldPort takes a free loopback port from the kernel and keeps it until release: a process started later can listen
+// on it, also after restarts, and no other socket gets it meanwhile. The socket that holds the port is bound and
 // does not listen; with SO_REUSEADDR on both, Linux lets the other one listen.
 func HoldPort() (addr string, release func(), err error) {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
--- a/internal/standin/roster.go
+++ b/internal/standin/roster.go
@@ -15,33 +15,33 @@
 	"gannethook/internal/record"
 )
 
-// Listed is one engine as the roster lists it.
+// Listed is one server as the EndpointSlice API lists it.
 type Listed struct {
 	Addr    string
 	Kind    string
 	Zone    string
 	Cell    int
-	Started time.Time // zero: long ago
-	State   string    // ready, draining or gone
-	Service string    // "": the roster's
+	Started time.Time // zero: no start time is published
+	State   string    // ready, draining or gone (which deletes its slice)
+	Service string    // "": the roster's own
 }
 
-// Roster serves the list and watch of EndpointSlices, one slice for each engine. Each watch hears a change after a delay of its own.
+// Roster serves list and watch of EndpointSlices, one slice for each server. Each watch gets a change after its own delay.
 type Roster struct {
 	Service string
-	Delay   func(router string, n int) time.Duration // of change n; nil: none
+	Delay   func(router string, n int) time.Duration // of change n at a router's watch; nil: none
 	log     *record.Log
 
-	mu       sync.Mutex
-	version  int
-	oldest   int // changes up to it are forgotten
-	engines  map[string]Listed
-	left     map[string]Listed // listed once, and no longer
-	changes  []change
-	wake     chan struct{}
-	watches  map[chan struct{}]bool // closed to cut one
-	listener net.Listener
-	srv      *http.Server
+	mu        sync.Mutex
+	version   int
+	compacted int // history up to this version is dropped
+	engines   map[string]Listed
+	removed   map[string]Listed // servers that were listed once
+	changes   []change
+	changed   chan struct{}          // closed at the next change
+	watches   map[chan struct{}]bool // watches in progress; closing the channel ends one
+	listener  net.Listener
+	srv       *http.Server
 }
 
 type change struct {
@@ -52,13 +52,13 @@
 	entry   Listed
 }
 
-// NewRoster returns a roster that does not serve yet.
+// NewRoster returns a roster that is not serving yet.
 func NewRoster(service string, log *record.Log) *Roster {
-	return &Roster{Service: service, log: log, version: 1, engines: map[string]Listed{}, left: map[string]Listed{}, wake: make(chan struct{}),
+	return &Roster{Service: service, log: log, version: 1, engines: map[string]Listed{}, removed: map[string]Listed{}, changed: make(chan struct{}),
 		watches: map[chan struct{}]bool{}}
 }
 
-// Start serves on an address and returns it; port 0 takes a free one.
+// Start serves on an address and returns it; port 0 takes a free port.
 func (r *Roster) Start(addr string) (string, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -74,7 +74,7 @@
 	return ln.Addr().String(), nil
 }
 
-// Stop ends serving; the list stays.
+// Stop ends serving; the list is kept.
 func (r *Roster) Stop() {
 	r.mu.Lock()
 	srv := r.srv
@@ -86,14 +86,14 @@
 	}
 }
 
-// CutWatches breaks every watch.
+// CutWatches ends every watch.
 func (r *Roster) CutWatches() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.cut()
+	r.cutLocked()
 }
 
-func (r *Roster) cut() {
+func (r *Roster) cutLocked() {
 	for w := range r.watches {
 		close(w)
 	}
@@ -105,33 +105,33 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.version++
-	r.changes, r.oldest = nil, r.version
-	r.cut()
+	r.changes, r.compacted = nil, r.version
+	r.cutLocked()
 }
 
-// Set lists an engine, or changes how it is listed.
+// Set lists a server, or changes its entry.
 func (r *Roster) Set(e Listed) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	kind := "MODIFIED"
-	if _, was := r.engines[e.Addr]; !was {
+	if _, known := r.engines[e.Addr]; !known {
 		kind = "ADDED"
 	}
 	r.engines[e.Addr] = e
-	delete(r.left, e.Addr)
+	delete(r.removed, e.Addr)
 	r.version++
 	b, _ := json.Marshal(r.slice(e))
 	if e.State == "gone" {
 		kind = "DELETED"
 		delete(r.engines, e.Addr)
-		r.left[e.Addr] = e
+		r.removed[e.Addr] = e
 	}
 	r.changes = append(r.changes, change{r.version, time.Now(), kind, b, e})
-	close(r.wake)
-	r.wake = make(chan struct{})
+	close(r.changed)
+	r.changed = make(chan struct{})
 }
 
-// Get is how an engine is listed.
+// Get returns the entry of a server.
 func (r *Roster) Get(addr string) (Listed, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -139,24 +139,24 @@
 	return e, ok
 }
 
-func (r *Roster) service(e Listed) string {
+func (r *Roster) serviceOf(e Listed) string {
 	if e.Service != "" {
 		return e.Service
 	}
 	return r.Service
 }
 
-// asked is the service that a request's selector names; "" for all.
-func asked(req *http.Request) string {
+// selectedService returns the service that a request's selector names; "" for all.
+func selectedService(req *http.Request) string {
 	_, service, _ := strings.Cut(req.URL.Query().Get("labelSelector"), "=")
 	return service
 }
 
-// slice is an engine's EndpointSlice. Ports belong to a slice, not to its
-// endpoints, so engines that share a host get a slice each.
+// slice returns a server's EndpointSlice. Ports belong to a slice, not to its endpoints, so servers that share a host
+// get a slice each.
 func (r *Roster) slice(e Listed) map[string]any {
 	started := map[string]string{}
-	host, port := split(e.Addr)
+	host, port := splitAddr(e.Addr)
 	ready := e.State == "ready"
 	if !e.Started.IsZero() {
 		started[e.Addr] = e.Started.Format(time.RFC3339Nano)
@@ -169,7 +169,7 @@
 		"kind": "EndpointSlice", "apiVersion": "discovery.k8s.io/v1", "addressType": "IPv4",
 		"metadata": map[string]any{"name": "engine-" + strings.NewReplacer(".", "-", ":", "-").Replace(e.Addr),
 			"namespace": "default", "resourceVersion": strconv.Itoa(r.version),
-			"labels": map[string]string{"kubernetes.io/service-name": r.service(e), "gannethook.dev/kind": e.Kind,
+			"labels": map[string]string{"kubernetes.io/service-name": r.serviceOf(e), "gannethook.dev/kind": e.Kind,
 				"gannethook.dev/cell": strconv.Itoa(e.Cell)},
 			"annotations": map[string]string{"gannethook.dev/started": string(text)}},
 		"endpoints": []any{endpoint}, "ports": []any{map[string]any{"name": "http", "port": port}},
@@ -180,7 +180,7 @@
 	router := strings.TrimPrefix(req.UserAgent(), "gannethook/")
 	w.Header().Set("Content-Type", "application/json")
 	if req.URL.Query().Get("watch") == "" {
-		r.list(w, router, asked(req))
+		r.list(w, router, selectedService(req))
 		return
 	}
 	from, err := strconv.Atoi(req.URL.Query().Get("resourceVersion"))
@@ -191,7 +191,7 @@
 	r.watch(w, req, router, from)
 }
 
-func (r *Roster) told(router string, e Listed) {
+func (r *Roster) recordNotified(router string, e Listed) {
 	r.log.Add(record.Event{Who: "roster", Kind: record.Told, Router: router, Key: e.Addr, Note: e.State})
 }
 
@@ -201,31 +201,31 @@
 	var listed []Listed
 	for _, addr := range slices.Sorted(maps.Keys(r.engines)) {
 		e := r.engines[addr]
-		if service != "" && r.service(e) != service {
+		if service != "" && r.serviceOf(e) != service {
 			continue
 		}
 		items = append(items, r.slice(e))
 		listed = append(listed, e)
 	}
-	for _, e := range r.left { // a full list tells by leaving out
-		if service == "" || r.service(e) == service {
+	for _, e := range r.removed { // a full list reports a removal by omission
+		if service == "" || r.serviceOf(e) == service {
 			listed = append(listed, e)
 		}
 	}
 	version := r.version
 	r.mu.Unlock()
 	for _, e := range listed {
-		r.told(router, e)
+		r.recordNotified(router, e)
 	}
 	json.NewEncoder(w).Encode(map[string]any{"kind": "EndpointSliceList", "apiVersion": "discovery.k8s.io/v1",
 		"metadata": map[string]string{"resourceVersion": strconv.Itoa(version)}, "items": items})
 }
 
-// watch streams changes from a version on, each after its delay, and bookmarks.
+// watch streams the changes after a version, each after its delay, and bookmarks.
 func (r *Roster) watch(w http.ResponseWriter, req *http.Request, router string, from int) {
 	cut := make(chan struct{})
 	r.mu.Lock()
-	if from < r.oldest {
+	if from < r.compacted {
 		r.mu.Unlock()
 		w.WriteHeader(410)
 		json.NewEncoder(w).Encode(map[string]any{"kind": "Status", "code": 410, "reason": "Expired"})
@@ -233,18 +233,18 @@
 	}
 	r.watches[cut] = true
 	r.mu.Unlock()
-	flush := http.NewResponseController(w)
-	flush.Flush()
-	mark := time.NewTicker(500 * time.Millisecond)
-	defer mark.Stop()
+	rc := http.NewResponseController(w)
+	rc.Flush()
+	bookmark := time.NewTicker(500 * time.Millisecond)
+	defer bookmark.Stop()
 	for {
-		c, wake := r.next(from, asked(req), cut)
+		c, changed := r.nextChange(from, selectedService(req), cut)
 		if c == nil {
 			select {
-			case <-wake:
-			case <-mark.C:
+			case <-changed:
+			case <-bookmark.C:
 				fmt.Fprintf(w, `{"type":"BOOKMARK","object":{"kind":"EndpointSlice","metadata":{"resourceVersion":"%d"}}}`+"\n", from)
-				flush.Flush()
+				rc.Flush()
 			case <-cut:
 				return
 			case <-req.Context().Done():
@@ -253,38 +253,38 @@
 			continue
 		}
 		if r.Delay != nil {
-			late := time.NewTimer(time.Until(c.at.Add(r.Delay(router, c.version))))
+			delayed := time.NewTimer(time.Until(c.at.Add(r.Delay(router, c.version))))
 			select {
-			case <-late.C:
+			case <-delayed.C:
 			case <-cut:
 				return
 			case <-req.Context().Done():
 				return
 			}
 		}
-		// Told is stamped before the write: a router can't have learned it earlier, and the grace is no shorter.
-		r.told(router, c.entry)
+		// Recorded before the write: a router can't have learned it earlier, so the drain grace is not understated.
+		r.recordNotified(router, c.entry)
 		fmt.Fprintf(w, `{"type":%q,"object":%s}`+"\n", c.kind, c.slice)
-		if flush.Flush() != nil {
+		if rc.Flush() != nil {
 			return
 		}
 		from = c.version
 	}
 }
 
-// next is the first change after a version, or what to wait for. A watch that
-// was cut hears no later change: it would pass over what was forgotten.
-func (r *Roster) next(from int, service string, cut chan struct{}) (*change, chan struct{}) {
+// nextChange returns the first change after a version, or a channel to wait on. A watch that was cut gets no later
+// change: it would skip the history that Forget dropped.
+func (r *Roster) nextChange(from int, service string, cut chan struct{}) (*change, chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.watches[cut] {
 		return nil, cut
 	}
 	for i := range r.changes {
-		if r.changes[i].version > from && (service == "" || r.service(r.changes[i].entry) == service) {
+		if r.changes[i].version > from && (service == "" || r.serviceOf(r.changes[i].entry) == service) {
 			c := r.changes[i]
-			return &c, r.wake
+			return &c, r.changed
 		}
 	}
-	return nil, r.wake
+	return nil, r.changed
 }
--- a/internal/standin/serve.go
+++ b/internal/standin/serve.go
@@ -14,7 +14,7 @@
 	"gannethook/internal/record"
 )
 
-// Paths; all but the last are the engines' protocol, which is between stand-ins.
+// Paths. All but fetchPath are the engine protocol; fetchPath is used between stand-ins.
 const (
 	completionsPath = "/v1/completions"
 	embeddingsPath  = "/v1/embeddings"
@@ -25,23 +25,23 @@
 )
 
 const (
-	maxBody     = 8 << 20
-	mostOver    = 1 << 14                // reads remembered as gone
-	waitForRead = 300 * time.Millisecond // as long as a dial may take
+	maxBody         = 8 << 20
+	maxDroppedReads = 1 << 14                // entries of droppedReads
+	readWait        = 300 * time.Millisecond // how long a fetch waits for its read to arrive: as long as a dial may take
 )
 
 // state is a read state at a reader.
 type state struct {
-	tokens float64
-	ready  chan struct{}
-	done   bool
-	gone   bool
+	tokens  float64
+	ready   chan struct{}
+	done    bool
+	dropped bool
 }
 
-// place is one held at a writer; the state is on its way into it.
+// place is a place held at a writer; the transfer of the state into it has started.
 type place struct {
 	tokens  float64
-	ready   chan struct{} // closed when the state is here, or can't come
+	ready   chan struct{} // closed when the state has arrived or can't arrive
 	arrived bool
 	cancel  context.CancelFunc
 }
@@ -62,7 +62,7 @@
 	} `json:"kv_transfer_params"`
 }
 
-// size is the prompt's length in tokens; without a count, four bytes make one.
+// size returns the prompt's length in tokens; without a count, four bytes make one token.
 func (c *completion) size() float64 {
 	if c.Size > 0 {
 		return float64(c.Size)
@@ -70,46 +70,46 @@
 	return float64(len(c.Prompt)+3) / 4
 }
 
-func (l *life) routes() http.Handler {
+func (l *lifetime) routes() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+completionsPath, l.complete)
-	mux.HandleFunc("POST "+embeddingsPath, l.embed)
-	mux.HandleFunc("POST "+rerankPath, l.rerank)
-	mux.HandleFunc("GET "+fetchPath+"{key}", l.handOver)
+	mux.HandleFunc("POST "+completionsPath, l.handleCompletion)
+	mux.HandleFunc("POST "+embeddingsPath, l.handleEmbedding)
+	mux.HandleFunc("POST "+rerankPath, l.handleRerank)
+	mux.HandleFunc("GET "+fetchPath+"{key}", l.handleFetch)
 	if l.e.cfg.Extended {
-		mux.HandleFunc("POST "+placesPath, l.hold)
-		mux.HandleFunc("DELETE "+statesPath+"{key}", l.letGo)
+		mux.HandleFunc("POST "+placesPath, l.handlePlace)
+		mux.HandleFunc("DELETE "+statesPath+"{key}", l.handleRelease)
 	}
 	return mux
 }
 
 // job is one request at an engine.
 type job struct {
-	l     *life
-	w     http.ResponseWriter
-	ctx   context.Context
-	c     completion
-	key   string
-	req   string
-	class string
-	write bool
-	whole func() any // of one-stage work: its answer
-	items int        // and how many texts it reads
-	cut   bool       // the connection is to break
-	ended bool       // the end is recorded
-}
-
-func (j *job) note(kind, note string) {
+	l            *lifetime
+	w            http.ResponseWriter
+	ctx          context.Context
+	body         completion
+	key          string
+	req          string
+	class        string
+	write        bool
+	oneStageBody func() any // answer of one-stage work; nil for reads and writes
+	textCount    int        // texts of one-stage work
+	abort        bool       // break the connection instead of ending the answer
+	endRecorded  bool       // the End event is recorded
+}
+
+func (j *job) logEvent(kind, note string) {
 	j.l.e.log.Add(record.Event{Who: j.l.e.addr, Kind: kind, Req: j.req, Key: j.key, Class: j.class, Note: note})
 }
 
-func (l *life) complete(w http.ResponseWriter, r *http.Request) {
-	j := l.job(w, r)
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&j.c); err != nil {
-		turn(w, 400, "bad_request", err.Error())
+func (l *lifetime) handleCompletion(w http.ResponseWriter, r *http.Request) {
+	j := l.newJob(w, r)
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&j.body); err != nil {
+		writeError(w, 400, "bad_request", err.Error())
 		return
 	}
-	j.write = j.c.Stream
+	j.write = j.body.Stream
 	kind := "read"
 	if j.write {
 		kind = "write"
@@ -117,31 +117,30 @@
 	j.serve(kind)
 }
 
-// serve does a request and records when it came and how it ended.
+// serve runs a request and records its arrival and its end.
 func (j *job) serve(kind string) {
-	f := j.l.fault() // before its arrival is known: what is set later is for later requests
-	j.note(record.Arrive, kind)
-	how := j.run(f)
-	if !j.ended {
-		j.note(record.End, how)
+	f := j.l.currentFaults() // read before the arrival is recorded: faults set later apply to later requests
+	j.logEvent(record.Arrive, kind)
+	note := j.run(f)
+	if !j.endRecorded {
+		j.logEvent(record.End, note)
 	}
-	if j.cut {
-		panic(http.ErrAbortHandler) // net/http cuts the connection
+	if j.abort {
+		panic(http.ErrAbortHandler) // net/http closes the connection
 	}
 }
 
-// swallowed records an attempt that came in while the engine was frozen: the
-// request may run when it thaws.
-func (l *life) swallowed(text []byte) {
+// recordSwallowed records an attempt that arrived while the engine was frozen; the request may run after the thaw.
+func (l *lifetime) recordSwallowed(text []byte) {
 	head := string(text)
-	key, ok := field(head, "X-Request-Id: ")
+	key, ok := headerValue(head, "X-Request-Id: ")
 	line, _, _ := strings.Cut(head, " HTTP/")
-	path, posted := strings.CutPrefix(line, "POST ")
-	if !ok || !posted || path != completionsPath && path != embeddingsPath && path != rerankPath {
+	path, isPost := strings.CutPrefix(line, "POST ")
+	if !ok || !isPost || path != completionsPath && path != embeddingsPath && path != rerankPath {
 		return
 	}
-	req, _ := field(head, "Idempotency-Key: ")
-	class, _ := field(head, "X-Request-Class: ")
+	req, _ := headerValue(head, "Idempotency-Key: ")
+	class, _ := headerValue(head, "X-Request-Class: ")
 	note := "read"
 	if path != completionsPath {
 		note = "whole"
@@ -151,112 +150,112 @@
 	l.e.log.Add(record.Event{Who: l.e.addr, Kind: record.Swallow, Req: req, Key: key, Class: class, Note: note})
 }
 
-func field(head, name string) (string, bool) {
+func headerValue(head, name string) (string, bool) {
 	_, rest, ok := strings.Cut(head, name)
 	value, _, _ := strings.Cut(rest, "\r\n")
 	return value, ok
 }
 
-// run does the request under the faults that it met and tells how it ended.
+// run executes the request under the faults at its arrival and returns how it ended.
 func (j *job) run(f Faults) string {
 	l := j.l
-	if l.e.cfg.Deaf {
+	if l.e.cfg.IgnoreCancel {
 		j.ctx = context.WithoutCancel(j.ctx)
 	}
 	if j.write {
-		l.push(float64(j.c.MaxTokens) / 2)
+		l.recordWork(float64(j.body.MaxTokens) / 2)
 	} else {
-		l.push(j.c.size())
+		l.recordWork(j.body.size())
 	}
 	switch {
 	case f.Hang:
-		l.hang(j.ctx)
+		l.waitForClose(j.ctx)
 		return "hung"
 	case f.Draining:
-		return j.turned(503, "draining")
+		return j.reject(503, "draining")
 	case f.Throttle != "" && f.Throttle == j.class:
-		return j.turned(429, "throttled")
-	case f.Errors > 0 && l.chance() < f.Errors:
-		return j.turned(500, "error")
+		return j.reject(429, "throttled")
+	case f.Errors > 0 && l.randFloat() < f.Errors:
+		return j.reject(500, "error")
 	}
-	leave, err := l.slot(j.ctx)
-	if errors.Is(err, errTurned) {
-		return j.turned(429, "full")
+	leave, err := l.acquireSlot(j.ctx)
+	if errors.Is(err, errQueueFull) {
+		return j.reject(429, "full")
 	}
 	if err != nil {
 		return "called off"
 	}
 	defer leave()
 	switch {
-	case j.whole != nil:
-		return j.oneStage()
+	case j.oneStageBody != nil:
+		return j.runOneStage()
 	case j.write:
-		return j.answer()
+		return j.decode()
 	}
-	return j.read()
+	return j.prefill()
 }
 
-// hang waits for the peer to leave, or for the end.
-func (l *life) hang(ctx context.Context) {
+// waitForClose waits until the peer disconnects or the engine stops.
+func (l *lifetime) waitForClose(ctx context.Context) {
 	select {
 	case <-ctx.Done():
-	case <-l.dead:
+	case <-l.stopped:
 	}
 }
 
-func (l *life) chance() float64 {
+func (l *lifetime) randFloat() float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.rnd.Float64()
+	return l.rng.Float64()
 }
 
-func (j *job) turned(status int, code string) string {
-	j.note(record.End, code) // before the answer: the router may act on it at once
-	j.ended = true
+func (j *job) reject(status int, code string) string {
+	j.logEvent(record.End, code) // before the answer: the router may act on it at once
+	j.endRecorded = true
 	j.w.Header().Set("endpoint-load-metrics", j.l.loadReport())
-	turn(j.w, status, code, code)
+	writeError(j.w, status, code, code)
 	return code
 }
 
-func turn(w http.ResponseWriter, status int, code, msg string) {
+func writeError(w http.ResponseWriter, status int, code, msg string) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	json.NewEncoder(w).Encode(map[string]any{"error": map[string]string{"code": code, "message": msg}})
 }
 
-// read reads a prompt and keeps its state until it is fetched, let go or too old.
-func (j *job) read() string {
+// prefill reads a prompt and holds its state until it is fetched, released or expired.
+func (j *job) prefill() string {
 	l := j.l
-	tokens := j.c.size()
-	if l.take(j.ctx, tokens) != nil {
+	tokens := j.body.size()
+	if l.acquireMemory(j.ctx, tokens) != nil {
 		return "called off"
 	}
 	st := &state{tokens: tokens, ready: make(chan struct{})}
 	l.mu.Lock()
-	if l.over[j.key] { // let go before it came
+	if l.droppedReads[j.key] { // released before the read arrived
 		l.mu.Unlock()
-		l.give(tokens)
+		l.releaseMemory(tokens)
 		return "let go"
 	}
 	l.states[j.key] = st
-	close(l.news)
-	l.news = make(chan struct{})
+	close(l.readStarted)
+	l.readStarted = make(chan struct{})
 	l.mu.Unlock()
-	if !l.work(j.ctx, time.Duration(l.toRead(j.c.Prefix, tokens)/l.e.cfg.ReadRate*float64(time.Second))) {
-		l.free(j.key, "called off")
+	if !l.doWork(j.ctx, time.Duration(l.uncachedTokens(j.body.Prefix, tokens)/l.e.cfg.ReadRate*float64(time.Second))) {
+		l.dropState(j.key, "called off")
 		return "called off"
 	}
 	l.mu.Lock()
-	gone := st.gone
+	dropped := st.dropped
 	st.done = true
 	l.mu.Unlock()
-	if gone { // let go while it was read
+	if dropped { // released during the read
 		return "let go"
 	}
-	j.note(record.Held, "state")
+	j.logEvent(record.Held, "state")
 	close(st.ready)
-	time.AfterFunc(l.e.cfg.Keep, func() { l.free(j.key, "too old") })
-	host, port := split(l.e.addr)
+	time.AfterFunc(l.e.cfg.Keep, func() { l.dropState(j.key, "too old") })
+	host, port := splitAddr(l.e.addr)
 	j.w.Header().Set("endpoint-load-metrics", l.loadReport())
 	j.w.Header().Set("Content-Type", "application/json")
 	json.NewEncoder(j.w).Encode(map[string]any{
@@ -268,99 +267,99 @@
 	return "read"
 }
 
-// toRead is the part of a prompt whose text is not kept: a shared beginning is
-// taken to be half of it.
-func (l *life) toRead(prefix string, tokens float64) float64 {
+// uncachedTokens returns the tokens of a prompt that have to be read: a shared prefix counts as half of the prompt
+// and is cached after its first read.
+func (l *lifetime) uncachedTokens(prefix string, tokens float64) float64 {
 	if prefix == "" {
 		return tokens
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.kept[prefix] {
+	if l.cachedPrefixes[prefix] {
 		return tokens / 2
 	}
-	l.kept[prefix] = true
+	l.cachedPrefixes[prefix] = true
 	return tokens
 }
 
-func split(addr string) (host string, port int) {
+func splitAddr(addr string) (host string, port int) {
 	i := strings.LastIndexByte(addr, ':')
 	port, _ = strconv.Atoi(addr[i+1:])
 	return addr[:i], port
 }
 
-// free drops a state; the first reason is the one that counts.
-func (l *life) free(key, why string) bool {
+// dropState drops a state; only the first call for a key has an effect.
+func (l *lifetime) dropState(key, reason string) bool {
 	l.mu.Lock()
-	if len(l.over) >= mostOver {
-		clear(l.over)
+	if len(l.droppedReads) >= maxDroppedReads {
+		clear(l.droppedReads)
 	}
-	l.over[key] = true
+	l.droppedReads[key] = true
 	st := l.states[key]
 	if st == nil {
 		l.mu.Unlock()
 		return false
 	}
 	delete(l.states, key)
-	st.gone = true
+	st.dropped = true
 	held := st.done
 	if !held {
 		close(st.ready)
 	}
 	l.mu.Unlock()
-	l.give(st.tokens)
+	l.releaseMemory(st.tokens)
 	if held {
-		l.e.log.Add(record.Event{Who: l.e.addr, Kind: record.Freed, Key: key, Note: "state " + why})
+		l.e.log.Add(record.Event{Who: l.e.addr, Kind: record.Freed, Key: key, Note: "state " + reason})
 	}
 	return true
 }
 
-// find is the state of a read. A place may be held before its read has come
-// here, so one that is not known yet is waited for a little.
-func (l *life) find(ctx context.Context, key string) *state {
-	limit := time.NewTimer(waitForRead)
+// findState returns the state of a read. A place may be held before its read arrives here, so it waits up to readWait
+// for an unknown key.
+func (l *lifetime) findState(ctx context.Context, key string) *state {
+	limit := time.NewTimer(readWait)
 	defer limit.Stop()
 	for {
 		l.mu.Lock()
-		st, over, news := l.states[key], l.over[key], l.news
+		st, dropped, started := l.states[key], l.droppedReads[key], l.readStarted
 		l.mu.Unlock()
-		if st != nil || over {
+		if st != nil || dropped {
 			return st
 		}
 		select {
-		case <-news:
+		case <-started:
 		case <-limit.C:
 			return nil
 		case <-ctx.Done():
 			return nil
-		case <-l.dead:
+		case <-l.stopped:
 			return nil
 		}
 	}
 }
 
-// handOver gives a state to a writer, once it is there.
-func (l *life) handOver(w http.ResponseWriter, r *http.Request) {
+// handleFetch transfers a state to a writer, once it is complete.
+func (l *lifetime) handleFetch(w http.ResponseWriter, r *http.Request) {
 	key := r.PathValue("key")
-	st := l.find(r.Context(), key)
+	st := l.findState(r.Context(), key)
 	if st != nil {
 		select {
 		case <-st.ready:
 		case <-r.Context().Done():
 			return
-		case <-l.dead:
+		case <-l.stopped:
 			return
 		}
 	}
-	if st == nil || !l.free(key, "taken") {
-		turn(w, 404, "no_state", "no such state")
+	if st == nil || !l.dropState(key, "taken") {
+		writeError(w, 404, "no_state", "no such state")
 		return
 	}
 	fmt.Fprintf(w, "%g", st.tokens)
 }
 
-// fetch gets a state from its reader.
-func (l *life) fetch(ctx context.Context, reader, key string) (tokens float64, err error) {
+// fetchState fetches a state from its reader and returns its size.
+func (l *lifetime) fetchState(ctx context.Context, reader, key string) (tokens float64, err error) {
 	req, err := http.NewRequestWithContext(ctx, "GET", "http://"+reader+fetchPath+key, nil)
 	if err != nil {
 		return 0, err
@@ -380,51 +379,51 @@
 	return strconv.ParseFloat(string(b), 64)
 }
 
-// hold grants a place if memory is free at once, and starts to fetch the state into it.
-func (l *life) hold(w http.ResponseWriter, r *http.Request) {
-	var ask struct {
+// handlePlace grants a place if memory is free at once, and starts to fetch the state into it.
+func (l *lifetime) handlePlace(w http.ResponseWriter, r *http.Request) {
+	var params struct {
 		Key    string `json:"request_id"`
 		Reader string `json:"reader"`
 		Tokens int    `json:"tokens"`
 		Idle   int    `json:"idle_ms"`
 	}
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, 4096)).Decode(&ask); err != nil || ask.Key == "" {
-		turn(w, 400, "bad_request", "a place has a request_id, a reader and tokens")
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, 4096)).Decode(&params); err != nil || params.Key == "" {
+		writeError(w, 400, "bad_request", "a place has a request_id, a reader and tokens")
 		return
 	}
-	f := l.fault()
+	f := l.currentFaults()
 	if f.Hang {
-		l.hang(r.Context())
+		l.waitForClose(r.Context())
 		return
 	}
 	l.mu.Lock()
-	full := len(l.slots) == cap(l.slots) || l.queued > 0 || l.places[ask.Key] != nil
+	full := len(l.slots) == cap(l.slots) || l.queued > 0 || l.places[params.Key] != nil
 	l.mu.Unlock()
-	if f.Draining || full || !l.tryTake(float64(ask.Tokens)) {
-		turn(w, 409, "full", "no place is free")
+	if f.Draining || full || !l.tryAcquireMemory(float64(params.Tokens)) {
+		writeError(w, 409, "full", "no place is free")
 		return
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	p := &place{tokens: float64(ask.Tokens), ready: make(chan struct{}), cancel: cancel}
+	p := &place{tokens: float64(params.Tokens), ready: make(chan struct{}), cancel: cancel}
 	l.mu.Lock()
-	l.places[ask.Key] = p
+	l.places[params.Key] = p
 	l.mu.Unlock()
-	l.e.log.Add(record.Event{Who: l.e.addr, Kind: record.Held, Key: ask.Key, Note: "place"})
+	l.e.log.Add(record.Event{Who: l.e.addr, Kind: record.Held, Key: params.Key, Note: "place"})
 	l.wg.Go(func() {
-		l.fill(ctx, p, ask.Reader, ask.Key)
-		if ask.Idle > 0 { // the router's word may not get through
-			time.AfterFunc(time.Duration(ask.Idle)*time.Millisecond, func() { l.unplace(ask.Key, "lapsed") })
+		l.fillPlace(ctx, p, params.Reader, params.Key)
+		if params.Idle > 0 { // the router's release may be lost
+			time.AfterFunc(time.Duration(params.Idle)*time.Millisecond, func() { l.removePlace(params.Key, "lapsed") })
 		}
 	})
-	time.AfterFunc(l.e.cfg.Keep, func() { l.unplace(ask.Key, "too old") })
+	time.AfterFunc(l.e.cfg.Keep, func() { l.removePlace(params.Key, "too old") })
 	w.WriteHeader(201)
 }
 
-// fill fetches a state into a place; most of it has flowed while it was read.
-func (l *life) fill(ctx context.Context, p *place, reader, key string) {
+// fillPlace fetches a state into a place; the share Early was transferred during the read.
+func (l *lifetime) fillPlace(ctx context.Context, p *place, reader, key string) {
 	defer close(p.ready)
-	tokens, err := l.fetch(ctx, reader, key)
-	if err != nil || !l.work(ctx, l.onTheWay(tokens*(1-l.e.cfg.Early))) {
+	tokens, err := l.fetchState(ctx, reader, key)
+	if err != nil || !l.doWork(ctx, l.transferTime(tokens*(1-l.e.cfg.Early))) {
 		return
 	}
 	l.mu.Lock()
@@ -432,12 +431,12 @@
 	l.mu.Unlock()
 }
 
-func (l *life) onTheWay(tokens float64) time.Duration {
+func (l *lifetime) transferTime(tokens float64) time.Duration {
 	return time.Duration(tokens / l.e.cfg.FetchRate * float64(time.Second))
 }
 
-// unplace gives a place up.
-func (l *life) unplace(key, why string) *place {
+// removePlace removes a place.
+func (l *lifetime) removePlace(key, reason string) *place {
 	l.mu.Lock()
 	p := l.places[key]
 	delete(l.places, key)
@@ -445,58 +444,58 @@
 	if p == nil {
 		return nil
 	}
-	l.e.log.Add(record.Event{Who: l.e.addr, Kind: record.Freed, Key: key, Note: "place " + why})
-	if why != "taken" {
+	l.e.log.Add(record.Event{Who: l.e.addr, Kind: record.Freed, Key: key, Note: "place " + reason})
+	if reason != "taken" {
 		p.cancel()
-		l.give(p.tokens)
+		l.releaseMemory(p.tokens)
 	}
 	return p
 }
 
-func (l *life) letGo(w http.ResponseWriter, r *http.Request) {
-	if l.fault().Hang {
-		l.hang(r.Context())
+func (l *lifetime) handleRelease(w http.ResponseWriter, r *http.Request) {
+	if l.currentFaults().Hang {
+		l.waitForClose(r.Context())
 		return
 	}
 	key := r.PathValue("key")
-	a, b := l.free(key, "let go"), l.unplace(key, "let go") != nil
+	a, b := l.dropState(key, "let go"), l.removePlace(key, "let go") != nil
 	if a || b {
 		w.WriteHeader(204)
 		return
 	}
-	turn(w, 404, "unknown", "nothing is held under this name")
+	writeError(w, 404, "unknown", "nothing is held under this name")
 }
 
-// answer streams an answer. Its effect happens as it starts.
-func (j *job) answer() string {
+// decode streams an answer; its effect happens at the start.
+func (j *job) decode() string {
 	l := j.l
-	tokens, ok := j.state()
+	tokens, ok := j.acquireState()
 	if !ok {
 		if j.ctx.Err() != nil {
 			return "called off"
 		}
-		return j.turned(409, "no_state")
+		return j.reject(409, "no_state")
 	}
-	defer l.give(tokens)
-	select { // a stand-in that is dead runs nothing
-	case <-l.dead:
+	defer l.releaseMemory(tokens)
+	select { // a stopped stand-in runs nothing
+	case <-l.stopped:
 		return "dead"
 	case <-j.ctx.Done():
 		return "called off"
 	default:
 	}
 	j.apply()
-	return j.stream()
+	return j.streamTokens()
 }
 
-// state gets the memory and the state, or reads the prompt on a mixed engine.
-func (j *job) state() (tokens float64, ok bool) {
+// acquireState reserves memory and gets the state, or reads the prompt on a mixed engine.
+func (j *job) acquireState() (tokens float64, ok bool) {
 	l := j.l
-	if p := l.unplace(j.key, "taken"); p != nil {
+	if p := l.removePlace(j.key, "taken"); p != nil {
 		select {
 		case <-p.ready:
 		case <-j.ctx.Done():
-		case <-l.dead:
+		case <-l.stopped:
 		}
 		l.mu.Lock()
 		arrived := p.arrived
@@ -504,63 +503,63 @@
 		if arrived {
 			return p.tokens, true
 		}
-		l.give(p.tokens) // it did not come by the place: fetched below, if it is still there
+		l.releaseMemory(p.tokens) // the transfer into the place failed: fetch again below, if the state still exists
 	}
-	tokens = j.c.size() + float64(j.c.MaxTokens)
-	if l.take(j.ctx, tokens) != nil {
+	tokens = j.body.size() + float64(j.body.MaxTokens)
+	if l.acquireMemory(j.ctx, tokens) != nil {
 		return 0, false
 	}
-	if j.c.Params != nil && j.c.Params.EngineID != nil {
-		n, err := l.fetch(j.ctx, *j.c.Params.EngineID, j.key)
-		ok = err == nil && l.work(j.ctx, l.onTheWay(n))
+	if j.body.Params != nil && j.body.Params.EngineID != nil {
+		n, err := l.fetchState(j.ctx, *j.body.Params.EngineID, j.key)
+		ok = err == nil && l.doWork(j.ctx, l.transferTime(n))
 	} else if l.e.cfg.Mixed {
-		ok = l.work(j.ctx, time.Duration(j.c.size()/l.e.cfg.ReadRate*float64(time.Second)))
+		ok = l.doWork(j.ctx, time.Duration(j.body.size()/l.e.cfg.ReadRate*float64(time.Second)))
 	}
 	if !ok {
-		l.give(tokens)
+		l.releaseMemory(tokens)
 	}
 	return tokens, ok
 }
 
 func (j *job) apply() {
 	e := j.l.e
-	if e.keyed[j.class] && e.group != nil && !e.group.first(j.req) {
-		j.note(record.Drop, "")
+	if e.keyed[j.class] && e.group != nil && !e.group.markNew(j.req) {
+		j.logEvent(record.Drop, "")
 		return
 	}
 	e.mu.Lock()
 	e.applied[j.req]++
 	e.mu.Unlock()
-	j.note(record.Apply, "")
+	j.logEvent(record.Apply, "")
 }
 
-// stream writes an answer of 40 to 100 % of what is allowed.
-func (j *job) stream() string {
+// streamTokens writes an answer of 40 to 100 % of the permitted tokens.
+func (j *job) streamTokens() string {
 	l := j.l
-	n := max(1, int(float64(j.c.MaxTokens)*(0.4+0.6*part(j.req+j.c.Prompt, l.e.cfg.Seed))))
+	n := max(1, int(float64(j.body.MaxTokens)*(0.4+0.6*unitHash(j.req+j.body.Prompt, l.e.cfg.Seed))))
 	h := j.w.Header()
 	h.Set("Content-Type", "text/event-stream")
 	h.Set("endpoint-load-metrics", l.loadReport())
-	flush := http.NewResponseController(j.w)
+	rc := http.NewResponseController(j.w)
 	for i := range n {
-		f := l.fault()
+		f := l.currentFaults()
 		if f.BreakAfter > 0 && i >= f.BreakAfter {
-			j.cut = true
+			j.abort = true
 			return "broken"
 		}
 		if f.StallAfter > 0 && i >= f.StallAfter {
-			l.hang(j.ctx)
+			l.waitForClose(j.ctx)
 			return "stalled"
 		}
 		fmt.Fprintf(j.w, "data: {\"id\":\"cmpl-%s\",\"object\":\"text_completion\",\"choices\":[{\"index\":0,\"text\":\" t%d\",\"finish_reason\":null}]}\n\n", j.key, i)
-		if flush.Flush() != nil {
+		if rc.Flush() != nil {
 			return "called off"
 		}
-		if !l.work(j.ctx, l.e.cfg.TokenGap) {
+		if !l.doWork(j.ctx, l.e.cfg.TokenGap) {
 			return "called off"
 		}
 	}
 	fmt.Fprintf(j.w, "data: {\"id\":\"cmpl-%s\",\"object\":\"text_completion\",\"choices\":[{\"index\":0,\"text\":\"\",\"finish_reason\":\"stop\"}]}\n\ndata: [DONE]\n\n", j.key)
-	flush.Flush()
+	rc.Flush()
 	return "served"
 }
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -221,12 +221,12 @@
 	cut := make(chan struct{})
 	r.watches[cut] = true
 	r.Set(Listed{Addr: "127.0.0.1:1", Kind: "prompt", State: "ready"})
-	if c, _ := r.next(1, "", cut); c == nil {
+	if c, _ := r.nextChange(1, "", cut); c == nil {
 		t.Fatal("an open watch hears nothing")
 	}
 	r.Forget()
 	r.Set(Listed{Addr: "127.0.0.1:1", Kind: "prompt", State: "gone"})
-	if c, wait := r.next(2, "", cut); c != nil || wait != cut {
+	if c, wait := r.nextChange(2, "", cut); c != nil || wait != cut {
 		t.Errorf("a cut watch hears %v", c)
 	}
 }
