--- a/internal/baseline/baseline_test.go
+++ b/internal/baseline/baseline_test.go
@@ -6,12 +6,13 @@
 	"gannethook"
 )
 
-// The baselines keep rule 2 as the module does: unsafe goes again, or is refused, only after proof.
+// The baselines keep rule 2 as the module does: an unsafe request is retried or refused only after evidence that the attempt
+// did not run.
 func TestRuleTwo(t *testing.T) {
 	set := gannethook.Settings{Routers: 1, Classes: []gannethook.Class{{Effect: gannethook.Unsafe}}, MaxAttempts: 4,
 		Kinds: []gannethook.Kind{{Role: gannethook.Reader}, {Role: gannethook.Writer}}}
 	for _, name := range []string{Random, RoundRobin} {
-		for outcome, again := range map[gannethook.Outcome]bool{gannethook.Full: true, gannethook.ConnectFailed: true,
+		for outcome, retried := range map[gannethook.Outcome]bool{gannethook.Full: true, gannethook.ConnectFailed: true,
 			gannethook.Failed: false, gannethook.Broken: false, gannethook.TimedOut: false, gannethook.Cancelled: false} {
 			d, err := New(name, set, 1)
 			if err != nil {
@@ -35,12 +36,12 @@
 					t.Errorf("%s: refused after %v", name, outcome)
 				}
 			}
-			if sent != again || failed == again {
+			if sent != retried || failed == retried {
 				t.Errorf("%s after %v: sent %v, failed %v", name, outcome, sent, failed)
 			}
 		}
 	}
 	if _, err := New("best", set, 1); err == nil {
-		t.Error("an unknown policy passes")
+		t.Error("an unknown policy is accepted")
 	}
 }
--- a/internal/scenario/chart.go
+++ b/internal/scenario/chart.go
@@ -12,15 +12,14 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// chartBin is the width of the chart's points.
+// chartBin is the time that each point of a chart covers.
 const chartBin = 2 * time.Second
 
-// Chart draws the share served in time over the day, a line for each policy,
-// over all its seeds, and the times of the faults; the file's ending names the
-// format (svg, png, pdf).
+// Chart draws the share of requests served in time over a scenario, one line for each policy over all its seeds, and the
+// times of the faults. The file extension selects the format (svg, png, pdf).
 func Chart(path string, results []*Result) error {
 	if len(results) == 0 {
-		return fmt.Errorf("chart: no days")
+		return fmt.Errorf("chart: no runs to draw")
 	}
 	p := plot.New()
 	s := results[0].Script
@@ -53,7 +52,7 @@
 	return p.Save(22*vg.Centimeter, 11*vg.Centimeter, path)
 }
 
-// addFault draws a fault as a bar, with its name, near the foot of the chart.
+// addFault draws a fault as a bar with its name, near the bottom of the chart.
 func addFault(p *plot.Plot, s *Script, i int) error {
 	f := &s.Faults[i]
 	y := 0.5 - 0.45*float64(i%10)/10
@@ -70,14 +69,14 @@
 	return nil
 }
 
-// servedInTime is the share served in time by the time of asking.
+// servedInTime returns the share of requests served in time, by the time at which they were sent.
 func servedInTime(results []*Result) plotter.XYs {
 	n := int(results[0].Script.Length/chartBin) + 1
-	asked, served := make([]float64, n), make([]float64, n)
+	sent, served := make([]float64, n), make([]float64, n)
 	for _, d := range results {
 		for _, e := range d.Outcomes {
 			if i := int(e.at / chartBin); i < n {
-				asked[i]++
+				sent[i]++
 				if e.inTime {
 					served[i]++
 				}
@@ -86,14 +85,14 @@
 	}
 	var points plotter.XYs
 	for i := range n {
-		if asked[i] > 0 {
-			points = append(points, plotter.XY{X: (float64(i) + 0.5) * chartBin.Seconds(), Y: served[i] / asked[i]})
+		if sent[i] > 0 {
+			points = append(points, plotter.XY{X: (float64(i) + 0.5) * chartBin.Seconds(), Y: served[i] / sent[i]})
 		}
 	}
 	return points
 }
 
-// palette has the colours of what a chart compares.
+// palette returns the colours of the lines and points, in order of use.
 func palette() []color.Color {
 	return []color.Color{color.RGBA{B: 200, A: 255}, color.RGBA{R: 200, A: 255}, color.RGBA{G: 140, A: 255}}
 }
--- a/internal/scenario/clients.go
+++ b/internal/scenario/clients.go
@@ -15,7 +15,7 @@
 	"gannethook/internal/ws"
 )
 
-// outcome is how a request ended, over all its tries.
+// outcome is the result of a request, over all its tries.
 type outcome struct {
 	class      int
 	tenant     int
@@ -24,10 +24,10 @@
 	kind       string // served, refused, failed, or lost
 	inTime     bool
 	tries      int
-	firstToken time.Duration // from the first try's start to the first token
+	firstToken time.Duration // from the start of the first try to the first token
 }
 
-// userPool is all clients of a day.
+// userPool runs all clients of a scenario.
 type userPool struct {
 	f        *fleet
 	wg       sync.WaitGroup
@@ -35,7 +35,7 @@
 	outcomes []outcome
 }
 
-// run plays the plan to its end.
+// run starts the planned sessions at their times and waits for all of them.
 func (p *userPool) run(ctx context.Context, plan []plannedSession) {
 	for _, s := range plan {
 		if !sleep(ctx, time.Until(p.f.start.Add(s.at))) {
@@ -55,9 +55,9 @@
 	session     *client.Session
 	http        *client.HTTP
 	tenant      string
-	lastPrompt  string          // the last request whose prompt this session has heard
-	responseID  string          // response that is open, or the last
-	lastRequest *plannedRequest // its request, and the number of its try
+	lastPrompt  string          // last request whose prompt was sent in this session
+	responseID  string          // the open response, or the last one
+	lastRequest *plannedRequest // its request; lastTry is the number of its try
 	lastTry     int
 }
 
@@ -84,7 +84,7 @@
 		Class: u.pool.f.s.Classes[a.class].Name, N: n, Note: note})
 }
 
-// closeSession ends the session; what still comes for an answered request breaks rule 1.
+// closeSession ends the session. An event that still arrives for an answered request violates rule 1.
 func (u *virtualUser) closeSession() {
 	u.closeHTTP()
 	if u.session == nil {
@@ -94,15 +94,14 @@
 	u.session = nil
 }
 
-// recordLate records an event of a response that had its final answer: the session
-// has none that is open.
+// recordLate records an event of a response that had its final answer; no response of the session is open.
 func (u *virtualUser) recordLate(ev *realtime.Server) {
 	if u.lastRequest != nil && responseOf(ev) != "" {
 		u.logEvent(u.lastRequest, u.lastTry, record.After, ev.Type, 0)
 	}
 }
 
-// connect opens a session, at a router that the front takes to be up.
+// connect opens a session at the user's router.
 func (u *virtualUser) connect(ctx context.Context) error {
 	if u.session != nil {
 		return nil
@@ -120,7 +119,7 @@
 	return nil
 }
 
-// switchRouter draws another router; the front knows a dead one only after a while.
+// switchRouter draws another router. The front avoids a router only when it has been down for longer than DetectDelay.
 func (u *virtualUser) switchRouter() {
 	list := u.pool.f.routers
 	for range 8 {
@@ -138,7 +137,7 @@
 	}
 }
 
-// request makes one request with its tries.
+// request sends one request with its retries.
 func (u *virtualUser) request(ctx context.Context, a plannedRequest) outcome {
 	s := u.pool.f.s
 	class := &s.Classes[a.class]
@@ -152,7 +151,7 @@
 	mayHaveRun := false
 	for try, sent := 1, 1; ctx.Err() == nil; sent++ {
 		result := u.tryOnce(ctx, &a, sent, mayHaveRun)
-		if result.unreachable { // no router took it
+		if result.unreachable { // no router accepted it
 			if time.Since(started) > class.Timeout {
 				return end
 			}
@@ -166,8 +165,8 @@
 		mayHaveRun = mayHaveRun || result.kind == "failed" || result.kind == "lost"
 		if result.kind == "served" {
 			end.firstToken = time.Since(started) - result.sinceFirstToken
-			aim := class.Aim + class.AimPer1000*time.Duration(a.promptTokens)/1000
-			end.inTime = end.firstToken <= aim
+			target := class.Aim + class.AimPer1000*time.Duration(a.promptTokens)/1000
+			end.inTime = end.firstToken <= target
 			return end
 		}
 		retryable := result.kind == "refused" || class.Effect == "safe" || result.disconnected
@@ -190,17 +189,17 @@
 	return end
 }
 
-// tryResult is how one try ended.
+// tryResult is the result of one try.
 type tryResult struct {
 	kind            string
 	unreachable     bool
-	disconnected    bool // the client cut its own socket
+	disconnected    bool // the client cut its own connection
 	retryAfter      time.Duration
 	sinceFirstToken time.Duration // from the first token to the end
-	reason          string        // the router's reason
+	reason          string        // as the router gave it
 }
 
-// tryOnce makes a try over the class's front.
+// tryOnce makes a try over the front of its class.
 func (u *virtualUser) tryOnce(ctx context.Context, a *plannedRequest, n int, retry bool) tryResult {
 	if u.pool.f.s.Classes[a.class].Front == "http" {
 		return u.tryHTTP(ctx, a, n, retry)
@@ -208,7 +207,7 @@
 	return u.trySession(ctx, a, n, retry)
 }
 
-// trySession sends a request once and waits for its final answer.
+// trySession sends a request once over a session and waits for its final answer.
 func (u *virtualUser) trySession(ctx context.Context, a *plannedRequest, n int, retry bool) tryResult {
 	class := &u.pool.f.s.Classes[a.class]
 	if err := u.connect(ctx); err != nil {
@@ -245,10 +244,10 @@
 	return tryResult{kind: "lost", disconnected: reason == "left", unreachable: reason == "unreachable" || reason == "not taken"}
 }
 
-// awaitFinal reads to the final answer. A client that hears nothing in its time gives up, and tells the checker.
+// awaitFinal reads up to the final answer. A client that gets no token in time cuts its connection and records that.
 func (u *virtualUser) awaitFinal(a *plannedRequest, n int, class *Class) tryResult {
 	s := u.session
-	var cut atomic.Value // why this client cut its own socket
+	var cut atomic.Value // why this client cut its own connection
 	cutAfter := func(d time.Duration, reason string) *time.Timer {
 		return time.AfterFunc(d, func() {
 			cut.Store(reason)
@@ -294,7 +293,7 @@
 	}
 }
 
-// responseOf names the response that an event belongs to, if it does to one.
+// responseOf returns the id of the response that an event belongs to, or "".
 func responseOf(ev *realtime.Server) string {
 	if ev.Response != nil {
 		return ev.Response.ID
@@ -302,11 +301,11 @@
 	return ev.ResponseID
 }
 
-// lossReason tells why a session ended under an open try.
+// lossReason returns why a session ended during an open try.
 func (u *virtualUser) lossReason(err error) string {
 	var ce *ws.CloseError
 	if errors.As(err, &ce) && ce.Code == ws.CloseGoingAway && u.responseID == "" {
-		return "not taken" // the router closed in order, and had not said that it took the response
+		return "not taken" // an orderly close, before the router accepted the response
 	}
 	return "connection"
 }
--- a/internal/scenario/faults.go
+++ b/internal/scenario/faults.go
@@ -10,7 +10,7 @@
 	"gannethook/internal/standin"
 )
 
-// sleep waits; it tells whether the whole time passed.
+// sleep waits; it reports whether the whole time passed.
 func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(max(d, 0))
 	defer t.Stop()
@@ -22,7 +22,7 @@
 	}
 }
 
-// runFaults plays all faults; it returns when each has ended.
+// runFaults runs all faults; it returns when each has ended.
 func (f *fleet) runFaults(ctx context.Context) {
 	var wg sync.WaitGroup
 	for i := range f.s.Faults {
@@ -39,7 +39,7 @@
 	wg.Wait()
 }
 
-// targets are the engines that a fault strikes.
+// targets returns the engines that a fault affects.
 func (f *fleet) targets(i int, fault *Fault) []*standin.Engine {
 	all := f.engines()
 	switch fault.On {
@@ -75,7 +75,7 @@
 		f.blockDials(ctx, f.targets(i, fault), fault)
 	case "shared-slow":
 		f.applyFor(ctx, f.zoneEngines(i), fault)
-	case "burst", "eager-retries": // the clients' doing: it is in their plan
+	case "burst", "eager-retries": // acted out by the clients, whose plan has them
 		sleep(ctx, fault.For)
 	case "roster-cut":
 		f.roster.Forget()
@@ -95,7 +95,7 @@
 	wg.Wait()
 }
 
-// zoneEngines are all engines of one zone, as when they share what grows slow.
+// zoneEngines returns the engines of one zone, which share a slow resource.
 func (f *fleet) zoneEngines(i int) []*standin.Engine {
 	want := zones[i%len(zones)]
 	var list []*standin.Engine
@@ -107,7 +107,7 @@
 	return list
 }
 
-// applyFor sets a fault for its time.
+// applyFor sets a fault for its duration.
 func (f *fleet) applyFor(ctx context.Context, list []*standin.Engine, fault *Fault) {
 	set := func(on bool) {
 		for _, e := range list {
@@ -119,7 +119,7 @@
 	set(false)
 }
 
-// applyFault sets or clears the part of the faults that a trouble is about.
+// applyFault sets or clears the engine faults that correspond to a scripted fault.
 func applyFault(faults *standin.Faults, fault *Fault, on bool) {
 	size := fault.Size
 	if !on {
@@ -145,7 +145,7 @@
 	}
 }
 
-// crashEngine kills an engine; the roster tells of it late, and of its return.
+// crashEngine kills an engine and restarts it; the roster reports both after its delay.
 func (f *fleet) crashEngine(ctx context.Context, e *standin.Engine, downtime time.Duration) {
 	e.Kill()
 	f.listEngine(e, "gone", time.Time{})
@@ -153,16 +153,16 @@
 	f.restartEngine(e)
 }
 
-// restartEngine starts an engine cold.
+// restartEngine starts an engine with a slow start.
 func (f *fleet) restartEngine(e *standin.Engine) {
 	if err := e.Start(true); err != nil {
-		f.log.Add(record.Event{Who: e.Addr(), Kind: record.Fault, Note: "does not start again: " + err.Error()})
+		f.log.Add(record.Event{Who: e.Addr(), Kind: record.Fault, Note: "restart failed: " + err.Error()})
 		return
 	}
 	f.listEngine(e, "ready", time.Now())
 }
 
-// freezeEngine makes an engine silent, without a reset; nobody tells before it is killed.
+// freezeEngine makes an engine silent, without a reset; the roster reports it as gone only after half of the downtime.
 func (f *fleet) freezeEngine(ctx context.Context, e *standin.Engine, downtime time.Duration) {
 	e.Freeze(true)
 	sleep(ctx, downtime/2)
@@ -172,7 +172,7 @@
 	f.restartEngine(e)
 }
 
-// rollEngines drains, stops and starts engines one after the other.
+// rollEngines drains, stops and restarts engines one after the other.
 func (f *fleet) rollEngines(ctx context.Context, list []*standin.Engine, duration time.Duration) {
 	step := duration / time.Duration(len(list))
 	for _, e := range list {
@@ -188,7 +188,7 @@
 	}
 }
 
-// restartRouter starts a router again and waits until it serves.
+// restartRouter starts a router again and waits until it accepts connections.
 func (f *fleet) restartRouter(ctx context.Context, r *router) {
 	err := r.start()
 	if err == nil {
@@ -212,7 +212,7 @@
 	wg.Wait()
 }
 
-// rollRouters stops routers politely and starts them again, one after the other.
+// rollRouters stops routers with a drain and restarts them, one after the other.
 func (f *fleet) rollRouters(ctx context.Context, which []int, duration time.Duration) {
 	for _, n := range which {
 		r, from := f.routers[n], time.Now()
@@ -226,7 +226,7 @@
 	}
 }
 
-// slowGradually makes engines slower and slower, up to the size.
+// slowGradually makes engines slower in equal steps, up to the fault's size.
 func (f *fleet) slowGradually(ctx context.Context, list []*standin.Engine, fault *Fault) {
 	const steps = 20
 	for n := 1; n <= steps; n++ {
@@ -242,8 +242,7 @@
 	}
 }
 
-// blockDials shuts the door to new connections for the greater part of
-// every while: what dials then times out, what is open goes on.
+// blockDials blocks new connections for 600 of every 800 ms: dials then time out, while open connections continue.
 func (f *fleet) blockDials(ctx context.Context, list []*standin.Engine, fault *Fault) {
 	end := time.Now().Add(fault.For)
 	for time.Now().Before(end) && ctx.Err() == nil {
@@ -254,7 +253,7 @@
 	}
 }
 
-// String tells a trouble in one line.
+// String describes a fault in one line.
 func (f *Fault) String() string {
 	s := fmt.Sprintf("%s at %v for %v", f.Kind, f.From, f.For)
 	if f.Share > 0 {
--- a/internal/scenario/fleet.go
+++ b/internal/scenario/fleet.go
@@ -21,24 +21,24 @@
 	"gannethook/internal/standin"
 )
 
-// Command makes the command that runs this program with arguments.
+// Command builds the command that runs this program with arguments.
 type Command func(args ...string) *exec.Cmd
 
-// router is one router over its lives. Each is a process, those that took over
-// from one another in one process group.
+// router is one router over its restarts. Each incarnation is a process; processes that took over from one another are in
+// one process group.
 type router struct {
 	name, addr, config, dir string
 	f                       *fleet
-	opsMu                   sync.Mutex // held by what operates on it
+	opsMu                   sync.Mutex // held during an operator's command
 
 	mu           sync.Mutex
 	processGroup int
 	done         chan struct{} // closed when the first process of the group has ended
 	down         bool
-	downSince    time.Time // when it last went; the front notices later
+	downSince    time.Time // when it last went down or came back; the front notices it after a delay
 }
 
-// fleet is all that a day runs.
+// fleet is everything that a scenario runs: engines, roster and routers.
 type fleet struct {
 	s            *Script
 	log          *record.Log
@@ -53,7 +53,7 @@
 	start        time.Time
 	faultsDone   sync.WaitGroup
 	toolMu       sync.Mutex
-	toolRuns     int // of the tool's runs
+	toolRuns     int // number of tool runs so far
 	releasePorts []func()
 }
 
@@ -76,7 +76,7 @@
 	return names
 }
 
-// setUp starts engines, roster and routers.
+// setUp starts engines, roster and routers, and waits until the routers accept connections.
 func (f *fleet) setUp(ctx context.Context) error {
 	group := &standin.Dedupe{}
 	f.roster = standin.NewRoster("engines", f.log)
@@ -121,7 +121,7 @@
 	return f.writeFleetFile()
 }
 
-// noticeDelay is between half the notice and one and a half, by router and change.
+// noticeDelay returns a delay from half the mean to one and a half times the mean, by router and change.
 func noticeDelay(mean time.Duration, router string, n int, seed uint64) time.Duration {
 	h := seed
 	for _, c := range fmt.Sprintf("%s/%d", router, n) {
@@ -134,7 +134,7 @@
 	return append(append([]*standin.Engine{}, f.readers...), f.writers...)
 }
 
-// location is where engine i of its kind stands.
+// location returns the kind, zone and cell of an engine.
 func (f *fleet) location(e *standin.Engine) (kind, zone string, cell int) {
 	for i, r := range f.readers {
 		if r == e {
@@ -154,7 +154,7 @@
 	f.roster.Set(standin.Listed{Addr: e.Addr(), Kind: kind, Zone: zone, Cell: cell, Started: started, State: state})
 }
 
-// newRouter writes a router's settings; its port is held for all its lives.
+// newRouter writes a router's settings. Its port is held for the whole run.
 func (f *fleet) newRouter(i int) (*router, error) {
 	addr, release, err := standin.HoldPort()
 	if err != nil {
@@ -163,24 +163,24 @@
 	f.releasePorts = append(f.releasePorts, release)
 	r := &router{name: fmt.Sprintf("r%d", i), addr: addr, f: f, dir: f.dir}
 	r.config = filepath.Join(f.dir, r.name+".gann")
-	os.Remove(r.cachePath()) // of an earlier day in the same folder
+	os.Remove(r.cachePath()) // of an earlier run in the same folder
 	return r, os.WriteFile(r.config, []byte(f.s.settingsText(r, f.rosterAddr, i)), 0o644)
 }
 
-// cachePath is where the router keeps its last list.
+// cachePath is the file in which the router keeps its last server list.
 func (r *router) cachePath() string { return filepath.Join(r.dir, r.name+".list") }
 
-// runDir is the router's folder of pid, lock and control socket.
+// runDir is the router's folder for pid, lock and control socket.
 func (r *router) runDir() string { return filepath.Join(r.dir, r.name) }
 
-// pid is the process that serves, or did last.
+// pid returns the process id of the serving process, or of the last one.
 func (r *router) pid() int {
 	text, _ := os.ReadFile(filepath.Join(r.runDir(), "pid"))
 	n, _ := strconv.Atoi(strings.TrimSpace(string(text)))
 	return n
 }
 
-// alive tells whether a process of the router lives: its lock is held then.
+// alive reports whether a process of the router runs: it holds the lock.
 func (r *router) alive() bool {
 	lock, err := os.Open(filepath.Join(r.runDir(), "lock"))
 	if err != nil {
@@ -190,7 +190,7 @@
 	return unix.Flock(int(lock.Fd()), unix.LOCK_EX|unix.LOCK_NB) != nil
 }
 
-// waitExit waits until no process of the router lives.
+// waitExit waits until no process of the router runs.
 func (r *router) waitExit(limit time.Duration) bool {
 	for end := time.Now().Add(limit); r.alive(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
@@ -200,7 +200,7 @@
 	return true
 }
 
-// isReady tells whether the router says that it takes sessions.
+// isReady reports whether the router's readiness probe succeeds.
 func (r *router) isReady() bool {
 	c := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	res, err := c.Get("http://" + r.addr + front.ReadyPath)
@@ -211,7 +211,7 @@
 	return res.StatusCode == 200
 }
 
-// settingsText are a router's, as text.
+// settingsText returns a router's settings file.
 func (s *Script) settingsText(r *router, api string, i int) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "(name %s)\n(routers %d)\n(seed %d)\n(listen %q)\n(zones north south)\n", r.name, s.Routers,
@@ -258,7 +258,7 @@
 	return "no"
 }
 
-// start starts a life.
+// start starts a router process.
 func (r *router) start() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -281,7 +281,7 @@
 	return nil
 }
 
-// waitListening waits until the router takes connections.
+// waitListening waits until the router accepts connections.
 func (r *router) waitListening(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, 10*time.Second)
 	defer cancel()
@@ -298,22 +298,22 @@
 		r.mu.Unlock()
 		select {
 		case <-done:
-			return fmt.Errorf("router %s ended as it started; see %s.log", r.name, filepath.Join(r.dir, r.name))
+			return fmt.Errorf("router %s exited during startup; see %s.log", r.name, filepath.Join(r.dir, r.name))
 		case <-ctx.Done():
-			return fmt.Errorf("router %s does not listen: %w", r.name, err)
+			return fmt.Errorf("router %s does not accept connections: %w", r.name, err)
 		case <-time.After(5 * time.Millisecond):
 		}
 	}
 }
 
-// setDown marks the router as gone, for the front to notice.
+// setDown marks the router as down or up, for the front to notice.
 func (r *router) setDown(down bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.down, r.downSince = down, time.Now()
 }
 
-// kill ends all its processes outright.
+// kill kills all processes of the router.
 func (r *router) kill() {
 	r.setDown(true)
 	r.f.log.Add(record.Event{Who: "fleet", Kind: record.Killed, Router: r.name})
@@ -323,7 +323,7 @@
 	r.listRouter("gone")
 }
 
-// listRouter has the roster list the router, where it lists routers.
+// listRouter lists the router in the roster, if the scenario lists routers there.
 func (r *router) listRouter(state string) {
 	if r.f.s.Settings.ListRouters {
 		r.f.roster.Set(standin.Listed{Addr: r.addr, Service: "routers", State: state})
@@ -345,7 +345,7 @@
 	return nil
 }
 
-// tearDown ends everything that was started.
+// tearDown stops everything that was started.
 func (f *fleet) tearDown() (err error) {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
--- a/internal/scenario/http.go
+++ b/internal/scenario/http.go
@@ -22,7 +22,7 @@
 	"gannethook/internal/standin"
 )
 
-// closeHTTP ends the connection; what still comes on it breaks rule 1.
+// closeHTTP ends the connection. Data that still arrives on it violates rule 1.
 func (u *virtualUser) closeHTTP() {
 	if u.http == nil {
 		return
@@ -33,7 +33,7 @@
 	u.http = nil
 }
 
-// connectHTTP gives a connection that stands, at a router that the front takes to be up.
+// connectHTTP reuses the connection if it is intact, or opens one to the user's router.
 func (u *virtualUser) connectHTTP(ctx context.Context) error {
 	if u.http != nil {
 		err := u.http.Stands()
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// batchTexts has a batch's texts: they go by the request's name, and have its tokens in all.
+// batchTexts returns a batch's texts. They depend on the request's name, and have its prompt tokens in total.
 func (a *plannedRequest) batchTexts() []string {
 	list := make([]string, a.texts)
 	each := max(a.promptTokens*4/max(a.texts, 1), 8)
@@ -69,7 +69,7 @@
 	return list
 }
 
-// requestBody is a request of a class, and where it goes.
+// requestBody returns the path and body of a request of a class.
 func (u *virtualUser) requestBody(a *plannedRequest, class *Class) (path string, body []byte) {
 	var request any
 	switch class.Work {
@@ -136,7 +136,7 @@
 	return u.readBatchHTTP(a, n, answer, &cut)
 }
 
-// recordLostHTTP records a try without a final answer.
+// recordLostHTTP records a try without a final answer, and drops the connection.
 func (u *virtualUser) recordLostHTTP(a *plannedRequest, n int, reason string, cut *atomic.Value) tryResult {
 	if cutReason, ok := cut.Load().(string); ok {
 		reason = cutReason
@@ -147,7 +147,7 @@
 	return tryResult{kind: "lost", disconnected: reason == "left"}
 }
 
-// readErrorHTTP takes an answer that is not 200.
+// readErrorHTTP reads an answer with a status other than 200.
 func (u *virtualUser) readErrorHTTP(a *plannedRequest, n int, res *http1.Response, answer *http1.Body, cut *atomic.Value) tryResult {
 	body, err := io.ReadAll(answer)
 	var e struct {
@@ -171,8 +171,8 @@
 	return result
 }
 
-// readStreamHTTP reads a streamed chat to its end. A client that stalls reads
-// nothing after its first token, until its trouble is over; then it leaves.
+// readStreamHTTP reads a streamed chat to its end. A stalled client reads nothing after its first token until the fault
+// ends, and then disconnects.
 func (u *virtualUser) readStreamHTTP(a *plannedRequest, n int, answer *http1.Body, cut *atomic.Value) tryResult {
 	events := http1.NewEvents(answer)
 	first := time.Time{}
@@ -206,7 +206,7 @@
 	}
 }
 
-// stallTime is how long a client reads nothing, 0 for one that reads.
+// stallTime returns how long a client reads nothing; 0 if it does not stall.
 func (s *Script) stallTime(at time.Duration, seed uint64) time.Duration {
 	for _, f := range s.Faults {
 		if f.Kind == "stalled-clients" && at >= f.From && at < f.From+f.For && float64(seed%1000)/1000 < max(f.Share, 0.001) {
@@ -234,7 +234,7 @@
 	return tryResult{kind: "served"}
 }
 
-// checkEmbeddings tells whether each text has its own embedding, in order.
+// checkEmbeddings checks that each text has its own embedding, in order.
 func checkEmbeddings(a *plannedRequest, body []byte) error {
 	var v struct {
 		Data []struct {
@@ -247,19 +247,19 @@
 	}
 	list := a.batchTexts()
 	if len(v.Data) != len(list) {
-		return fmt.Errorf("%d embeddings of %d", len(v.Data), len(list))
+		return fmt.Errorf("%d embeddings for %d texts", len(v.Data), len(list))
 	}
 	for i, d := range v.Data {
 		if d.Index != i || !slices.EqualFunc(d.Embedding, standin.Embedding(list[i], len(d.Embedding)), func(x, y float32) bool {
 			return math.Abs(float64(x-y)) < 1e-6
 		}) {
-			return fmt.Errorf("embedding %d is not its text's", i)
+			return fmt.Errorf("embedding %d does not match its text", i)
 		}
 	}
 	return nil
 }
 
-// checkRanking tells whether the best documents came, in order.
+// checkRanking checks that the most relevant documents came, in order.
 func checkRanking(a *plannedRequest, body []byte) error {
 	var v struct {
 		Results []struct {
@@ -283,7 +283,7 @@
 	}
 	for i, r := range v.Results {
 		if r.Index < 0 || r.Index >= len(list) || r.Score != scores[r.Index] || r.Score != want[i] {
-			return fmt.Errorf("result %d is not the one due", i)
+			return fmt.Errorf("result %d is not the expected one", i)
 		}
 	}
 	return nil
--- a/internal/scenario/loads.go
+++ b/internal/scenario/loads.go
@@ -12,15 +12,15 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// OverloadDay is the embedded day of overload.
+// OverloadDay is the embedded overload scenario.
 //
 //go:embed overload.gann
 var OverloadDay string
 
-// warmUpTime is left out of goodput: engines and limits start cold.
+// warmUpTime is excluded from goodput: engines and limits start cold.
 const warmUpTime = 5 * time.Second
 
-// Goodput is the worth that was served in time a second, once the day had settled in.
+// Goodput returns the worth served in time per second, after the warm-up time.
 func (r *Result) Goodput() float64 {
 	sum := 0.0
 	for i := range r.Outcomes {
@@ -31,9 +31,9 @@
 	return sum / (r.Script.Length - warmUpTime).Seconds()
 }
 
-// Recovery is how long after the day's first burst service was back for good:
-// the share of the worth that is served in time, over each three seconds from
-// then on, at nine tenths of what it was before. ok is false where that did not come.
+// Recovery returns how long after the end of the scenario's first burst service had recovered for good: from then on, the
+// share of the worth that is served in time is at least nine tenths of the share before the burst, in every window of three
+// seconds. ok is false if it did not recover.
 func (r *Result) Recovery() (after time.Duration, ok bool) {
 	var burst *Fault
 	for i := range r.Script.Faults {
@@ -61,24 +61,24 @@
 	return recovered, recovered >= 0
 }
 
-// servedWorth is the share of the worth asked for in a span that was served in time.
+// servedWorth returns the share of the worth of the requests sent in a time span that was served in time.
 func (r *Result) servedWorth(from, to time.Duration) float64 {
-	asked, served := 0.0, 0.0
+	sent, served := 0.0, 0.0
 	for i := range r.Outcomes {
 		e := &r.Outcomes[i]
 		if e.at < from || e.at >= to {
 			continue
 		}
 		worth := r.Script.Classes[e.class].Worth
-		if asked += worth; e.inTime {
+		if sent += worth; e.inTime {
 			served += worth
 		}
 	}
-	return served / max(asked, 1e-9)
+	return served / max(sent, 1e-9)
 }
 
-// refusalShares are the parts of the requests that were turned away last by the
-// limits, for want of room and for their tenants' budgets, and by the module.
+// refusalShares returns the shares of all requests whose last refusal came from the capacity limits, from the tenants'
+// budgets, and from the module.
 func (r *Result) refusalShares() (capacity, budget, module float64) {
 	for reason, n := range r.Reasons {
 		fraction := float64(n) / max(float64(r.All.Offered), 1)
@@ -95,7 +95,7 @@
 	return capacity, budget, module
 }
 
-// CompareLoads prints days at several loads, a line each.
+// CompareLoads prints runs at several loads, one line each.
 func CompareLoads(w io.Writer, list []*Result) {
 	fmt.Fprintf(w, "%-7s %6s %8s %9s %9s %8s %9s %8s %7s %7s %9s %s\n", "limits", "times", "offered", "goodput", "in time",
 		"no room", "budgets", "module", "tries", "Jain", "recovery", "rules")
@@ -141,7 +141,7 @@
 // ChartLoads draws goodput over load, with the limits on and off.
 func ChartLoads(path string, list []*Result) error {
 	if len(list) == 0 {
-		return fmt.Errorf("chart: no days")
+		return fmt.Errorf("chart: no runs to draw")
 	}
 	p := plot.New()
 	s := list[0].Script
--- a/internal/scenario/operate.go
+++ b/internal/scenario/operate.go
@@ -14,7 +14,7 @@
 	"gannethook/internal/record"
 )
 
-// writeFleetFile writes the file that the fleet tool knows the routers from.
+// writeFleetFile writes the file that lists the routers for the fleet tool.
 func (f *fleet) writeFleetFile() error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "(fleet day)\n(times (call 2s) (drain %v) (start 10s) (hang 2s) (again 6s))\n", f.s.Settings.Drain)
@@ -26,7 +26,7 @@
 
 func (f *fleet) fleetPath() string { return filepath.Join(f.dir, "fleet.gann") }
 
-// probe records what a router is, seen from outside.
+// probe records a router's process and readiness, as seen from outside.
 func (f *fleet) probe(r *router) {
 	e := record.Event{Who: "fleet", Kind: record.Probe, Router: r.name}
 	if r.alive() {
@@ -38,9 +38,8 @@
 	f.log.Add(e)
 }
 
-// runTool runs the fleet tool on one router and records its exit status, and what
-// the router was before and after. meanwhile runs beside it, with a context
-// that ends with the tool.
+// runTool runs the fleet tool on one router and records its exit status and the router's state before and after.
+// concurrent runs at the same time, with a context that ends when the tool exits.
 func (f *fleet) runTool(r *router, verb string, concurrent func(context.Context)) int {
 	f.toolMu.Lock()
 	f.toolRuns++
@@ -74,11 +73,11 @@
 
 func noop(context.Context) {}
 
-// operate does to routers, one after the other, what an operator does.
+// operate runs an operator's commands on routers, one after the other.
 func (f *fleet) operate(ctx context.Context, kind string, which []int, duration time.Duration) {
 	for n, i := range which {
 		r, from := f.routers[i], time.Now()
-		r.opsMu.Lock() // one operator at a router: what happened is one command's doing
+		r.opsMu.Lock() // one command at a time per router, so that a change can be attributed to it
 		switch kind {
 		case "fleet-restart":
 			f.runTool(r, "restart", noop)
@@ -100,8 +99,8 @@
 	}
 }
 
-// killDuring kills a router while it carries out a command: the router says in its
-// events that it has the command before the signal goes out.
+// killDuring kills a router while it carries out a command: the signal goes out after the router has reported in its events
+// that it received the command.
 func (f *fleet) killDuring(ctx context.Context, r *router, verb string, n int) {
 	before, pid := f.commandsTaken(r, verb), r.pid()
 	f.runTool(r, verb, func(during context.Context) {
@@ -109,10 +108,10 @@
 			sleep(during, time.Millisecond)
 		}
 		if during.Err() != nil {
-			return // the tool was done first: nothing was cut
+			return // the tool finished first: nothing was interrupted
 		}
 		r.kill()
-		if n%2 == 0 { // started again while the tool looks for it
+		if n%2 == 0 { // restarted while the tool is waiting for it
 			sleep(ctx, 500*time.Millisecond)
 			f.restartRouter(ctx, r)
 		}
@@ -125,13 +124,13 @@
 	}
 }
 
-// commandsTaken counts a router's events of having taken a command.
+// commandsTaken counts the events in which a router reports that it received a command.
 func (f *fleet) commandsTaken(r *router, verb string) int {
 	out, _ := f.command("fleet", "--fleet", f.fleetPath(), "watch", "--once", r.name).Output()
 	return strings.Count(string(out), " command   "+verb+", id ")
 }
 
-// hangDuring stops a router's processes in their tracks before the command.
+// hangDuring suspends a router's processes while a drain runs, and resumes them after it.
 func (f *fleet) hangDuring(r *router) {
 	f.runTool(r, "drain", func(during context.Context) {
 		if sleep(during, 100*time.Millisecond) {
--- a/internal/scenario/operations.go
+++ b/internal/scenario/operations.go
@@ -12,26 +12,26 @@
 	"gannethook/internal/record"
 )
 
-// operation is one run of the fleet tool against what its router had open.
+// operation is one run of the fleet tool, with the tries that were open at its router.
 type operation struct {
 	Verb, Router string
 	At, Took     float64 // ms
-	OpenTries    int     // tries without a final answer as it began
+	OpenTries    int     // tries without a final answer when the run began
 	Longest      float64 // ms from then to the last of their final answers
 	killed       bool
 }
 
-// operations finds the tool's drains and restarts in a day's records.
+// operations returns the tool's drains and restarts in the records of a run, without those whose router was killed.
 func operations(events []record.Event) (list []operation) {
 	type try struct {
 		req string
 		n   int
 	}
-	byKey := map[string]*operation{}      // by the tool's key
+	byKey := map[string]*operation{}      // by the key of the run
 	open := map[string]map[try]bool{}     // by router
-	pending := map[try][]*operation{}     // whose longest answer this may be
-	ended := map[*operation]bool{}        // the tool is done
-	byRouter := map[string][]*operation{} // that run
+	pending := map[try][]*operation{}     // operations that a try's final answer may prolong
+	ended := map[*operation]bool{}        // operations whose run has ended
+	byRouter := map[string][]*operation{} // all operations
 	var order []*operation
 	for _, e := range events {
 		t := try{e.Req, e.Try}
@@ -44,7 +44,7 @@
 		case record.Final, record.Lost:
 			delete(open[e.Router], t)
 			for _, o := range pending[t] {
-				if e.Kind == record.Final { // also one that outlives the tool's run
+				if e.Kind == record.Final { // also if it comes after the end of the tool's run
 					o.Longest = max(o.Longest, e.T-o.At)
 				}
 			}
@@ -76,8 +76,8 @@
 	return list
 }
 
-// firstTokens are the ms to the first token of first tries: in the second half
-// of the time before the first restart, when engines are warm, and while one runs.
+// firstTokens returns the times to the first token of first tries, in ms and sorted: in the second half of the time before
+// the first command, when engines have warmed up, and while a restart runs.
 func firstTokens(events []record.Event) (before, during []float64) {
 	restarted, running := false, map[string]bool{}
 	warm := 0.0
@@ -127,7 +127,7 @@
 	return sorted[min(int(q*float64(len(sorted))), len(sorted)-1)]
 }
 
-// WriteOperations prints what drains and restarts took, and what they cost clients.
+// WriteOperations prints how long drains and restarts took, and their effect on clients.
 func (r *Result) WriteOperations(w io.Writer) {
 	list := operations(r.Events)
 	if len(list) == 0 {
@@ -153,8 +153,7 @@
 		quantile(during, 0.99)/max(quantile(before, 0.99), 1))
 }
 
-// ChartOperations draws what each drain and restart took over the longest
-// answer that was open as it began.
+// ChartOperations draws the duration of each drain and restart over the longest answer that was open when it began.
 func (r *Result) ChartOperations(path string) error {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("Drains and restarts of day %s, seed %d (stand-ins)", r.Script.Name, r.Script.Seed)
--- a/internal/scenario/plan.go
+++ b/internal/scenario/plan.go
@@ -8,30 +8,29 @@
 	"time"
 )
 
-// plannedRequest is one request that a client will make.
+// plannedRequest is one request that a client will send.
 type plannedRequest struct {
 	name            string
 	class           int
 	promptTokens    int
-	texts           int // of a batch
+	texts           int // number of texts of a batch
 	prefix          string
-	think           time.Duration // before it, within a session
-	disconnect      bool          // its client cuts the socket once the answer has begun or soon after it asked
+	think           time.Duration // pause before the request within its session
+	disconnect      bool          // the client cuts its connection disconnectAfter after sending the request
 	disconnectAfter time.Duration
 	seed            uint64
 }
 
-// plannedSession is one session's requests, from a time on.
+// plannedSession is one session with its requests, from a time on.
 type plannedSession struct {
 	at       time.Duration
 	name     string
 	tenant   int // -1: none
 	requests []plannedRequest
-	router   int // router that it comes to, by the front's draw
+	router   int // router that the front assigns at first
 }
 
-// plan draws a day's sessions from its seed: the same script and seed give the
-// same requests at the same times.
+// plan draws the sessions of a scenario: the same script and seed give the same requests at the same times.
 func (s *Script) plan() []plannedSession {
 	rng := rand.New(rand.NewPCG(s.Seed, 0x646179))
 	meanTurns := float64(1+s.Clients.MaxTurns) / 2
@@ -51,8 +50,8 @@
 	}
 }
 
-// trafficShares are how many times the usual traffic there is, from each tenant, and
-// their sum; where there are no tenants, of all.
+// trafficShares returns the traffic of each tenant relative to the usual total, and the sum; without tenants, one entry for
+// all traffic.
 func (s *Script) trafficShares(at time.Duration) (shares []float64, sum float64) {
 	total := 0.0
 	for _, t := range s.Tenants {
@@ -94,7 +93,7 @@
 	return session
 }
 
-// drawBetween draws a number from a least to a most; 0 where they are not given.
+// drawBetween draws a number from bounds, a minimum and a maximum; 0 if they are not given.
 func drawBetween(rng *rand.Rand, bounds []int) int {
 	if len(bounds) != 2 {
 		return 0
@@ -102,7 +101,7 @@
 	return bounds[0] + rng.IntN(bounds[1]-bounds[0]+1)
 }
 
-// drawClass draws a class, of those that a tenant asks for.
+// drawClass draws one of the classes that a tenant uses.
 func (s *Script) drawClass(rng *rand.Rand, tenant int) int {
 	weights := make([]float64, len(s.Classes))
 	for i, c := range s.Classes {
@@ -113,7 +112,7 @@
 	return drawWeighted(rng, weights)
 }
 
-// drawWeighted draws a place by the parts.
+// drawWeighted draws an index with probability proportional to its weight.
 func drawWeighted(rng *rand.Rand, weights []float64) int {
 	total, last := 0.0, 0
 	for i, weight := range weights {
@@ -131,7 +130,7 @@
 	return last
 }
 
-// chooseTargets draws which of n a trouble strikes: at least one, by the day's seed and the trouble's place.
+// chooseTargets draws which of n targets a fault affects: at least one, by the scenario's seed and the fault's index.
 func (s *Script) chooseTargets(fault, n int) []int {
 	f := &s.Faults[fault]
 	share := f.Share
@@ -145,7 +144,7 @@
 	return list
 }
 
-// eagerRetries tells whether clients come again at once and more often at a time.
+// eagerRetries reports whether clients retry at once at a time, and how often.
 func (s *Script) eagerRetries(at time.Duration) (retries int, on bool) {
 	for _, f := range s.Faults {
 		if f.Kind == "eager-retries" && at >= f.From && at < f.From+f.For {
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -16,14 +16,14 @@
 	"gannethook/internal/rules"
 )
 
-// Counts counts how requests ended.
+// Counts counts requests by outcome.
 type Counts struct {
 	Offered, InTime, Served, Refused, Failed, Lost, Tries int
 	FirstToken                                            *hdrhistogram.Histogram // ms to the first token
-	Worth                                                 float64                 // served in time
+	Worth                                                 float64                 // worth of the requests served in time
 }
 
-// Result is a day's.
+// Result is the result of one run.
 type Result struct {
 	Script      *Script
 	Policy      string
@@ -34,15 +34,15 @@
 	Verdict     *rules.Verdict
 	Events      []record.Event
 	Outcomes    []outcome // of the requests
-	Applied     int       // effects that happened, as the stand-ins count them
-	Duplicated  int       // requests whose effect happened more than once, as they count
+	Applied     int       // effects that the stand-ins counted
+	Duplicated  int       // requests that took effect more than once, as the stand-ins counted
 	Elapsed     time.Duration
-	Ops         *rules.Operations // what operators did
-	Times       float64           // the script's rate, where it was played at several
-	ShutdownErr error             // what went wrong as all was stopped
+	Ops         *rules.Operations // runs of the fleet tool
+	Times       float64           // factor on the script's rate, when it is run at several loads
+	ShutdownErr error             // fault during the shutdown of the run
 }
 
-// Run plays a day in a folder, which keeps settings, logs and records.
+// Run runs a scenario in a folder, which keeps settings, logs and records.
 func Run(ctx context.Context, s *Script, policy, dir string, command Command) (*Result, error) {
 	f := &fleet{s: s, log: record.New(), command: command, policy: policy, dir: dir}
 	err := f.setUp(ctx)
@@ -55,22 +55,22 @@
 	f.faultsDone.Go(func() { f.runFaults(ctx) })
 	pool.run(ctx, s.plan())
 	f.faultsDone.Wait()
-	if err := ctx.Err(); err != nil { // an interrupted day proves nothing
+	if err := ctx.Err(); err != nil { // an interrupted run gives no result
 		f.tearDown()
 		return nil, err
 	}
-	time.Sleep(s.Settings.PinLimit) // what is held to the last shows itself
+	time.Sleep(s.Settings.PinLimit) // holds that are not released within the pin limit show in the records
 	res := &Result{Script: s, Policy: policy, Elapsed: time.Since(f.start), ShutdownErr: f.tearDown()}
 	res.Events = f.log.Events()
 	res.Outcomes = pool.outcomes
 	res.countOutcomes(pool.outcomes)
 	res.countEffects(f)
 	res.Verdict = rules.Check(f.ruleConfig(), res.Events)
-	res.Ops = rules.Operators(res.Events, 2000)
+	res.Ops = rules.Operators(res.Events, 2000) // the timeout of connect and connectHTTP, in ms
 	return res, res.save(dir)
 }
 
-// ruleConfig is what the checker judges by.
+// ruleConfig returns the limits that the checker uses.
 func (f *fleet) ruleConfig() rules.Config {
 	cfg := rules.Config{Classes: map[string]rules.Class{}, Engines: map[string]rules.Location{},
 		AnswerMargin: 250, DrainGrace: f.s.Settings.Grace.Seconds() * 1000, PinLimit: f.s.Settings.PinLimit.Seconds() * 1000, ReleaseMargin: 100, DialTimeouts: 800}
@@ -136,7 +136,7 @@
 	}
 }
 
-// countsFor are those that a request counts in.
+// countsFor returns the counts that a request belongs to.
 func (r *Result) countsFor(o *outcome) []*Counts {
 	list := []*Counts{&r.All, &r.Class[o.class]}
 	if o.tenant >= 0 && o.tenant < len(r.Tenant) {
@@ -145,8 +145,8 @@
 	return list
 }
 
-// Jain is Jain's index over the tenants' served worth for their weights: 1 where
-// all got alike, 1/n where one got all.
+// Jain returns Jain's fairness index over the tenants' served worth by weight: 1 if all got the same, 1/n if one got
+// everything.
 func (r *Result) Jain() float64 {
 	sum, squares := 0.0, 0.0
 	for i := range r.Tenant {
@@ -159,7 +159,7 @@
 	return sum * sum / squares / float64(len(r.Tenant))
 }
 
-// countEffects takes the stand-ins' own count of effects.
+// countEffects sums the effects that the stand-ins counted.
 func (r *Result) countEffects(f *fleet) {
 	sum := map[string]int{}
 	for _, e := range f.engines() {
@@ -188,7 +188,7 @@
 	}
 }
 
-// save writes the records, and the timelines of what broke.
+// save writes the records, and the timelines of violations.
 func (r *Result) save(dir string) error {
 	w, err := os.Create(filepath.Join(dir, "records.jsonl"))
 	if err != nil {
@@ -211,7 +211,8 @@
 	return w.Close()
 }
 
-// OK tells whether no rule broke and the stand-ins agree.
+// OK reports whether no rule was violated, the stand-ins counted no effect twice, the check of operations passed and the
+// shutdown succeeded.
 func (r *Result) OK() bool {
 	return len(r.Verdict.Breaks) == 0 && r.Duplicated == 0 && r.ShutdownErr == nil && len(r.Ops.Breaks) == 0
 }
@@ -223,7 +224,7 @@
 	return fmt.Sprintf("%.1f%%", 100*float64(n)/float64(of))
 }
 
-// Write prints a day's table.
+// Write prints the table of a run.
 func (r *Result) Write(w io.Writer) {
 	s := r.Script
 	fmt.Fprintf(w, "day %s, seed %d, policy %s: %d routers, %d readers, %d writers, %.3g requests a second for %v (stand-ins)\n",
@@ -253,11 +254,11 @@
 	}
 	fmt.Fprintf(w, "attempts at engines %d, effects %d, effects twice %d\n", r.Verdict.Attempts, r.Applied, r.Duplicated)
 	for rule := 1; rule <= 5; rule++ {
-		word := "kept"
+		status := "kept"
 		if n := r.Verdict.Count(rule); n > 0 {
-			word = fmt.Sprintf("BROKEN %d times", n)
+			status = fmt.Sprintf("BROKEN %d times", n)
 		}
-		fmt.Fprintf(w, "rule %d %s\n", rule, word)
+		fmt.Fprintf(w, "rule %d %s\n", rule, status)
 	}
 	for _, b := range r.Verdict.Breaks[:min(len(r.Verdict.Breaks), 5)] {
 		fmt.Fprintf(w, "  %v\n", &b)
@@ -275,19 +276,19 @@
 	}
 }
 
-// Compare prints days of one script under several policies, a line each.
+// Compare prints runs of one script under several policies, one line each.
 func Compare(w io.Writer, results []*Result) {
 	fmt.Fprintf(w, "%-12s %5s %8s %8s %8s %8s %8s %8s %7s %s\n", "policy", "seed", "offered", "in time", "served",
 		"refused", "failed", "lost", "tries", "rules")
 	for _, r := range results {
 		t, kept := &r.All, "kept"
 		if !r.OK() {
-			var broken []int
+			var violated []int
 			for _, b := range r.Verdict.Breaks {
-				broken = append(broken, b.Rule)
+				violated = append(violated, b.Rule)
 			}
-			slices.Sort(broken)
-			kept = fmt.Sprintf("broken: %v", slices.Compact(broken))
+			slices.Sort(violated)
+			kept = fmt.Sprintf("broken: %v", slices.Compact(violated))
 		}
 		fmt.Fprintf(w, "%-12s %5d %8d %8s %8s %8s %8s %8s %7.2f %s\n", r.Policy, r.Script.Seed, t.Offered,
 			share(t.InTime, t.Offered), share(t.Served, t.Offered), share(t.Refused, t.Offered),
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -20,19 +20,19 @@
 	return s
 }
 
-// The same seed gives the same requests at the same times; another one does not.
+// The same seed gives the same requests at the same times; another seed does not.
 func TestPlan(t *testing.T) {
 	s := badScript(t)
 	one, two := fmt.Sprint(s.plan()), fmt.Sprint(s.plan())
 	if one != two {
-		t.Error("a seed gives two plans")
+		t.Error("the same seed gives two plans")
 	}
 	n := 0
 	for _, v := range s.plan() {
 		n += len(v.requests)
 	}
 	if want := s.Rate * s.Length.Seconds(); float64(n) < 0.9*want || float64(n) > 1.1*want {
-		t.Errorf("%d requests, about %g asked for", n, want)
+		t.Errorf("%d requests, want about %g", n, want)
 	}
 	s.Seed++
 	if fmt.Sprint(s.plan()) == one {
@@ -44,7 +44,7 @@
 	s := badScript(t)
 	for i, f := range s.Faults {
 		if got, want := len(s.chooseTargets(i, 16)), max(int(f.Share*16+0.5), 1); got != want {
-			t.Errorf("%v: strikes %d of 16, want %d", &f, got, want)
+			t.Errorf("%v: affects %d of 16, want %d", &f, got, want)
 		}
 	}
 }
@@ -57,7 +57,7 @@
 	}
 }
 
-// What comes after a final answer, also as the session ends, reaches the checker as a break of rule 1.
+// Events after a final answer, also those during the close of a session, reach the checker as violations of rule 1.
 func TestLateEventsCount(t *testing.T) {
 	s := badScript(t)
 	f := &fleet{s: s, log: record.New()}
@@ -66,7 +66,7 @@
 	u.lastRequest, u.lastTry, u.responseID = a, 1, "resp"
 	u.logEvent(a, 1, record.Offer, "", 1000)
 	u.logEvent(a, 1, record.Final, "served", 0)
-	u.recordLate(&realtime.Server{Type: realtime.ItemDone}) // of no response
+	u.recordLate(&realtime.Server{Type: realtime.ItemDone}) // belongs to no response
 	if v := rules.Check(f.ruleConfig(), f.log.Events()); len(v.Breaks) != 0 {
 		t.Errorf("%v", v.Breaks)
 	}
@@ -78,10 +78,10 @@
 
 func TestScriptErrors(t *testing.T) {
 	for _, c := range []struct{ from, to, want string }{
-		{"(fault crash", "(fault crahs", `trouble "crahs" is not known`},
+		{"(fault crash", "(fault crahs", `fault "crahs" is not known`},
 		{"(effect unsafe)", "(effect bad)", `effect "bad" is not safe, keyed or unsafe`},
 		{"(prompt 300 2500)", "(prompt 2500 300)", "(prompt LEAST MOST)"},
-		{"(at 25s) (for 6s)", "(at 55s) (for 6s)", "the trouble ends after the day"},
+		{"(at 25s) (for 6s)", "(at 55s) (for 6s)", "the fault ends after the scenario"},
 		{"(part 0.18)", "(part 1.8)", "a part is 1 at the most"},
 		{"(rate 95)", "(rate 0)", "above 0"},
 	} {
@@ -92,8 +92,8 @@
 	}
 }
 
-// What a drain is measured against counts answers that outlive it: otherwise no
-// drain could ever end before its longest answer.
+// A drain's duration is compared with the longest answer that was open, which may end after the drain: if only answers that
+// end before it counted, no drain could be shorter than its longest answer.
 func TestOperations(t *testing.T) {
 	ev := func(at float64, kind, req, note string) record.Event {
 		return record.Event{T: at, Kind: kind, Req: req, Try: 1, Router: "r0", Key: "t1", Note: note}
@@ -106,6 +106,6 @@
 	}
 	killed := append(events[:3:3], ev(20, record.Killed, "", ""), ev(40, record.ToolEnd, "", "drain"))
 	if list := operations(killed); len(list) != 0 {
-		t.Errorf("a drain of a killed router is measured: %+v", list)
+		t.Errorf("the drain of a killed router is included: %+v", list)
 	}
 }
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -1,6 +1,5 @@
-// Package scenario plays a scripted day: routers as processes of their own, stand-in
-// engines and a roster, clients at a rate, and faults at their times. What
-// passed on the sockets is recorded and judged by package rules.
+// Package scenario runs a scripted scenario: routers as processes of their own, stand-in engines and an EndpointSlice API,
+// clients at a given rate, and faults at given times. The traffic is recorded and checked by package rules.
 package scenario
 
 import (
@@ -12,13 +11,13 @@
 	"gannethook/internal/sexp"
 )
 
-// Script is a day's file; docs/days.md has its forms.
+// Script is a scenario file; docs/days.md describes its forms.
 type Script struct {
 	At          sexp.Pos
 	Name        string         `gann:"name,need"`
 	Seed        uint64         `gann:"seed"`
 	Length      time.Duration  `gann:"length,need"`
-	Rate        float64        `gann:"rate,need"` // requests a second, without tries again
+	Rate        float64        `gann:"rate,need"` // requests per second, without retries
 	Routers     int            `gann:"routers"`
 	Readers     int            `gann:"readers"`
 	Writers     int            `gann:"writers"`
@@ -27,12 +26,12 @@
 	Clients     Clients        `gann:"clients"`
 	Classes     []Class        `gann:"class,need"`
 	Tenants     []Tenant       `gann:"tenant"`
-	NoticeDelay time.Duration  `gann:"notice"` // the roster tells of a death so late, on average
+	NoticeDelay time.Duration  `gann:"notice"` // mean delay with which the roster reports a change
 	Faults      []Fault        `gann:"fault"`
 	Settings    RouterSettings `gann:"router"`
 }
 
-// Engine sizes stand-ins.
+// Engine configures stand-in engines; the fields have the meaning of those of standin.Config.
 type Engine struct {
 	Slots        int           `gann:"slots"`
 	Queue        int           `gann:"queue"`
@@ -42,96 +41,96 @@
 	TokenGap     time.Duration `gann:"token-gap"`
 	WarmAfter    time.Duration `gann:"warm-after"`
 	ColdFrom     float64       `gann:"cold-from"`
-	IgnoreCancel bool          `gann:"deaf"` // goes on with what was given up
+	IgnoreCancel bool          `gann:"deaf"` // continues with requests that the router cancelled
 }
 
-// Clients tell how clients behave.
+// Clients describes the behaviour of clients.
 type Clients struct {
 	Retries         int           `gann:"retries"`
 	Backoff         time.Duration `gann:"backoff"`
-	DisconnectShare float64       `gann:"drop"`  // part of the requests whose client cuts its socket and comes again
-	MaxTurns        int           `gann:"turns"` // of a session, at the most
+	DisconnectShare float64       `gann:"drop"`  // share of the requests whose client disconnects and retries
+	MaxTurns        int           `gann:"turns"` // most requests of a session
 	ThinkTime       time.Duration `gann:"think"`
-	DetectDelay     time.Duration `gann:"front-notice"` // the front goes on sending to a dead router for so long
+	DetectDelay     time.Duration `gann:"front-notice"` // the front sends clients to a dead router for this long
 }
 
-// Class is a class of the day's requests.
+// Class is a class of requests.
 type Class struct {
 	At         sexp.Pos
 	Name       string        `gann:"#,need"`
 	Effect     string        `gann:"effect,need"`
 	Share      float64       `gann:"part,need"`
-	Prompt     []sexp.Tokens `gann:"prompt,need"` // least and most
-	MaxTokens  int           `gann:"out,need"`    // most tokens
+	Prompt     []sexp.Tokens `gann:"prompt,need"` // minimum and maximum size
+	MaxTokens  int           `gann:"out,need"`    // most answer tokens
 	Aim        time.Duration `gann:"aim,need"`
 	Timeout    time.Duration `gann:"give-up,need"`
 	Worth      float64       `gann:"worth"`
-	Prefixes   int           `gann:"beginnings"` // shared beginnings
+	Prefixes   int           `gann:"beginnings"` // number of shared prefixes
 	Group      string        `gann:"group"`
 	Window     time.Duration `gann:"window"`
 	AimPer1000 time.Duration `gann:"aim-per-1000"`
 	Work       settings.Work `gann:"work"`
 	Front      string        `gann:"front"` // session or http
-	Texts      []int         `gann:"texts"` // of a batch, least and most
+	Texts      []int         `gann:"texts"` // of a batch, minimum and maximum
 	Priority   int           `gann:"priority"`
 }
 
-// Tenant is one tenant of the day. Its budgets are those of the routers' settings.
+// Tenant is one tenant. Its budgets are those of the routers' settings.
 type Tenant struct {
 	At      sexp.Pos
 	Name    string            `gann:"#,need"`
 	Share   float64           `gann:"part,need"` // of the requests
 	Weight  float64           `gann:"weight"`
-	Classes []string          `gann:"only"` // classes that it asks for; all if not given
+	Classes []string          `gann:"only"` // classes that it uses; all if not given
 	Budgets []settings.Budget `gann:"budget"`
 }
 
-// RouterSettings of the routers that a day may change.
+// RouterSettings has the router settings that a scenario may change.
 type RouterSettings struct {
 	PinLimit      time.Duration `gann:"pin-limit"`
 	Grace         time.Duration `gann:"drain-grace"`
 	Holds         bool          `gann:"holds"`
 	Drain         time.Duration `gann:"drain"`
-	Limits        bool          `gann:"limits"` // no: only the module says no
-	MinRetryAfter time.Duration `gann:"back"`   // a refusal advises so long at the least
+	Limits        bool          `gann:"limits"` // admission limits; if off, only the module refuses requests
+	MinRetryAfter time.Duration `gann:"back"`   // least retry-after of a refusal
 	InitialLimit  int           `gann:"in-hand"`
-	ListRouters   bool          `gann:"listed"` // the roster lists the routers, too
+	ListRouters   bool          `gann:"listed"` // the roster lists the routers as well
 	Attempts      int           `gann:"attempts"`
 }
 
-// Fault is one trouble of a day.
+// Fault is one scheduled fault, of a kind in FaultKinds.
 type Fault struct {
 	At     sexp.Pos
 	Kind   string        `gann:"#,need"`
 	From   time.Duration `gann:"at,need"`
 	For    time.Duration `gann:"for,need"`
 	Share  float64       `gann:"part"` // of the engines, or of the routers
-	Size   float64       `gann:"size"` // times slower, part of errors, times the traffic, ...
+	Size   float64       `gann:"size"` // the fault's magnitude: slowdown factor, share of errors, traffic factor, ...
 	On     string        `gann:"on"`   // readers, writers or both
 	Class  string        `gann:"class"`
-	Tenant string        `gann:"tenant"` // of a burst: it alone
+	Tenant string        `gann:"tenant"` // for a burst: the only tenant affected
 }
 
-// FaultKinds of faults, every kind of trouble that a bench day brings, and what
-// operators do to routers with the fleet tool.
+// FaultKinds lists the kinds of faults: faults of engines, routers, clients and the roster, and operators' commands to
+// routers with the fleet tool.
 var FaultKinds = []string{"crash", "vanish", "slow", "hang", "fast-errors", "late-reports", "burst", "deploy",
 	"router-crash", "router-roll", "shared-slow", "ageing", "slow-handshakes", "throttle", "eager-retries",
 	"break-streams", "stall-streams", "roster-cut", "stalled-clients",
 	"fleet-restart", "fleet-drain", "kill-restart", "kill-drain", "hang-drain"}
 
-// Parse reads a script; name stands for it in errors.
+// Parse parses a script; name stands for its file in errors.
 func Parse(name, text string) (*Script, error) {
 	s := defaults()
 	return sexp.Checked(s, sexp.Read(name, text, s), s.check)
 }
 
-// Load reads a script's file.
+// Load reads a script from a file.
 func Load(path string) (*Script, error) {
 	s := defaults()
 	return sexp.Checked(s, sexp.ReadFile(path, s), s.check)
 }
 
-// defaults hold where the script is silent.
+// defaults returns a script with the values that apply where a file gives none.
 func defaults() *Script {
 	return &Script{Seed: 1, Routers: 2, Readers: 2, Writers: 2, NoticeDelay: 1500 * time.Millisecond,
 		Clients: Clients{Retries: 1, Backoff: 200 * time.Millisecond, MaxTurns: 3, ThinkTime: time.Second,
@@ -172,7 +171,7 @@
 	}
 	for _, f := range s.Faults {
 		if !slices.Contains(FaultKinds, f.Kind) {
-			return sexp.Errorf(f.At, "trouble %q is not known; known are %q", f.Kind, FaultKinds)
+			return sexp.Errorf(f.At, "fault %q is not known; known are %q", f.Kind, FaultKinds)
 		}
 		if f.Share > 1 {
 			return sexp.Errorf(f.At, "a part is 1 at the most")
@@ -181,16 +180,16 @@
 			return sexp.Errorf(f.At, "(on ...) takes readers, writers or both")
 		}
 		if f.Tenant != "" && (f.Kind != "burst" || s.tenantIndex(f.Tenant) < 0) {
-			return sexp.Errorf(f.At, "(tenant ...) names one of the day's, for a burst")
+			return sexp.Errorf(f.At, "(tenant ...) names one of the scenario's tenants, for a burst")
 		}
 		if f.From+f.For > s.Length {
-			return sexp.Errorf(f.At, "the trouble ends after the day")
+			return sexp.Errorf(f.At, "the fault ends after the scenario")
 		}
 	}
 	return nil
 }
 
-// Without takes a tenant out, with its part of the rate.
+// Without removes a tenant, with its share of the rate.
 func (s *Script) Without(name string) {
 	i, total := s.tenantIndex(name), 0.0
 	if i < 0 {
@@ -204,13 +203,13 @@
 	s.Faults = slices.DeleteFunc(s.Faults, func(f Fault) bool { return f.Tenant == name })
 }
 
-// tenantIndex is the place of a tenant, or -1.
+// tenantIndex returns the index of a tenant, or -1.
 func (s *Script) tenantIndex(name string) int {
 	return slices.IndexFunc(s.Tenants, func(t Tenant) bool { return t.Name == name })
 }
 
-// Stretch makes all times of a day longer or shorter by a factor, its rate
-// staying: a short day for CI has the same troubles in the same order.
+// Stretch multiplies all times of a scenario by a factor and keeps its rate: a short run for CI has the same faults in the
+// same order.
 func (s *Script) Stretch(factor float64) {
 	if factor == 1 || factor <= 0 {
 		return
@@ -223,7 +222,7 @@
 	}
 }
 
-// Bad is the embedded bad day.
+// Bad is the embedded scenario with faults that the day command runs by default.
 //
 //go:embed bad.gann
 var Bad string
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -36,9 +36,9 @@
 	return e, log
 }
 
-var web = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 5 * time.Second}
+var httpClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 5 * time.Second}
 
-// post sends a completion; a reader's parameters go to a writer.
+// post sends a completion: a write if params has the transfer parameters of a read, else a read.
 func post(e *Engine, key, req, class string, size, tokens int, params json.RawMessage) (int, string) {
 	body, _ := json.Marshal(map[string]any{"prompt": "p", "max_tokens": tokens, "stream": params != nil,
 		"x_prompt_tokens": size, "kv_transfer_params": params})
@@ -46,7 +46,7 @@
 	r.Header.Set("X-Request-Id", key)
 	r.Header.Set("Idempotency-Key", req)
 	r.Header.Set("X-Request-Class", class)
-	res, err := web.Do(r)
+	res, err := httpClient.Do(r)
 	if err != nil {
 		return 0, err.Error()
 	}
@@ -55,7 +55,7 @@
 	return res.StatusCode, string(text)
 }
 
-func paramsOf(t *testing.T, text string) json.RawMessage {
+func transferParams(t *testing.T, text string) json.RawMessage {
 	t.Helper()
 	var v struct {
 		Params json.RawMessage `json:"kv_transfer_params"`
@@ -76,21 +76,21 @@
 	return n
 }
 
-func until(t *testing.T, what string, ok func() bool) {
+func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(5 * time.Second); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("never: " + what)
+			t.Fatal("timed out waiting until " + what)
 		}
 	}
 }
 
-// A state moves once: the second writer that asks for it finds none.
+// A state can be fetched once: a second write for the same read gets 409 no_state.
 func TestStateMovesOnce(t *testing.T) {
 	reader, _ := start(t, config(false), false)
 	writer, log := start(t, config(true), false)
 	_, text := post(reader, "r-b-1-0", "x", "q", 100, 1, nil)
-	p := paramsOf(t, text)
+	p := transferParams(t, text)
 	if code, text := post(writer, "r-b-1-0", "x", "q", 100, 5, p); code != 200 || !strings.HasSuffix(text, "data: [DONE]\n\n") {
 		t.Errorf("%d %s", code, text)
 	}
@@ -102,7 +102,7 @@
 	}
 }
 
-// A group drops a keyed request's repeats, and counts an unsafe one's.
+// A group drops the repeats of a keyed request, and applies those of an unsafe one.
 func TestRepeats(t *testing.T) {
 	reader, _ := start(t, config(false), false)
 	writer, _ := start(t, config(true), false)
@@ -110,7 +110,7 @@
 		for _, class := range []string{"keyed", "unsafe"} {
 			key := fmt.Sprintf("r-b-%s-%d", class, i)
 			_, text := post(reader, key, class, class, 100, 1, nil)
-			post(writer, key, class, class, 100, 5, paramsOf(t, text))
+			post(writer, key, class, class, 100, 5, transferParams(t, text))
 		}
 	}
 	if a := writer.Applied(); a["keyed"] != 1 || a["unsafe"] != 2 {
@@ -118,8 +118,8 @@
 	}
 }
 
-// A cold engine that is flooded falls over and stays down; a warm one does not.
-func TestFalls(t *testing.T) {
+// An engine in slow start crashes under overload and stays down; a warm engine does not.
+func TestOverloadDuringSlowStart(t *testing.T) {
 	for _, cold := range []bool{true, false} {
 		cfg := config(false)
 		cfg.Slots, cfg.Queue, cfg.ReadRate = 1, 1000, 1000
@@ -128,41 +128,41 @@
 			go post(e, fmt.Sprintf("r-b-%d-0", i), "x", "q", 100, 1, nil)
 		}
 		if cold {
-			until(t, "it falls over", func() bool { return !e.Alive() })
+			waitFor(t, "the engine crashes", func() bool { return !e.Alive() })
 			if count(log, record.Fell, "") != 1 {
-				t.Error("the fall is not recorded")
+				t.Error("the crash is not recorded")
 			}
 		} else {
-			until(t, "all have come", func() bool { return count(log, record.Arrive, "") == 60 })
+			waitFor(t, "all requests have arrived", func() bool { return count(log, record.Arrive, "") == 60 })
 			if !e.Alive() {
-				t.Error("a warm engine fell over")
+				t.Error("a warm engine crashed")
 			}
 		}
 		e.Kill()
 	}
-	until(t, "the clients are gone", func() bool { return goleak.Find(goleak.IgnoreCurrent()) == nil })
+	waitFor(t, "the clients have ended", func() bool { return goleak.Find(goleak.IgnoreCurrent()) == nil })
 }
 
-// A place lapses by itself where no write takes it.
-func TestPlaceLapses(t *testing.T) {
+// A place expires if no write takes it.
+func TestPlaceExpires(t *testing.T) {
 	writer, log := start(t, config(true), false)
-	r, err := web.Post("http://"+writer.Addr()+placesPath, "application/json",
+	r, err := httpClient.Post("http://"+writer.Addr()+placesPath, "application/json",
 		strings.NewReader(`{"request_id":"k","reader":"127.0.0.1:1","tokens":100,"idle_ms":20}`))
 	if err != nil || r.StatusCode != 201 {
 		t.Fatal(r, err)
 	}
 	r.Body.Close()
-	until(t, "it lapses", func() bool { return count(log, record.Freed, "place lapsed") == 1 })
+	waitFor(t, "the place expires", func() bool { return count(log, record.Freed, "place lapsed") == 1 })
 }
 
-// A frozen engine can't be dialled, records what it swallows, and runs it when it thaws.
+// A frozen engine accepts no connections, records requests that arrive on open ones, and runs them after the thaw.
 func TestFreeze(t *testing.T) {
 	e, log := start(t, config(false), false)
-	open, err := net.Dial("tcp", e.Addr())
+	idle, err := net.Dial("tcp", e.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer open.Close()
+	defer idle.Close()
 	if code, _ := post(e, "r-b-0-0", "w", "q", 10, 1, nil); code != 200 {
 		t.Fatal(code)
 	}
@@ -170,18 +170,18 @@
 	d := net.Dialer{Timeout: 100 * time.Millisecond}
 	if nc, err := d.DialContext(context.Background(), "tcp", e.Addr()); err == nil {
 		nc.Close()
-		t.Error("a frozen engine takes connections")
+		t.Error("a frozen engine accepts connections")
 	}
-	fmt.Fprintf(open, "POST %s HTTP/1.1\r\nHost: x\r\nX-Request-Id: r-b-1-0\r\nIdempotency-Key: x\r\nContent-Length: 15\r\n\r\n{\"stream\":true}", completionsPath)
-	until(t, "it is swallowed", func() bool { return count(log, record.Swallow, "write") == 1 })
+	fmt.Fprintf(idle, "POST %s HTTP/1.1\r\nHost: x\r\nX-Request-Id: r-b-1-0\r\nIdempotency-Key: x\r\nContent-Length: 15\r\n\r\n{\"stream\":true}", completionsPath)
+	waitFor(t, "the request is recorded as swallowed", func() bool { return count(log, record.Swallow, "write") == 1 })
 	if n := count(log, record.Arrive, "write"); n != 0 {
-		t.Errorf("%d came in while frozen", n)
+		t.Errorf("%d requests arrived while frozen", n)
 	}
 	e.Freeze(false)
-	until(t, "it comes in", func() bool { return count(log, record.Arrive, "write") == 1 })
+	waitFor(t, "the request arrives", func() bool { return count(log, record.Arrive, "write") == 1 })
 }
 
-// A jammed engine can't be dialled; what is open goes on.
+// A jammed engine accepts no new connections; open ones continue.
 func TestJam(t *testing.T) {
 	e, _ := start(t, config(false), false)
 	keep := &http.Client{Transport: &http.Transport{}, Timeout: 5 * time.Second}
@@ -201,10 +201,10 @@
 	d := net.Dialer{Timeout: 100 * time.Millisecond}
 	if nc, err := d.DialContext(context.Background(), "tcp", e.Addr()); err == nil {
 		nc.Close()
-		t.Error("a jammed engine takes connections")
+		t.Error("a jammed engine accepts connections")
 	}
 	if err := get(); err != nil {
-		t.Errorf("the open connection: %v", err)
+		t.Errorf("request on the open connection: %v", err)
 	}
 	e.Jam(false)
 	if nc, err := net.Dial("tcp", e.Addr()); err != nil {
@@ -214,24 +214,24 @@
 	}
 }
 
-// A watch that was cut must not hear of a later change: it would pass over what
-// was forgotten between, and never be told that its version is too old.
-func TestCutWatchHearsNothing(t *testing.T) {
+// A watch that was cut must not get a later change: it would skip the history that was compacted in between, and never
+// get the 410 for its version.
+func TestCutWatchGetsNoChange(t *testing.T) {
 	r := NewRoster("engines", nil)
 	cut := make(chan struct{})
 	r.watches[cut] = true
 	r.Set(Listed{Addr: "127.0.0.1:1", Kind: "prompt", State: "ready"})
 	if c, _ := r.nextChange(1, "", cut); c == nil {
-		t.Fatal("an open watch hears nothing")
+		t.Fatal("an open watch gets no change")
 	}
 	r.Forget()
 	r.Set(Listed{Addr: "127.0.0.1:1", Kind: "prompt", State: "gone"})
-	if c, wait := r.nextChange(2, "", cut); c != nil || wait != cut {
-		t.Errorf("a cut watch hears %v", c)
+	if c, ch := r.nextChange(2, "", cut); c != nil || ch != cut {
+		t.Errorf("a cut watch got %v", c)
 	}
 }
 
-// A held port can be listened on again and again, and is given to nobody else.
+// A held port can be listened on repeatedly, and the kernel gives it to no other socket.
 func TestHoldPort(t *testing.T) {
 	addr, release, err := HoldPort()
 	if err != nil {
@@ -256,7 +256,7 @@
 			t.Fatal(err)
 		}
 		if ln.Addr().String() == addr {
-			t.Fatal("a held port was given away")
+			t.Fatal("a held port was given to another listener")
 		}
 		defer ln.Close()
 	}
