--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -88,9 +88,9 @@
 type checker struct {
 	cfg          Config
 	events       []record.Event
-	byReq        map[string][]record.Event
-	byRequest    map[string][]record.Event // by request id at the engines, without the attempt number
-	clientReq    map[string]string         // request id at the engines: the client's request
+	byClientReq  map[string][]record.Event
+	byEngineReq  map[string][]record.Event // by request id at the engines, without the attempt number
+	clientReqOf  map[string]string         // request id at the engines: the client's request
 	killed       map[string][]span         // router: from each signal to the end of the process
 	opened       map[tryKey]float64        // when the session of a try was opened
 	dead         map[string][]span         // engine: from its death or crash to its next start
@@ -102,12 +102,12 @@
 
 // Check checks a complete recording.
 func Check(cfg Config, events []record.Event) *Verdict {
-	c := &checker{cfg: cfg, events: events, byReq: map[string][]record.Event{}, byRequest: map[string][]record.Event{},
-		clientReq: map[string]string{}, killed: map[string][]span{}, opened: map[tryKey]float64{}, verdict: &Verdict{}}
+	c := &checker{cfg: cfg, events: events, byClientReq: map[string][]record.Event{}, byEngineReq: map[string][]record.Event{},
+		clientReqOf: map[string]string{}, killed: map[string][]span{}, opened: map[tryKey]float64{}, verdict: &Verdict{}}
 	c.index()
-	for _, req := range sortedKeys(c.byReq) {
-		c.checkFinalAnswers(req, c.byReq[req])
-		c.checkEffects(req, c.byReq[req])
+	for _, req := range sortedKeys(c.byClientReq) {
+		c.checkFinalAnswers(req, c.byClientReq[req])
+		c.checkEffects(req, c.byClientReq[req])
 	}
 	c.checkDraining()
 	c.checkColdStart()
@@ -145,13 +145,13 @@
 	for _, e := range c.events {
 		c.end = max(c.end, e.T)
 		if e.Req != "" {
-			c.byReq[e.Req] = append(c.byReq[e.Req], e)
+			c.byClientReq[e.Req] = append(c.byClientReq[e.Req], e)
 		}
 		if e.Key != "" && e.Kind != record.Told {
 			_, request := splitKey(e.Key)
-			c.byRequest[request] = append(c.byRequest[request], e)
+			c.byEngineReq[request] = append(c.byEngineReq[request], e)
 			if e.Req != "" {
-				c.clientReq[request] = e.Req
+				c.clientReqOf[request] = e.Req
 			}
 		}
 		switch e.Kind {
@@ -172,10 +172,10 @@
 }
 
 func (c *checker) addViolation(rule int, req, format string, args ...any) {
-	timeline := slices.Clone(c.byReq[req])
-	for request, r := range c.clientReq {
+	timeline := slices.Clone(c.byClientReq[req])
+	for request, r := range c.clientReqOf {
 		if r == req {
-			timeline = append(timeline, c.byRequest[request]...)
+			timeline = append(timeline, c.byEngineReq[request]...)
 		}
 	}
 	slices.SortStableFunc(timeline, func(a, b record.Event) int {
@@ -422,8 +422,8 @@
 // checkHolds checks rule 5: while no attempt of a request is in flight, what is held for it is taken or released in time.
 func (c *checker) checkHolds() {
 	c.findOutages()
-	for _, request := range sortedKeys(c.byRequest) {
-		events := c.byRequest[request]
+	for _, request := range sortedKeys(c.byEngineReq) {
+		events := c.byEngineReq[request]
 		router, _ := splitKey(request + "-")
 		until := c.end
 		for _, k := range c.killed[router] {
@@ -439,7 +439,7 @@
 				limit += c.cfg.DialTimeouts
 			}
 			if idle := idle.to - idle.from; idle > limit {
-				c.addViolation(5, c.clientReq[request], "a state or place was held for %.0f ms with no attempt in flight", idle)
+				c.addViolation(5, c.clientReqOf[request], "a state or place was held for %.0f ms with no attempt in flight", idle)
 				break
 			}
 		}
--- a/internal/scenario/clients.go
+++ b/internal/scenario/clients.go
@@ -29,7 +29,7 @@
 
 // userPool runs all clients of a scenario.
 type userPool struct {
-	f        *fleet
+	fleet    *fleet
 	wg       sync.WaitGroup
 	mu       sync.Mutex
 	outcomes []outcome
@@ -38,7 +38,7 @@
 // run starts the planned sessions at their times and waits for all of them.
 func (p *userPool) run(ctx context.Context, plan []plannedSession) {
 	for _, s := range plan {
-		if !sleep(ctx, time.Until(p.f.start.Add(s.at))) {
+		if !sleep(ctx, time.Until(p.fleet.start.Add(s.at))) {
 			break
 		}
 		p.wg.Go(func() { p.runSession(ctx, s) })
@@ -62,9 +62,9 @@
 }
 
 func (p *userPool) runSession(ctx context.Context, s plannedSession) {
-	u := &virtualUser{pool: p, name: s.name, router: p.f.routers[s.router], rng: rand.New(rand.NewPCG(s.requests[0].seed, 1))}
+	u := &virtualUser{pool: p, name: s.name, router: p.fleet.routers[s.router], rng: rand.New(rand.NewPCG(s.requests[0].seed, 1))}
 	if s.tenant >= 0 {
-		u.tenant = p.f.s.Tenants[s.tenant].Name
+		u.tenant = p.fleet.script.Tenants[s.tenant].Name
 	}
 	defer u.closeSession()
 	for i, r := range s.requests {
@@ -79,9 +79,9 @@
 	}
 }
 
-func (u *virtualUser) logEvent(a *plannedRequest, try int, kind, note string, n float64) {
-	u.pool.f.log.Add(record.Event{Who: u.name, Kind: kind, Req: a.name, Try: try, Router: u.router.name,
-		Class: u.pool.f.s.Classes[a.class].Name, N: n, Note: note})
+func (u *virtualUser) logEvent(req *plannedRequest, try int, kind, note string, n float64) {
+	u.pool.fleet.log.Add(record.Event{Who: u.name, Kind: kind, Req: req.name, Try: try, Router: u.router.name,
+		Class: u.pool.fleet.script.Classes[req.class].Name, N: n, Note: note})
 }
 
 // closeSession ends the session. An event that still arrives for an answered request violates rule 1.
@@ -111,21 +111,21 @@
 	s, err := client.Open(ctx, u.router.addr, "day")
 	u.session, u.lastPrompt = s, ""
 	if err != nil {
-		u.pool.f.log.Add(record.Event{Who: u.name, Kind: record.ShutOut, Router: u.router.name, Note: err.Error()})
+		u.pool.fleet.log.Add(record.Event{Who: u.name, Kind: record.ShutOut, Router: u.router.name, Note: err.Error()})
 		u.session = nil
 		return err
 	}
-	u.pool.f.log.Add(record.Event{Who: u.name, Kind: record.Open, Router: u.router.name})
+	u.pool.fleet.log.Add(record.Event{Who: u.name, Kind: record.Open, Router: u.router.name})
 	return nil
 }
 
 // switchRouter draws another router. The front avoids a router only when it has been down for longer than DetectDelay.
 func (u *virtualUser) switchRouter() {
-	list := u.pool.f.routers
+	list := u.pool.fleet.routers
 	for range 8 {
 		r := list[u.rng.IntN(len(list))]
 		r.mu.Lock()
-		knownDown := r.down && time.Since(r.downSince) > u.pool.f.s.Clients.DetectDelay
+		knownDown := r.down && time.Since(r.downSince) > u.pool.fleet.script.Clients.DetectDelay
 		r.mu.Unlock()
 		if !knownDown {
 			if r != u.router {
@@ -138,11 +138,11 @@
 }
 
 // request sends one request with its retries.
-func (u *virtualUser) request(ctx context.Context, a plannedRequest) outcome {
-	s := u.pool.f.s
-	class := &s.Classes[a.class]
+func (u *virtualUser) request(ctx context.Context, req plannedRequest) outcome {
+	s := u.pool.fleet.script
+	class := &s.Classes[req.class]
 	started := time.Now()
-	end := outcome{class: a.class, at: started.Sub(u.pool.f.start), kind: "lost"}
+	end := outcome{class: req.class, at: started.Sub(u.pool.fleet.start), kind: "lost"}
 	retries := s.Clients.Retries
 	eagerRetries, eager := s.eagerRetries(end.at)
 	if eager {
@@ -150,7 +150,7 @@
 	}
 	mayHaveRun := false
 	for try, sent := 1, 1; ctx.Err() == nil; sent++ {
-		result := u.tryOnce(ctx, &a, sent, mayHaveRun)
+		result := u.tryOnce(ctx, &req, sent, mayHaveRun)
 		if result.unreachable { // no router accepted it
 			if time.Since(started) > class.Timeout {
 				return end
@@ -165,7 +165,7 @@
 		mayHaveRun = mayHaveRun || result.kind == "failed" || result.kind == "lost"
 		if result.kind == "served" {
 			end.firstToken = time.Since(started) - result.sinceFirstToken
-			target := class.Aim + class.AimPer1000*time.Duration(a.promptTokens)/1000
+			target := class.Aim + class.AimPer1000*time.Duration(req.promptTokens)/1000
 			end.inTime = end.firstToken <= target
 			return end
 		}
@@ -183,7 +183,7 @@
 		if !sleep(ctx, wait) {
 			return end
 		}
-		a.disconnect = false
+		req.disconnect = false
 		try++
 	}
 	return end
@@ -200,23 +200,23 @@
 }
 
 // tryOnce makes a try over the front of its class.
-func (u *virtualUser) tryOnce(ctx context.Context, a *plannedRequest, n int, retry bool) tryResult {
-	if u.pool.f.s.Classes[a.class].Front == "http" {
-		return u.tryHTTP(ctx, a, n, retry)
+func (u *virtualUser) tryOnce(ctx context.Context, req *plannedRequest, try int, retry bool) tryResult {
+	if u.pool.fleet.script.Classes[req.class].Front == "http" {
+		return u.tryHTTP(ctx, req, try, retry)
 	}
-	return u.trySession(ctx, a, n, retry)
+	return u.trySession(ctx, req, try, retry)
 }
 
 // trySession sends a request once over a session and waits for its final answer.
-func (u *virtualUser) trySession(ctx context.Context, a *plannedRequest, n int, retry bool) tryResult {
-	class := &u.pool.f.s.Classes[a.class]
+func (u *virtualUser) trySession(ctx context.Context, req *plannedRequest, try int, retry bool) tryResult {
+	class := &u.pool.fleet.script.Classes[req.class]
 	if err := u.connect(ctx); err != nil {
 		return tryResult{unreachable: true}
 	}
-	meta := map[string]string{realtime.MetaClass: class.Name, realtime.MetaIdempotency: a.name,
-		realtime.MetaPromptSize: strconv.Itoa(a.promptTokens), realtime.MetaSession: u.name}
-	if a.prefix != "" {
-		meta[realtime.MetaPrefix], meta[realtime.MetaPrefixSize] = a.prefix, strconv.Itoa(a.promptTokens/2)
+	meta := map[string]string{realtime.MetaClass: class.Name, realtime.MetaIdempotency: req.name,
+		realtime.MetaPromptSize: strconv.Itoa(req.promptTokens), realtime.MetaSession: u.name}
+	if req.prefix != "" {
+		meta[realtime.MetaPrefix], meta[realtime.MetaPrefixSize] = req.prefix, strconv.Itoa(req.promptTokens/2)
 	}
 	if u.tenant != "" {
 		meta[realtime.MetaTenant] = u.tenant
@@ -224,28 +224,28 @@
 	if retry {
 		meta[realtime.MetaRetry] = "true"
 	}
-	if n > 1 {
-		meta[realtime.MetaTry] = strconv.Itoa(n)
+	if try > 1 {
+		meta[realtime.MetaTry] = strconv.Itoa(try)
 	}
-	u.responseID, u.lastRequest, u.lastTry = "", a, n
-	u.logEvent(a, n, record.Offer, u.tenant, class.Timeout.Seconds()*1000)
-	if u.lastPrompt != a.name && u.session.Say("question "+a.name) != nil || u.session.Request(meta, class.MaxTokens) != nil {
-		return u.recordLost(a, n, "unreachable")
+	u.responseID, u.lastRequest, u.lastTry = "", req, try
+	u.logEvent(req, try, record.Offer, u.tenant, class.Timeout.Seconds()*1000)
+	if u.lastPrompt != req.name && u.session.Say("question "+req.name) != nil || u.session.Request(meta, class.MaxTokens) != nil {
+		return u.recordLost(req, try, "unreachable")
 	}
-	u.lastPrompt = a.name
-	return u.awaitFinal(a, n, class)
+	u.lastPrompt = req.name
+	return u.awaitFinal(req, try, class)
 }
 
 // recordLost records a try without a final answer, and drops the session.
-func (u *virtualUser) recordLost(a *plannedRequest, n int, reason string) tryResult {
-	u.logEvent(a, n, record.Lost, reason, 0)
+func (u *virtualUser) recordLost(req *plannedRequest, try int, reason string) tryResult {
+	u.logEvent(req, try, record.Lost, reason, 0)
 	u.session.Cut()
 	u.session = nil
 	return tryResult{kind: "lost", disconnected: reason == "left", unreachable: reason == "unreachable" || reason == "not taken"}
 }
 
 // awaitFinal reads up to the final answer. A client that gets no token in time cuts its connection and records that.
-func (u *virtualUser) awaitFinal(a *plannedRequest, n int, class *Class) tryResult {
+func (u *virtualUser) awaitFinal(req *plannedRequest, try int, class *Class) tryResult {
 	s := u.session
 	var cut atomic.Value // why this client cut its own connection
 	cutAfter := func(d time.Duration, reason string) *time.Timer {
@@ -256,8 +256,8 @@
 	}
 	timeout := cutAfter(class.Timeout+2*time.Second, "gave up")
 	defer timeout.Stop()
-	if a.disconnect {
-		defer cutAfter(a.disconnectAfter, "left").Stop()
+	if req.disconnect {
+		defer cutAfter(req.disconnectAfter, "left").Stop()
 	}
 	first := time.Time{}
 	for {
@@ -267,10 +267,10 @@
 			if !cutByClient {
 				reason = u.lossReason(err)
 			}
-			return u.recordLost(a, n, reason)
+			return u.recordLost(req, try, reason)
 		}
 		if id := responseOf(ev); id != "" && id != u.responseID && ev.Type != realtime.ResponseCreated {
-			u.logEvent(a, n, record.After, ev.Type, 0) // of an earlier response, which has had its final answer
+			u.logEvent(req, try, record.After, ev.Type, 0) // of an earlier response, which has had its final answer
 			continue
 		}
 		switch ev.Type {
@@ -280,15 +280,15 @@
 			if first.IsZero() {
 				first = time.Now()
 				timeout.Stop()
-				u.logEvent(a, n, record.Token, "", 0)
+				u.logEvent(req, try, record.Token, "", 0)
 			}
 		case realtime.ErrorType:
 			if ev.Error.Code == "going_away" {
-				return u.recordLost(a, n, "not taken")
+				return u.recordLost(req, try, "not taken")
 			}
-			return u.recordLost(a, n, "error "+ev.Error.Code)
+			return u.recordLost(req, try, "error "+ev.Error.Code)
 		case realtime.ResponseDone:
-			return u.recordFinal(a, n, ev.Response, first)
+			return u.recordFinal(req, try, ev.Response, first)
 		}
 	}
 }
@@ -310,14 +310,14 @@
 	return "connection"
 }
 
-func (u *virtualUser) recordFinal(a *plannedRequest, n int, r *realtime.Response, first time.Time) tryResult {
+func (u *virtualUser) recordFinal(req *plannedRequest, try int, res *realtime.Response, first time.Time) tryResult {
 	result := tryResult{kind: "served"}
-	if r.Status != "completed" {
+	if res.Status != "completed" {
 		result.kind = "failed"
-		if d := r.Details; d != nil && d.Error != nil {
+		if d := res.Details; d != nil && d.Error != nil {
 			result.reason = d.Error.Message
 		}
-		if d := r.Details; d != nil && d.Error != nil && d.Error.Code == realtime.CodeRefused {
+		if d := res.Details; d != nil && d.Error != nil && d.Error.Code == realtime.CodeRefused {
 			result.kind = "refused"
 			if d.Error.RetryAfterMS != nil {
 				result.retryAfter = time.Duration(*d.Error.RetryAfterMS) * time.Millisecond
@@ -327,6 +327,6 @@
 	if !first.IsZero() {
 		result.sinceFirstToken = time.Since(first)
 	}
-	u.logEvent(a, n, record.Final, result.kind, float64(result.retryAfter.Milliseconds()))
+	u.logEvent(req, try, record.Final, result.kind, float64(result.retryAfter.Milliseconds()))
 	return result
 }
--- a/internal/scenario/faults.go
+++ b/internal/scenario/faults.go
@@ -25,9 +25,9 @@
 // runFaults runs all faults; it returns when each has ended.
 func (f *fleet) runFaults(ctx context.Context) {
 	var wg sync.WaitGroup
-	for i := range f.s.Faults {
+	for i := range f.script.Faults {
 		wg.Go(func() {
-			fault := &f.s.Faults[i]
+			fault := &f.script.Faults[i]
 			if !sleep(ctx, time.Until(f.start.Add(fault.From))) {
 				return
 			}
@@ -49,7 +49,7 @@
 		all = f.writers
 	}
 	var list []*standin.Engine
-	for _, n := range f.s.chooseTargets(i, len(all)) {
+	for _, n := range f.script.chooseTargets(i, len(all)) {
 		list = append(list, all[n])
 	}
 	return list
@@ -64,11 +64,11 @@
 	case "deploy":
 		f.rollEngines(ctx, f.targets(i, fault), fault.For)
 	case "router-crash":
-		f.crashRouters(ctx, f.s.chooseTargets(i, len(f.routers)), fault.For)
+		f.crashRouters(ctx, f.script.chooseTargets(i, len(f.routers)), fault.For)
 	case "router-roll":
-		f.rollRouters(ctx, f.s.chooseTargets(i, len(f.routers)), fault.For)
+		f.rollRouters(ctx, f.script.chooseTargets(i, len(f.routers)), fault.For)
 	case "fleet-restart", "fleet-drain", "kill-restart", "kill-drain", "hang-drain":
-		f.operate(ctx, fault.Kind, f.s.chooseTargets(i, len(f.routers)), fault.For)
+		f.operate(ctx, fault.Kind, f.script.chooseTargets(i, len(f.routers)), fault.For)
 	case "ageing":
 		f.slowGradually(ctx, f.targets(i, fault), fault)
 	case "slow-handshakes":
@@ -216,7 +216,7 @@
 func (f *fleet) rollRouters(ctx context.Context, which []int, duration time.Duration) {
 	for _, n := range which {
 		r, from := f.routers[n], time.Now()
-		if err := r.stop(f.s.Settings.Drain + 5*time.Second); err != nil {
+		if err := r.stop(f.script.Settings.Drain + 5*time.Second); err != nil {
 			f.log.Add(record.Event{Who: "fleet", Kind: record.Fault, Router: r.name, Note: err.Error()})
 		}
 		f.restartRouter(ctx, r)
--- a/internal/scenario/fleet.go
+++ b/internal/scenario/fleet.go
@@ -28,7 +28,7 @@
 // one process group.
 type router struct {
 	name, addr, config, dir string
-	f                       *fleet
+	fleet                   *fleet
 	opsMu                   sync.Mutex // held during an operator's command
 
 	mu           sync.Mutex
@@ -40,7 +40,7 @@
 
 // fleet is everything that a scenario runs: engines, roster and routers.
 type fleet struct {
-	s            *Script
+	script       *Script
 	log          *record.Log
 	command      Command
 	policy       string
@@ -80,15 +80,15 @@
 func (f *fleet) setUp(ctx context.Context) error {
 	group := &standin.Dedupe{}
 	f.roster = standin.NewRoster("engines", f.log)
-	delay := f.s.NoticeDelay
-	f.roster.Delay = func(router string, n int) time.Duration { return noticeDelay(delay, router, n, f.s.Seed) }
-	for i := range f.s.Readers + f.s.Writers {
-		writes := i >= f.s.Readers
-		cfg := f.s.engineConfig(f.s.Reader, false, f.s.Seed)
+	delay := f.script.NoticeDelay
+	f.roster.Delay = func(router string, n int) time.Duration { return noticeDelay(delay, router, n, f.script.Seed) }
+	for i := range f.script.Readers + f.script.Writers {
+		writes := i >= f.script.Readers
+		cfg := f.script.engineConfig(f.script.Reader, false, f.script.Seed)
 		if writes {
-			cfg = f.s.engineConfig(f.s.Writer, true, f.s.Seed)
+			cfg = f.script.engineConfig(f.script.Writer, true, f.script.Seed)
 		}
-		e := standin.NewEngine(cfg, f.log, group, f.s.keyedClasses()...)
+		e := standin.NewEngine(cfg, f.log, group, f.script.keyedClasses()...)
 		if err := e.Start(false); err != nil {
 			return err
 		}
@@ -103,7 +103,7 @@
 	if f.rosterAddr, err = f.roster.Start("127.0.0.1:0"); err != nil {
 		return err
 	}
-	for i := range f.s.Routers {
+	for i := range f.script.Routers {
 		r, err := f.newRouter(i)
 		if err != nil {
 			return err
@@ -161,10 +161,10 @@
 		return nil, err
 	}
 	f.releasePorts = append(f.releasePorts, release)
-	r := &router{name: fmt.Sprintf("r%d", i), addr: addr, f: f, dir: f.dir}
+	r := &router{name: fmt.Sprintf("r%d", i), addr: addr, fleet: f, dir: f.dir}
 	r.config = filepath.Join(f.dir, r.name+".gann")
 	os.Remove(r.cachePath()) // of an earlier run in the same folder
-	return r, os.WriteFile(r.config, []byte(f.s.settingsText(r, f.rosterAddr, i)), 0o644)
+	return r, os.WriteFile(r.config, []byte(f.script.settingsText(r, f.rosterAddr, i)), 0o644)
 }
 
 // cachePath is the file in which the router keeps its last server list.
@@ -267,10 +267,10 @@
 		return err
 	}
 	defer out.Close()
-	cmd := r.f.command("serve", "--config", r.config, "--policy", r.f.policy)
+	cmd := r.fleet.command("serve", "--config", r.config, "--policy", r.fleet.policy)
 	cmd.Stdout, cmd.Stderr = out, out
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
-	r.f.log.Add(record.Event{Who: "fleet", Kind: record.RouterUp, Router: r.name})
+	r.fleet.log.Add(record.Event{Who: "fleet", Kind: record.RouterUp, Router: r.name})
 	r.listRouter("ready")
 	if err := cmd.Start(); err != nil {
 		return err
@@ -290,7 +290,7 @@
 		nc, err := d.DialContext(ctx, "tcp", r.addr)
 		if err == nil {
 			nc.Close()
-			r.f.log.Add(record.Event{Who: "fleet", Kind: record.RouterReady, Router: r.name})
+			r.fleet.log.Add(record.Event{Who: "fleet", Kind: record.RouterReady, Router: r.name})
 			return nil
 		}
 		r.mu.Lock()
@@ -316,24 +316,24 @@
 // kill kills all processes of the router.
 func (r *router) kill() {
 	r.setDown(true)
-	r.f.log.Add(record.Event{Who: "fleet", Kind: record.Killed, Router: r.name})
+	r.fleet.log.Add(record.Event{Who: "fleet", Kind: record.Killed, Router: r.name})
 	syscall.Kill(-r.processGroup, syscall.SIGKILL)
 	r.waitExit(10 * time.Second)
-	r.f.log.Add(record.Event{Who: "fleet", Kind: record.Reaped, Router: r.name})
+	r.fleet.log.Add(record.Event{Who: "fleet", Kind: record.Reaped, Router: r.name})
 	r.listRouter("gone")
 }
 
 // listRouter lists the router in the roster, if the scenario lists routers there.
 func (r *router) listRouter(state string) {
-	if r.f.s.Settings.ListRouters {
-		r.f.roster.Set(standin.Listed{Addr: r.addr, Service: "routers", State: state})
+	if r.fleet.script.Settings.ListRouters {
+		r.fleet.roster.Set(standin.Listed{Addr: r.addr, Service: "routers", State: state})
 	}
 }
 
 // stop asks a router to end and waits for it.
 func (r *router) stop(limit time.Duration) error {
 	r.setDown(true)
-	r.f.log.Add(record.Event{Who: "fleet", Kind: record.Stopped, Router: r.name})
+	r.fleet.log.Add(record.Event{Who: "fleet", Kind: record.Stopped, Router: r.name})
 	if pid := r.pid(); pid > 0 && r.alive() {
 		syscall.Kill(pid, syscall.SIGTERM)
 	}
@@ -351,7 +351,7 @@
 	var mu sync.Mutex
 	for _, r := range f.routers {
 		wg.Go(func() {
-			if e := r.stop(f.s.Settings.Drain + 5*time.Second); e != nil {
+			if e := r.stop(f.script.Settings.Drain + 5*time.Second); e != nil {
 				mu.Lock()
 				err = e
 				mu.Unlock()
--- a/internal/scenario/http.go
+++ b/internal/scenario/http.go
@@ -50,37 +50,37 @@
 	defer cancel()
 	h, err := client.DialHTTP(ctx, u.router.addr)
 	if err != nil {
-		u.pool.f.log.Add(record.Event{Who: u.name, Kind: record.ShutOut, Router: u.router.name, Note: err.Error()})
+		u.pool.fleet.log.Add(record.Event{Who: u.name, Kind: record.ShutOut, Router: u.router.name, Note: err.Error()})
 		return err
 	}
 	u.http = h
-	u.pool.f.log.Add(record.Event{Who: u.name, Kind: record.Open, Router: u.router.name})
+	u.pool.fleet.log.Add(record.Event{Who: u.name, Kind: record.Open, Router: u.router.name})
 	return nil
 }
 
 // batchTexts returns a batch's texts. They depend on the request's name, and have its prompt tokens in total.
-func (a *plannedRequest) batchTexts() []string {
-	list := make([]string, a.texts)
-	each := max(a.promptTokens*4/max(a.texts, 1), 8)
-	for i := range list {
-		head := fmt.Sprintf("%s/%d ", a.name, i)
-		list[i] = head + strings.Repeat("x", max(each-len(head), 1))
-	}
-	return list
+func (r *plannedRequest) batchTexts() []string {
+	texts := make([]string, r.texts)
+	each := max(r.promptTokens*4/max(r.texts, 1), 8)
+	for i := range texts {
+		head := fmt.Sprintf("%s/%d ", r.name, i)
+		texts[i] = head + strings.Repeat("x", max(each-len(head), 1))
+	}
+	return texts
 }
 
 // requestBody returns the path and body of a request of a class.
-func (u *virtualUser) requestBody(a *plannedRequest, class *Class) (path string, body []byte) {
+func (u *virtualUser) requestBody(req *plannedRequest, class *Class) (path string, body []byte) {
 	var request any
 	switch class.Work {
 	case settings.Chat:
 		path = front.ChatPath
 		request = map[string]any{"model": "day", "stream": true, "max_completion_tokens": class.MaxTokens,
-			"messages": []any{map[string]string{"role": "user", "content": "question " + a.name}}}
+			"messages": []any{map[string]string{"role": "user", "content": "question " + req.name}}}
 	case settings.Embedding:
-		path, request = front.EmbeddingsPath, map[string]any{"model": "day", "input": a.batchTexts()}
+		path, request = front.EmbeddingsPath, map[string]any{"model": "day", "input": req.batchTexts()}
 	default:
-		path, request = front.RerankPath, map[string]any{"model": "day", "query": a.name, "documents": a.batchTexts(), "top_n": rerankTopN}
+		path, request = front.RerankPath, map[string]any{"model": "day", "query": req.name, "documents": req.batchTexts(), "top_n": rerankTopN}
 	}
 	body, _ = json.Marshal(request)
 	return path, body
@@ -89,14 +89,14 @@
 const rerankTopN = 5
 
 // tryHTTP sends a request once over HTTP and waits for its final answer.
-func (u *virtualUser) tryHTTP(ctx context.Context, a *plannedRequest, n int, retry bool) tryResult {
-	class := &u.pool.f.s.Classes[a.class]
+func (u *virtualUser) tryHTTP(ctx context.Context, req *plannedRequest, try int, retry bool) tryResult {
+	class := &u.pool.fleet.script.Classes[req.class]
 	if u.connectHTTP(ctx) != nil {
 		return tryResult{unreachable: true}
 	}
-	headers := http1.Header{{Name: "X-Gannethook-Class", Value: class.Name}, {Name: "Idempotency-Key", Value: a.name}}
+	headers := http1.Header{{Name: "X-Gannethook-Class", Value: class.Name}, {Name: "Idempotency-Key", Value: req.name}}
 	if class.Work == settings.Chat {
-		headers = append(headers, http1.Field{Name: "X-Gannethook-Prompt-Tokens", Value: strconv.Itoa(a.promptTokens)},
+		headers = append(headers, http1.Field{Name: "X-Gannethook-Prompt-Tokens", Value: strconv.Itoa(req.promptTokens)},
 			http1.Field{Name: "X-Gannethook-Session-Key", Value: u.name})
 	}
 	if u.tenant != "" {
@@ -105,56 +105,56 @@
 	if retry {
 		headers = append(headers, http1.Field{Name: "X-Gannethook-Retry", Value: "true"})
 	}
-	if n > 1 {
-		headers = append(headers, http1.Field{Name: "X-Gannethook-Try", Value: strconv.Itoa(n)})
+	if try > 1 {
+		headers = append(headers, http1.Field{Name: "X-Gannethook-Try", Value: strconv.Itoa(try)})
 	}
-	path, body := u.requestBody(a, class)
-	u.lastRequest, u.lastTry = a, n
-	u.logEvent(a, n, record.Offer, u.tenant, class.Timeout.Seconds()*1000)
+	path, body := u.requestBody(req, class)
+	u.lastRequest, u.lastTry = req, try
+	u.logEvent(req, try, record.Offer, u.tenant, class.Timeout.Seconds()*1000)
 	conn := u.http
 	var cut atomic.Value
 	cutAfter := func(d time.Duration, why string) *time.Timer {
 		return time.AfterFunc(d, func() { cut.Store(why); conn.Cut() })
 	}
 	defer cutAfter(class.Timeout+12*time.Second, "gave up").Stop()
-	if a.disconnect {
-		defer cutAfter(a.disconnectAfter, "left").Stop()
+	if req.disconnect {
+		defer cutAfter(req.disconnectAfter, "left").Stop()
 	}
 	if conn.Post(path, headers, body) != nil {
-		return u.recordLostHTTP(a, n, "connection", &cut)
+		return u.recordLostHTTP(req, try, "connection", &cut)
 	}
 	res, answer, err := conn.Head()
 	if err != nil {
-		return u.recordLostHTTP(a, n, "connection", &cut)
+		return u.recordLostHTTP(req, try, "connection", &cut)
 	}
 	if res.Status != 200 {
-		return u.readErrorHTTP(a, n, res, answer, &cut)
+		return u.readErrorHTTP(req, try, res, answer, &cut)
 	}
 	if class.Work == settings.Chat {
-		return u.readStreamHTTP(a, n, answer, &cut)
+		return u.readStreamHTTP(req, try, answer, &cut)
 	}
-	return u.readBatchHTTP(a, n, answer, &cut)
+	return u.readBatchHTTP(req, try, answer, &cut)
 }
 
 // recordLostHTTP records a try without a final answer, and drops the connection.
-func (u *virtualUser) recordLostHTTP(a *plannedRequest, n int, reason string, cut *atomic.Value) tryResult {
+func (u *virtualUser) recordLostHTTP(req *plannedRequest, try int, reason string, cut *atomic.Value) tryResult {
 	if cutReason, ok := cut.Load().(string); ok {
 		reason = cutReason
 	}
-	u.logEvent(a, n, record.Lost, reason, 0)
+	u.logEvent(req, try, record.Lost, reason, 0)
 	u.http.Cut()
 	u.http = nil
 	return tryResult{kind: "lost", disconnected: reason == "left"}
 }
 
 // readErrorHTTP reads an answer with a status other than 200.
-func (u *virtualUser) readErrorHTTP(a *plannedRequest, n int, res *http1.Response, answer *http1.Body, cut *atomic.Value) tryResult {
+func (u *virtualUser) readErrorHTTP(req *plannedRequest, try int, res *http1.Response, answer *http1.Body, cut *atomic.Value) tryResult {
 	body, err := io.ReadAll(answer)
 	var e struct {
 		Error struct{ Code, Message string }
 	}
 	if err != nil || json.Unmarshal(body, &e) != nil {
-		return u.recordLostHTTP(a, n, "connection", cut)
+		return u.recordLostHTTP(req, try, "connection", cut)
 	}
 	result := tryResult{reason: e.Error.Message}
 	switch e.Error.Code {
@@ -165,29 +165,29 @@
 	case httpapi.CodeFailed:
 		result.kind = "failed"
 	default:
-		return u.recordLostHTTP(a, n, fmt.Sprintf("error %d %s", res.Status, body), cut)
+		return u.recordLostHTTP(req, try, fmt.Sprintf("error %d %s", res.Status, body), cut)
 	}
-	u.logEvent(a, n, record.Final, result.kind, float64(result.retryAfter.Milliseconds()))
+	u.logEvent(req, try, record.Final, result.kind, float64(result.retryAfter.Milliseconds()))
 	return result
 }
 
 // readStreamHTTP reads a streamed chat to its end. A stalled client reads nothing after its first token until the fault
 // ends, and then disconnects.
-func (u *virtualUser) readStreamHTTP(a *plannedRequest, n int, answer *http1.Body, cut *atomic.Value) tryResult {
+func (u *virtualUser) readStreamHTTP(req *plannedRequest, try int, answer *http1.Body, cut *atomic.Value) tryResult {
 	events := http1.NewEvents(answer)
 	first := time.Time{}
 	for {
 		data, err := events.Next()
 		if err != nil {
-			return u.recordLostHTTP(a, n, "connection", cut)
+			return u.recordLostHTTP(req, try, "connection", cut)
 		}
 		if first.IsZero() {
 			first = time.Now()
-			u.logEvent(a, n, record.Token, "", 0)
-			if remaining := u.pool.f.s.stallTime(time.Since(u.pool.f.start), a.seed); remaining > 0 {
+			u.logEvent(req, try, record.Token, "", 0)
+			if remaining := u.pool.fleet.script.stallTime(time.Since(u.pool.fleet.start), req.seed); remaining > 0 {
 				time.Sleep(remaining)
 				cut.Store("left")
-				return u.recordLostHTTP(a, n, "left", cut)
+				return u.recordLostHTTP(req, try, "left", cut)
 			}
 		}
 		done, failed := string(data) == "[DONE]", strings.HasPrefix(string(data), `{"error"`)
@@ -195,13 +195,13 @@
 			continue
 		}
 		if _, err := io.Copy(io.Discard, answer); err != nil { // the last chunk belongs to the answer
-			return u.recordLostHTTP(a, n, "connection", cut)
+			return u.recordLostHTTP(req, try, "connection", cut)
 		}
 		if failed {
-			u.logEvent(a, n, record.Final, "failed", 0)
+			u.logEvent(req, try, record.Final, "failed", 0)
 			return tryResult{kind: "failed", reason: "the stream broke"}
 		}
-		u.logEvent(a, n, record.Final, "served", 0)
+		u.logEvent(req, try, record.Final, "served", 0)
 		return tryResult{kind: "served", sinceFirstToken: time.Since(first)}
 	}
 }
@@ -217,25 +217,25 @@
 }
 
 // readBatchHTTP reads the answer to a batch and checks it, text by text.
-func (u *virtualUser) readBatchHTTP(a *plannedRequest, n int, answer *http1.Body, cut *atomic.Value) tryResult {
+func (u *virtualUser) readBatchHTTP(req *plannedRequest, try int, answer *http1.Body, cut *atomic.Value) tryResult {
 	body, err := io.ReadAll(answer)
 	if err != nil {
-		return u.recordLostHTTP(a, n, "connection", cut)
+		return u.recordLostHTTP(req, try, "connection", cut)
 	}
 	check := checkEmbeddings
-	if u.pool.f.s.Classes[a.class].Work == settings.Rerank {
+	if u.pool.fleet.script.Classes[req.class].Work == settings.Rerank {
 		check = checkRanking
 	}
-	if err := check(a, body); err != nil {
-		return u.recordLostHTTP(a, n, "error "+err.Error(), cut)
+	if err := check(req, body); err != nil {
+		return u.recordLostHTTP(req, try, "error "+err.Error(), cut)
 	}
-	u.logEvent(a, n, record.Token, "", 0)
-	u.logEvent(a, n, record.Final, "served", 0)
+	u.logEvent(req, try, record.Token, "", 0)
+	u.logEvent(req, try, record.Final, "served", 0)
 	return tryResult{kind: "served"}
 }
 
 // checkEmbeddings checks that each text has its own embedding, in order.
-func checkEmbeddings(a *plannedRequest, body []byte) error {
+func checkEmbeddings(req *plannedRequest, body []byte) error {
 	var v struct {
 		Data []struct {
 			Index     int
@@ -245,12 +245,12 @@
 	if err := json.Unmarshal(body, &v); err != nil {
 		return err
 	}
-	list := a.batchTexts()
-	if len(v.Data) != len(list) {
-		return fmt.Errorf("%d embeddings for %d texts", len(v.Data), len(list))
+	texts := req.batchTexts()
+	if len(v.Data) != len(texts) {
+		return fmt.Errorf("%d embeddings for %d texts", len(v.Data), len(texts))
 	}
 	for i, d := range v.Data {
-		if d.Index != i || !slices.EqualFunc(d.Embedding, standin.Embedding(list[i], len(d.Embedding)), func(x, y float32) bool {
+		if d.Index != i || !slices.EqualFunc(d.Embedding, standin.Embedding(texts[i], len(d.Embedding)), func(x, y float32) bool {
 			return math.Abs(float64(x-y)) < 1e-6
 		}) {
 			return fmt.Errorf("embedding %d does not match its text", i)
@@ -260,7 +260,7 @@
 }
 
 // checkRanking checks that the most relevant documents came, in order.
-func checkRanking(a *plannedRequest, body []byte) error {
+func checkRanking(req *plannedRequest, body []byte) error {
 	var v struct {
 		Results []struct {
 			Index int
@@ -271,18 +271,18 @@
 		return err
 	}
 	var scores []float64
-	list := a.batchTexts()
-	for _, d := range list {
-		scores = append(scores, standin.Relevance(a.name, d))
+	texts := req.batchTexts()
+	for _, d := range texts {
+		scores = append(scores, standin.Relevance(req.name, d))
 	}
 	want := slices.Clone(scores)
 	slices.Sort(want)
 	slices.Reverse(want)
-	if len(v.Results) != min(rerankTopN, len(list)) {
+	if len(v.Results) != min(rerankTopN, len(texts)) {
 		return fmt.Errorf("%d results", len(v.Results))
 	}
 	for i, r := range v.Results {
-		if r.Index < 0 || r.Index >= len(list) || r.Score != scores[r.Index] || r.Score != want[i] {
+		if r.Index < 0 || r.Index >= len(texts) || r.Score != scores[r.Index] || r.Score != want[i] {
 			return fmt.Errorf("result %d is not the expected one", i)
 		}
 	}
--- a/internal/scenario/operate.go
+++ b/internal/scenario/operate.go
@@ -17,7 +17,7 @@
 // writeFleetFile writes the file that lists the routers for the fleet tool.
 func (f *fleet) writeFleetFile() error {
 	var b strings.Builder
-	fmt.Fprintf(&b, "(fleet day)\n(times (call 2s) (drain %v) (start 10s) (hang 2s) (again 6s))\n", f.s.Settings.Drain)
+	fmt.Fprintf(&b, "(fleet day)\n(times (call 2s) (drain %v) (start 10s) (hang 2s) (again 6s))\n", f.script.Settings.Drain)
 	for i, r := range f.routers {
 		fmt.Fprintf(&b, "(router %s (at %q) (centre %s))\n", r.name, "unix:"+filepath.Join(r.runDir(), "control.sock"), zones[i%2])
 	}
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -44,14 +44,14 @@
 
 // Run runs a scenario in a folder, which keeps settings, logs and records.
 func Run(ctx context.Context, s *Script, policy, dir string, command Command) (*Result, error) {
-	f := &fleet{s: s, log: record.New(), command: command, policy: policy, dir: dir}
+	f := &fleet{script: s, log: record.New(), command: command, policy: policy, dir: dir}
 	err := f.setUp(ctx)
 	if err != nil {
 		f.tearDown()
 		return nil, err
 	}
 	f.start = time.Now()
-	pool := &userPool{f: f}
+	pool := &userPool{fleet: f}
 	f.faultsDone.Go(func() { f.runFaults(ctx) })
 	pool.run(ctx, s.plan())
 	f.faultsDone.Wait()
@@ -73,8 +73,9 @@
 // ruleConfig returns the limits that the checker uses.
 func (f *fleet) ruleConfig() rules.Config {
 	cfg := rules.Config{Classes: map[string]rules.Class{}, Engines: map[string]rules.Location{},
-		AnswerMargin: 250, DrainGrace: f.s.Settings.Grace.Seconds() * 1000, PinLimit: f.s.Settings.PinLimit.Seconds() * 1000, ReleaseMargin: 100, DialTimeouts: 800}
-	for _, c := range f.s.Classes {
+		AnswerMargin: 250, DrainGrace: f.script.Settings.Grace.Seconds() * 1000,
+		PinLimit: f.script.Settings.PinLimit.Seconds() * 1000, ReleaseMargin: 100, DialTimeouts: 800}
+	for _, c := range f.script.Classes {
 		cfg.Classes[c.Name] = rules.Class{Effect: c.Effect, Group: c.Group, Window: c.Window.Seconds() * 1000}
 	}
 	for _, e := range f.engines() {
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -60,8 +60,8 @@
 // Events after a final answer, also those during the close of a session, reach the checker as violations of rule 1.
 func TestLateEventsCount(t *testing.T) {
 	s := badScript(t)
-	f := &fleet{s: s, log: record.New()}
-	u := &virtualUser{pool: &userPool{f: f}, name: "c", router: &router{name: "r0"}}
+	f := &fleet{script: s, log: record.New()}
+	u := &virtualUser{pool: &userPool{fleet: f}, name: "c", router: &router{name: "r0"}}
 	a := &plannedRequest{name: "x"}
 	u.lastRequest, u.lastTry, u.responseID = a, 1, "resp"
 	u.logEvent(a, 1, record.Offer, "", 1000)
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -68,10 +68,10 @@
 
 // Engine is a stand-in engine that can be started and killed repeatedly. Its methods are safe for concurrent use.
 type Engine struct {
-	cfg   Config
-	log   *record.Log
-	group *Dedupe         // nil: repeats are applied again
-	keyed map[string]bool // classes whose repeats the group drops
+	cfg          Config
+	log          *record.Log
+	dedupe       *Dedupe         // nil: repeats are applied again
+	keyedClasses map[string]bool // classes whose repeats the group drops
 
 	mu      sync.Mutex
 	addr    string
@@ -113,10 +113,10 @@
 }
 
 // NewEngine returns an engine that is not running. keyed names the classes whose repeats the group drops.
-func NewEngine(cfg Config, log *record.Log, group *Dedupe, keyed ...string) *Engine {
-	e := &Engine{cfg: cfg, log: log, group: group, keyed: map[string]bool{}, addr: cfg.Addr, applied: map[string]int{}}
+func NewEngine(cfg Config, log *record.Log, dedupe *Dedupe, keyed ...string) *Engine {
+	e := &Engine{cfg: cfg, log: log, dedupe: dedupe, keyedClasses: map[string]bool{}, addr: cfg.Addr, applied: map[string]int{}}
 	for _, k := range keyed {
-		e.keyed[k] = true
+		e.keyedClasses[k] = true
 	}
 	return e
 }
--- a/internal/standin/serve.go
+++ b/internal/standin/serve.go
@@ -523,7 +523,7 @@
 
 func (j *job) apply() {
 	e := j.l.e
-	if e.keyed[j.class] && e.group != nil && !e.group.markNew(j.req) {
+	if e.keyedClasses[j.class] && e.dedupe != nil && !e.dedupe.markNew(j.req) {
 		j.logEvent(record.Drop, "")
 		return
 	}
