--- a/internal/scenario/chart.go
+++ b/internal/scenario/chart.go
@@ -12,18 +12,17 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// chartBin is the width of the chart's points.
+// chartBin is the time that each point of a chart covers.
 const chartBin = 2 * time.Second
 
-// Chart draws the share served in time over the day, a line for each policy,
-// over all its seeds, and the times of the faults; the file's ending names the
-// format (svg, png, pdf).
-func Chart(path string, days []*Result) error {
-	if len(days) == 0 {
-		return fmt.Errorf("chart: no days")
+// Chart draws the share of requests served in time over a scenario, one line for each policy over all its seeds, and the
+// times of the faults. The file extension selects the format (svg, png, pdf).
+func Chart(path string, results []*Result) error {
+	if len(results) == 0 {
+		return fmt.Errorf("chart: no runs to draw")
 	}
 	p := plot.New()
-	s := days[0].Script
+	s := results[0].Script
 	p.Title.Text = fmt.Sprintf("Day %s: %g requests a second, %d routers, %d+%d stand-in engines", s.Name, s.Rate,
 		s.Routers, s.Readers, s.Writers)
 	p.X.Label.Text = "seconds"
@@ -32,17 +31,17 @@
 	p.Legend.Left = true
 	p.Legend.Top = false
 	for i := range s.Faults {
-		if err := drawFault(p, s, i); err != nil {
+		if err := addFault(p, s, i); err != nil {
 			return err
 		}
 	}
 	byPolicy := map[string][]*Result{}
-	for _, d := range days {
+	for _, d := range results {
 		byPolicy[d.Policy] = append(byPolicy[d.Policy], d)
 	}
 	colors := palette()
 	for i, policy := range slices.Sorted(maps.Keys(byPolicy)) {
-		line, err := plotter.NewLine(inTime(byPolicy[policy]))
+		line, err := plotter.NewLine(servedInTime(byPolicy[policy]))
 		if err != nil {
 			return err
 		}
@@ -53,8 +52,8 @@
 	return p.Save(22*vg.Centimeter, 11*vg.Centimeter, path)
 }
 
-// drawFault draws a fault as a bar, with its name, near the foot of the chart.
-func drawFault(p *plot.Plot, s *Script, i int) error {
+// addFault draws a fault as a bar with its name, near the bottom of the chart.
+func addFault(p *plot.Plot, s *Script, i int) error {
 	f := &s.Faults[i]
 	y := 0.5 - 0.45*float64(i%10)/10
 	bar, err := plotter.NewLine(plotter.XYs{{X: f.From.Seconds(), Y: y}, {X: (f.From + f.For).Seconds(), Y: y}})
@@ -70,14 +69,14 @@
 	return nil
 }
 
-// inTime is the share served in time by the time of asking.
-func inTime(days []*Result) plotter.XYs {
-	n := int(days[0].Script.Length/chartBin) + 1
-	asked, served := make([]float64, n), make([]float64, n)
-	for _, d := range days {
-		for _, e := range d.Ends {
+// servedInTime returns the share of requests served in time, by the time at which they were sent.
+func servedInTime(results []*Result) plotter.XYs {
+	n := int(results[0].Script.Length/chartBin) + 1
+	sent, served := make([]float64, n), make([]float64, n)
+	for _, d := range results {
+		for _, e := range d.Outcomes {
 			if i := int(e.at / chartBin); i < n {
-				asked[i]++
+				sent[i]++
 				if e.inTime {
 					served[i]++
 				}
@@ -86,14 +85,14 @@
 	}
 	var points plotter.XYs
 	for i := range n {
-		if asked[i] > 0 {
-			points = append(points, plotter.XY{X: (float64(i) + 0.5) * chartBin.Seconds(), Y: served[i] / asked[i]})
+		if sent[i] > 0 {
+			points = append(points, plotter.XY{X: (float64(i) + 0.5) * chartBin.Seconds(), Y: served[i] / sent[i]})
 		}
 	}
 	return points
 }
 
-// palette has the colours of what a chart compares.
+// palette returns the colours of the lines and points, in order of use.
 func palette() []color.Color {
 	return []color.Color{color.RGBA{B: 200, A: 255}, color.RGBA{R: 200, A: 255}, color.RGBA{G: 140, A: 255}}
 }
--- a/internal/scenario/clients.go
+++ b/internal/scenario/clients.go
@@ -15,286 +15,285 @@
 	"gannethook/internal/ws"
 )
 
-// outcome is how a request ended, over all its tries.
+// outcome is the result of a request, over all its tries.
 type outcome struct {
-	class  int
-	tenant int
-	at     time.Duration
-	why    string // of the last try that was not served
-	kind   string // served, refused, failed, or lost
-	inTime bool
-	tries  int
-	first  time.Duration // from the first try's start to the first token
+	class      int
+	tenant     int
+	at         time.Duration
+	reason     string // of the last try that was not served
+	kind       string // served, refused, failed, or lost
+	inTime     bool
+	tries      int
+	firstToken time.Duration // from the start of the first try to the first token
 }
 
-// crowd is all clients of a day.
-type crowd struct {
-	f    *fleet
-	wg   sync.WaitGroup
-	mu   sync.Mutex
-	ends []outcome
+// userPool runs all clients of a scenario.
+type userPool struct {
+	fleet    *fleet
+	wg       sync.WaitGroup
+	mu       sync.Mutex
+	outcomes []outcome
 }
 
-// run plays the plan to its end.
-func (c *crowd) run(ctx context.Context, plan []visit) {
-	for _, v := range plan {
-		if !sleep(ctx, time.Until(c.f.start.Add(v.at))) {
+// run starts the planned sessions at their times and waits for all of them.
+func (p *userPool) run(ctx context.Context, plan []plannedSession) {
+	for _, s := range plan {
+		if !sleep(ctx, time.Until(p.fleet.start.Add(s.at))) {
 			break
 		}
-		c.wg.Go(func() { c.visit(ctx, v) })
+		p.wg.Go(func() { p.runSession(ctx, s) })
 	}
-	c.wg.Wait()
+	p.wg.Wait()
 }
 
-// guest is one client in its session.
-type guest struct {
-	c       *crowd
-	name    string
-	rnd     *rand.Rand
-	router  *router
-	session *client.Session
-	http    *client.HTTP
-	tenant  string
-	said    string // the last request whose prompt this session has heard
-	current string // response that is open, or the last
-	asked   *ask   // its request, and the number of its try
-	sent    int
+// virtualUser is one client in its session.
+type virtualUser struct {
+	pool        *userPool
+	name        string
+	rng         *rand.Rand
+	router      *router
+	session     *client.Session
+	http        *client.HTTP
+	tenant      string
+	lastPrompt  string          // last request whose prompt was sent in this session
+	responseID  string          // the open response, or the last one
+	lastRequest *plannedRequest // its request; lastTry is the number of its try
+	lastTry     int
 }
 
-func (c *crowd) visit(ctx context.Context, v visit) {
-	g := &guest{c: c, name: v.name, router: c.f.routers[v.first], rnd: rand.New(rand.NewPCG(v.asks[0].seed, 1))}
-	if v.tenant >= 0 {
-		g.tenant = c.f.s.Tenants[v.tenant].Name
+func (p *userPool) runSession(ctx context.Context, s plannedSession) {
+	u := &virtualUser{pool: p, name: s.name, router: p.fleet.routers[s.router], rng: rand.New(rand.NewPCG(s.requests[0].seed, 1))}
+	if s.tenant >= 0 {
+		u.tenant = p.fleet.script.Tenants[s.tenant].Name
 	}
-	defer g.leave()
-	for i, a := range v.asks {
-		if i > 0 && !sleep(ctx, a.think) {
+	defer u.closeSession()
+	for i, r := range s.requests {
+		if i > 0 && !sleep(ctx, r.think) {
 			return
 		}
-		end := g.request(ctx, a)
-		end.tenant = v.tenant
-		c.mu.Lock()
-		c.ends = append(c.ends, end)
-		c.mu.Unlock()
+		end := u.request(ctx, r)
+		end.tenant = s.tenant
+		p.mu.Lock()
+		p.outcomes = append(p.outcomes, end)
+		p.mu.Unlock()
 	}
 }
 
-func (g *guest) note(a *ask, try int, kind, note string, n float64) {
-	g.c.f.log.Add(record.Event{Who: g.name, Kind: kind, Req: a.name, Try: try, Router: g.router.name,
-		Class: g.c.f.s.Classes[a.class].Name, N: n, Note: note})
+func (u *virtualUser) logEvent(req *plannedRequest, try int, kind, note string, n float64) {
+	u.pool.fleet.log.Add(record.Event{Who: u.name, Kind: kind, Req: req.name, Try: try, Router: u.router.name,
+		Class: u.pool.fleet.script.Classes[req.class].Name, N: n, Note: note})
 }
 
-// leave ends the session; what still comes for an answered request breaks rule 1.
-func (g *guest) leave() {
-	g.leaveHTTP()
-	if g.session == nil {
+// closeSession ends the session. An event that still arrives for an answered request violates rule 1.
+func (u *virtualUser) closeSession() {
+	u.closeHTTP()
+	if u.session == nil {
 		return
 	}
-	g.session.CloseWith(g.late)
-	g.session = nil
+	u.session.CloseWith(u.recordLate)
+	u.session = nil
 }
 
-// late records an event of a response that had its final answer: the session
-// has none that is open.
-func (g *guest) late(ev *realtime.Server) {
-	if g.asked != nil && responseOf(ev) != "" {
-		g.note(g.asked, g.sent, record.After, ev.Type, 0)
+// recordLate records an event of a response that had its final answer; no response of the session is open.
+func (u *virtualUser) recordLate(ev *realtime.Server) {
+	if u.lastRequest != nil && responseOf(ev) != "" {
+		u.logEvent(u.lastRequest, u.lastTry, record.After, ev.Type, 0)
 	}
 }
 
-// connect opens a session, at a router that the front takes to be up.
-func (g *guest) connect(ctx context.Context) error {
-	if g.session != nil {
+// connect opens a session at the user's router.
+func (u *virtualUser) connect(ctx context.Context) error {
+	if u.session != nil {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
-	s, err := client.Open(ctx, g.router.addr, "day")
-	g.session, g.said = s, ""
+	s, err := client.Open(ctx, u.router.addr, "day")
+	u.session, u.lastPrompt = s, ""
 	if err != nil {
-		g.c.f.log.Add(record.Event{Who: g.name, Kind: record.ShutOut, Router: g.router.name, Note: err.Error()})
-		g.session = nil
+		u.pool.fleet.log.Add(record.Event{Who: u.name, Kind: record.ShutOut, Router: u.router.name, Note: err.Error()})
+		u.session = nil
 		return err
 	}
-	g.c.f.log.Add(record.Event{Who: g.name, Kind: record.Open, Router: g.router.name})
+	u.pool.fleet.log.Add(record.Event{Who: u.name, Kind: record.Open, Router: u.router.name})
 	return nil
 }
 
-// elsewhere draws another router; the front knows a dead one only after a while.
-func (g *guest) elsewhere() {
-	list := g.c.f.routers
+// switchRouter draws another router. The front avoids a router only when it has been down for longer than DetectDelay.
+func (u *virtualUser) switchRouter() {
+	list := u.pool.fleet.routers
 	for range 8 {
-		r := list[g.rnd.IntN(len(list))]
+		r := list[u.rng.IntN(len(list))]
 		r.mu.Lock()
-		known := r.down && time.Since(r.lost) > g.c.f.s.Clients.Detect
+		knownDown := r.down && time.Since(r.downSince) > u.pool.fleet.script.Clients.DetectDelay
 		r.mu.Unlock()
-		if !known {
-			if r != g.router {
-				g.leave()
+		if !knownDown {
+			if r != u.router {
+				u.closeSession()
 			}
-			g.router = r
+			u.router = r
 			return
 		}
 	}
 }
 
-// request makes one request with its tries.
-func (g *guest) request(ctx context.Context, a ask) outcome {
-	s := g.c.f.s
-	class := &s.Classes[a.class]
-	begun := time.Now()
-	end := outcome{class: a.class, at: begun.Sub(g.c.f.start), kind: "lost"}
+// request sends one request with its retries.
+func (u *virtualUser) request(ctx context.Context, req plannedRequest) outcome {
+	s := u.pool.fleet.script
+	class := &s.Classes[req.class]
+	started := time.Now()
+	end := outcome{class: req.class, at: started.Sub(u.pool.fleet.start), kind: "lost"}
 	retries := s.Clients.Retries
-	eagerly, eager := s.eager(end.at)
+	eagerRetries, eager := s.eagerRetries(end.at)
 	if eager {
-		retries = eagerly
+		retries = eagerRetries
 	}
 	mayHaveRun := false
 	for try, sent := 1, 1; ctx.Err() == nil; sent++ {
-		t := g.once(ctx, &a, sent, mayHaveRun)
-		if t.unreachable { // no router took it
-			if time.Since(begun) > class.GiveUp {
+		result := u.tryOnce(ctx, &req, sent, mayHaveRun)
+		if result.unreachable { // no router accepted it
+			if time.Since(started) > class.Timeout {
 				return end
 			}
-			g.elsewhere()
+			u.switchRouter()
 			if !sleep(ctx, 20*time.Millisecond) {
 				return end
 			}
 			continue
 		}
-		end.tries, end.kind, end.why = try, t.kind, t.why
-		mayHaveRun = mayHaveRun || t.kind == "failed" || t.kind == "lost"
-		if t.kind == "served" {
-			end.first = time.Since(begun) - t.afterFirst
-			aim := class.Aim + class.PerKilo*time.Duration(a.prompt)/1000
-			end.inTime = end.first <= aim
+		end.tries, end.kind, end.reason = try, result.kind, result.reason
+		mayHaveRun = mayHaveRun || result.kind == "failed" || result.kind == "lost"
+		if result.kind == "served" {
+			end.firstToken = time.Since(started) - result.sinceFirstToken
+			target := class.Aim + class.AimPer1000*time.Duration(req.promptTokens)/1000
+			end.inTime = end.firstToken <= target
 			return end
 		}
-		again := t.kind == "refused" || class.Effect == "safe" || t.left
-		if !again || try > retries || time.Since(begun) > class.GiveUp {
+		retryable := result.kind == "refused" || class.Effect == "safe" || result.disconnected
+		if !retryable || try > retries || time.Since(started) > class.Timeout {
 			return end
 		}
-		if t.kind != "refused" {
-			g.elsewhere()
+		if result.kind != "refused" {
+			u.switchRouter()
 		}
-		wait := max(s.Clients.Backoff, t.retryAfter)
+		wait := max(s.Clients.Backoff, result.retryAfter)
 		if eager {
 			wait = 0
 		}
 		if !sleep(ctx, wait) {
 			return end
 		}
-		a.drop = false
+		req.disconnect = false
 		try++
 	}
 	return end
 }
 
-// tried is how one try ended.
-type tried struct {
-	kind        string
-	unreachable bool
-	left        bool // the client cut its own socket
-	retryAfter  time.Duration
-	afterFirst  time.Duration // from the first token to the end
-	why         string        // the router's reason
+// tryResult is the result of one try.
+type tryResult struct {
+	kind            string
+	unreachable     bool
+	disconnected    bool // the client cut its own connection
+	retryAfter      time.Duration
+	sinceFirstToken time.Duration // from the first token to the end
+	reason          string        // as the router gave it
 }
 
-// once makes a try over the class's front.
-func (g *guest) once(ctx context.Context, a *ask, n int, again bool) tried {
-	if g.c.f.s.Classes[a.class].Front == "http" {
-		return g.tryHTTP(ctx, a, n, again)
+// tryOnce makes a try over the front of its class.
+func (u *virtualUser) tryOnce(ctx context.Context, req *plannedRequest, try int, retry bool) tryResult {
+	if u.pool.fleet.script.Classes[req.class].Front == "http" {
+		return u.tryHTTP(ctx, req, try, retry)
 	}
-	return g.try(ctx, a, n, again)
+	return u.trySession(ctx, req, try, retry)
 }
 
-// try sends a request once and waits for its final answer.
-func (g *guest) try(ctx context.Context, a *ask, n int, again bool) tried {
-	class := &g.c.f.s.Classes[a.class]
-	if err := g.connect(ctx); err != nil {
-		return tried{unreachable: true}
+// trySession sends a request once over a session and waits for its final answer.
+func (u *virtualUser) trySession(ctx context.Context, req *plannedRequest, try int, retry bool) tryResult {
+	class := &u.pool.fleet.script.Classes[req.class]
+	if err := u.connect(ctx); err != nil {
+		return tryResult{unreachable: true}
 	}
-	meta := map[string]string{realtime.MetaClass: class.Name, realtime.MetaIdempotency: a.name,
-		realtime.MetaPromptSize: strconv.Itoa(a.prompt), realtime.MetaSession: g.name}
-	if a.prefix != "" {
-		meta[realtime.MetaPrefix], meta[realtime.MetaPrefixSize] = a.prefix, strconv.Itoa(a.prompt/2)
+	meta := map[string]string{realtime.MetaClass: class.Name, realtime.MetaIdempotency: req.name,
+		realtime.MetaPromptSize: strconv.Itoa(req.promptTokens), realtime.MetaSession: u.name}
+	if req.prefix != "" {
+		meta[realtime.MetaPrefix], meta[realtime.MetaPrefixSize] = req.prefix, strconv.Itoa(req.promptTokens/2)
 	}
-	if g.tenant != "" {
-		meta[realtime.MetaTenant] = g.tenant
+	if u.tenant != "" {
+		meta[realtime.MetaTenant] = u.tenant
 	}
-	if again {
+	if retry {
 		meta[realtime.MetaRetry] = "true"
 	}
-	if n > 1 {
-		meta[realtime.MetaTry] = strconv.Itoa(n)
+	if try > 1 {
+		meta[realtime.MetaTry] = strconv.Itoa(try)
 	}
-	g.current, g.asked, g.sent = "", a, n
-	g.note(a, n, record.Offer, g.tenant, class.GiveUp.Seconds()*1000)
-	if g.said != a.name && g.session.Say("question "+a.name) != nil || g.session.Request(meta, class.Out) != nil {
-		return g.gone(a, n, "unreachable")
+	u.responseID, u.lastRequest, u.lastTry = "", req, try
+	u.logEvent(req, try, record.Offer, u.tenant, class.Timeout.Seconds()*1000)
+	if u.lastPrompt != req.name && u.session.Say("question "+req.name) != nil || u.session.Request(meta, class.MaxTokens) != nil {
+		return u.recordLost(req, try, "unreachable")
 	}
-	g.said = a.name
-	return g.wait(a, n, class)
+	u.lastPrompt = req.name
+	return u.awaitFinal(req, try, class)
 }
 
-// gone records a try without a final answer, and drops the session.
-func (g *guest) gone(a *ask, n int, why string) tried {
-	g.note(a, n, record.Lost, why, 0)
-	g.session.Cut()
-	g.session = nil
-	return tried{kind: "lost", left: why == "left", unreachable: why == "unreachable" || why == "not taken"}
+// recordLost records a try without a final answer, and drops the session.
+func (u *virtualUser) recordLost(req *plannedRequest, try int, reason string) tryResult {
+	u.logEvent(req, try, record.Lost, reason, 0)
+	u.session.Cut()
+	u.session = nil
+	return tryResult{kind: "lost", disconnected: reason == "left", unreachable: reason == "unreachable" || reason == "not taken"}
 }
 
-// wait reads to the final answer. A client that hears nothing in its time gives up, and tells the checker.
-func (g *guest) wait(a *ask, n int, class *Class) tried {
-	s := g.session
-	var cut atomic.Value // why this client cut its own socket
-	cutAfter := func(d time.Duration, why string) *time.Timer {
+// awaitFinal reads up to the final answer. A client that gets no token in time cuts its connection and records that.
+func (u *virtualUser) awaitFinal(req *plannedRequest, try int, class *Class) tryResult {
+	s := u.session
+	var cut atomic.Value // why this client cut its own connection
+	cutAfter := func(d time.Duration, reason string) *time.Timer {
 		return time.AfterFunc(d, func() {
-			cut.Store(why)
+			cut.Store(reason)
 			s.Cut()
 		})
 	}
-	gaveUp := cutAfter(class.GiveUp+2*time.Second, "gave up")
-	defer gaveUp.Stop()
-	if a.drop {
-		defer cutAfter(a.dropAt, "left").Stop()
+	timeout := cutAfter(class.Timeout+2*time.Second, "gave up")
+	defer timeout.Stop()
+	if req.disconnect {
+		defer cutAfter(req.disconnectAfter, "left").Stop()
 	}
 	first := time.Time{}
 	for {
 		ev, err := s.Next()
 		if err != nil {
-			why, own := cut.Load().(string)
-			if !own {
-				why = g.why(err)
+			reason, cutByClient := cut.Load().(string)
+			if !cutByClient {
+				reason = u.lossReason(err)
 			}
-			return g.gone(a, n, why)
+			return u.recordLost(req, try, reason)
 		}
-		if id := responseOf(ev); id != "" && id != g.current && ev.Type != realtime.ResponseCreated {
-			g.note(a, n, record.After, ev.Type, 0) // of an earlier response, which has had its final answer
+		if id := responseOf(ev); id != "" && id != u.responseID && ev.Type != realtime.ResponseCreated {
+			u.logEvent(req, try, record.After, ev.Type, 0) // of an earlier response, which has had its final answer
 			continue
 		}
 		switch ev.Type {
 		case realtime.ResponseCreated:
-			g.current = ev.Response.ID
+			u.responseID = ev.Response.ID
 		case realtime.TextDelta:
 			if first.IsZero() {
 				first = time.Now()
-				gaveUp.Stop()
-				g.note(a, n, record.Token, "", 0)
+				timeout.Stop()
+				u.logEvent(req, try, record.Token, "", 0)
 			}
 		case realtime.ErrorType:
 			if ev.Error.Code == "going_away" {
-				return g.gone(a, n, "not taken")
+				return u.recordLost(req, try, "not taken")
 			}
-			return g.gone(a, n, "error "+ev.Error.Code)
+			return u.recordLost(req, try, "error "+ev.Error.Code)
 		case realtime.ResponseDone:
-			return g.final(a, n, ev.Response, first)
+			return u.recordFinal(req, try, ev.Response, first)
 		}
 	}
 }
 
-// responseOf names the response that an event belongs to, if it does to one.
+// responseOf returns the id of the response that an event belongs to, or "".
 func responseOf(ev *realtime.Server) string {
 	if ev.Response != nil {
 		return ev.Response.ID
@@ -302,32 +301,32 @@
 	return ev.ResponseID
 }
 
-// why tells why a session ended under an open try.
-func (g *guest) why(err error) string {
+// lossReason returns why a session ended during an open try.
+func (u *virtualUser) lossReason(err error) string {
 	var ce *ws.CloseError
-	if errors.As(err, &ce) && ce.Code == ws.CloseGoingAway && g.current == "" {
-		return "not taken" // the router closed in order, and had not said that it took the response
+	if errors.As(err, &ce) && ce.Code == ws.CloseGoingAway && u.responseID == "" {
+		return "not taken" // an orderly close, before the router accepted the response
 	}
 	return "connection"
 }
 
-func (g *guest) final(a *ask, n int, r *realtime.Response, first time.Time) tried {
-	t := tried{kind: "served"}
-	if r.Status != "completed" {
-		t.kind = "failed"
-		if d := r.Details; d != nil && d.Error != nil {
-			t.why = d.Error.Message
+func (u *virtualUser) recordFinal(req *plannedRequest, try int, res *realtime.Response, first time.Time) tryResult {
+	result := tryResult{kind: "served"}
+	if res.Status != "completed" {
+		result.kind = "failed"
+		if d := res.Details; d != nil && d.Error != nil {
+			result.reason = d.Error.Message
 		}
-		if d := r.Details; d != nil && d.Error != nil && d.Error.Code == realtime.CodeRefused {
-			t.kind = "refused"
+		if d := res.Details; d != nil && d.Error != nil && d.Error.Code == realtime.CodeRefused {
+			result.kind = "refused"
 			if d.Error.RetryAfterMS != nil {
-				t.retryAfter = time.Duration(*d.Error.RetryAfterMS) * time.Millisecond
+				result.retryAfter = time.Duration(*d.Error.RetryAfterMS) * time.Millisecond
 			}
 		}
 	}
 	if !first.IsZero() {
-		t.afterFirst = time.Since(first)
+		result.sinceFirstToken = time.Since(first)
 	}
-	g.note(a, n, record.Final, t.kind, float64(t.retryAfter.Milliseconds()))
-	return t
+	u.logEvent(req, try, record.Final, result.kind, float64(result.retryAfter.Milliseconds()))
+	return result
 }
