--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -1,5 +1,5 @@
-// Package client opens sessions at a router and asks for answers. The chat
-// command, the demo and the days use it.
+// Package client is a client of the router: sessions of the Realtime API and connections of the HTTP APIs. The chat
+// command, the demo and the scenarios use it.
 package client
 
 import (
@@ -17,15 +17,15 @@
 	"gannethook/internal/ws"
 )
 
-// Session is one open session. One goroutine uses it at a time; another reads,
-// so that the router's pings are answered while its user thinks.
+// Session is an open session. Only one goroutine may use it at a time. A goroutine of its own reads the connection, so
+// that pings are answered while the caller is idle.
 type Session struct {
-	conn   *ws.Conn
-	Info   realtime.Session
-	events chan received
-	cut    chan struct{}
-	once   sync.Once
-	err    error // once the session has ended
+	conn      *ws.Conn
+	Info      realtime.Session
+	events    chan received
+	closed    chan struct{}
+	closeOnce sync.Once
+	err       error // set once the session has ended
 }
 
 type received struct {
@@ -33,25 +33,25 @@
 	err error
 }
 
-// ahead is how many events may wait for their user; then the socket does.
-const ahead = 64
+// eventBuffer is the number of events that may wait for Next before reading from the connection pauses.
+const eventBuffer = 64
 
-// Answer is how a response ended.
+// Answer is the result of a response.
 type Answer struct {
 	Status     string // completed, failed or cancelled
-	Code       string // of a failed one: refused or failed
+	Code       string // of a failed response: refused or failed
 	Reason     string
 	RetryAfter time.Duration
 	Text       string
 	Tokens     int
-	First      time.Duration // until the first token; 0: none
+	First      time.Duration // from the call of Wait to the first token; 0: no token
 	Whole      time.Duration
 }
 
-// ErrClosed tells that the session ended without a final answer.
-var ErrClosed = errors.New("the session ended without a final answer")
+// ErrClosed is returned if the session ended before the final answer.
+var ErrClosed = errors.New("the session ended before the final answer")
 
-// Open dials a router.
+// Open connects to a router and waits for session.created.
 func Open(ctx context.Context, addr, model string) (*Session, error) {
 	path := front.Path
 	if model != "" {
@@ -61,11 +61,11 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Session{conn: conn, events: make(chan received, ahead), cut: make(chan struct{})}
-	go s.read()
+	s := &Session{conn: conn, events: make(chan received, eventBuffer), closed: make(chan struct{})}
+	go s.readLoop()
 	ev, err := s.Next()
 	if err == nil && (ev.Type != realtime.SessionCreated || ev.Session == nil) {
-		err = fmt.Errorf("the router began with %q", ev.Type)
+		err = fmt.Errorf("first event from the router is %q, not session.created", ev.Type)
 	}
 	if err != nil {
 		s.Cut()
@@ -75,15 +75,15 @@
 	return s, nil
 }
 
-// Close ends the session politely; Cut ends it at once.
+// Close ends the session with a closing handshake.
 func (s *Session) Close() { s.CloseWith(func(*realtime.Server) {}) }
 
-func (s *Session) read() {
+func (s *Session) readLoop() {
 	for {
 		_, msg, err := s.conn.Read()
 		select {
 		case s.events <- received{msg, err}:
-		case <-s.cut:
+		case <-s.closed:
 			return
 		}
 		if err != nil {
@@ -92,7 +92,7 @@
 	}
 }
 
-// CloseWith is Close; what the router still sends goes to seen.
+// CloseWith is Close, and passes the events that the router still sends to seen.
 func (s *Session) CloseWith(seen func(*realtime.Server)) {
 	defer s.Cut()
 	s.conn.Close(ws.CloseNormal, "")
@@ -105,13 +105,13 @@
 	}
 }
 
-// Cut ends the connection without a word.
+// Cut closes the connection at once, without a closing handshake.
 func (s *Session) Cut() {
-	s.once.Do(func() { close(s.cut) })
+	s.closeOnce.Do(func() { close(s.closed) })
 	s.conn.Cut()
 }
 
-// Next is the router's next event.
+// Next returns the next event from the router.
 func (s *Session) Next() (*realtime.Server, error) {
 	if s.err != nil {
 		return nil, s.err
@@ -119,7 +119,7 @@
 	var r received
 	select {
 	case r = <-s.events:
-	case <-s.cut:
+	case <-s.closed:
 		r.err = net.ErrClosed
 	}
 	if s.err = r.err; s.err != nil {
@@ -127,7 +127,7 @@
 	}
 	var ev realtime.Server
 	if err := json.Unmarshal(r.msg, &ev); err != nil {
-		return nil, fmt.Errorf("the router's event: %w", err)
+		return nil, fmt.Errorf("event from the router: %w", err)
 	}
 	return &ev, nil
 }
@@ -140,13 +140,13 @@
 	return s.conn.Send(b)
 }
 
-// Say adds a message of the user to the conversation.
+// Say adds a user message to the conversation.
 func (s *Session) Say(text string) error {
 	return s.send(map[string]any{"type": realtime.ItemCreate, "item": realtime.Item{Type: "message", Role: "user",
 		Content: []realtime.Part{{Type: "input_text", Text: text}}}})
 }
 
-// Delete takes an item out of the conversation.
+// Delete deletes an item of the conversation.
 func (s *Session) Delete(id string) error {
 	return s.send(map[string]any{"type": realtime.ItemDelete, "item_id": id})
 }
@@ -160,18 +160,18 @@
 	return s.send(map[string]any{"type": realtime.ResponseCreate, "response": response})
 }
 
-// RequestApart starts a response outside the conversation, on a prompt of its own.
+// RequestApart starts a response outside of the default conversation (out-of-band), with its own prompt.
 func (s *Session) RequestApart(text string, metadata map[string]string, maxTokens int) error {
 	return s.send(map[string]any{"type": realtime.ResponseCreate, "response": map[string]any{
 		"conversation": "none", "metadata": metadata, "max_output_tokens": maxTokens,
 		"input": []realtime.Item{{Type: "message", Role: "user", Content: []realtime.Part{{Type: "input_text", Text: text}}}}}})
 }
 
-// Cancel takes the open response back.
+// Cancel cancels the open response.
 func (s *Session) Cancel() error { return s.send(map[string]any{"type": realtime.ResponseCancel}) }
 
-// Wait reads to the final answer; token is called with each part of the text.
-// An error event is an error here: the response was not taken.
+// Wait reads events until the final answer and calls token with each delta of the text. An error event is returned as an
+// error: the response was not accepted.
 func (s *Session) Wait(token func(text string)) (*Answer, error) {
 	from := time.Now()
 	a := &Answer{}
@@ -190,7 +190,7 @@
 				token(ev.Delta)
 			}
 		case realtime.ErrorType:
-			return a, fmt.Errorf("the router: %s: %s", ev.Error.Code, ev.Error.Message)
+			return a, fmt.Errorf("error event from the router: %s: %s", ev.Error.Code, ev.Error.Message)
 		case realtime.ResponseDone:
 			a.Whole, a.Status = time.Since(from), ev.Response.Status
 			if d := ev.Response.Details; d != nil && d.Error != nil {
@@ -204,7 +204,7 @@
 	}
 }
 
-// Kind is the answer in the project's words.
+// Kind returns the outcome: served, cancelled, refused or failed.
 func (a *Answer) Kind() string {
 	switch {
 	case a.Status == "completed":
--- a/internal/client/http.go
+++ b/internal/client/http.go
@@ -14,13 +14,13 @@
 	"gannethook/internal/http1"
 )
 
-// HTTP is one connection of the HTTP APIs, for one request at a time. It reads
-// what is on the wire and nothing more, so that what is sent out of turn shows.
+// HTTP is one connection to the HTTP APIs, for one request at a time. It has no background reader, so that unsolicited
+// bytes from the router are detected.
 type HTTP struct {
-	nc   net.Conn
-	br   *bufio.Reader
-	host string
-	last bool // the router closes after its answer
+	nc      net.Conn
+	br      *bufio.Reader
+	host    string
+	closing bool // the router closes the connection after this answer
 }
 
 // DialHTTP connects to a router.
@@ -33,13 +33,13 @@
 	return &HTTP{nc: nc, br: bufio.NewReader(nc), host: addr}, nil
 }
 
-// ErrOutOfTurn tells that something came that nothing was asked for.
-var ErrOutOfTurn = errors.New("the router talks out of turn")
+// ErrOutOfTurn is returned if the router sent bytes without a request.
+var ErrOutOfTurn = errors.New("the router sent bytes without a request")
 
-// Stands tells whether the connection may be used again: io.EOF tells that it
-// may not, ErrOutOfTurn that something came on it.
+// Stands returns nil if the connection can be reused, io.EOF if the router closes it, and ErrOutOfTurn if it sent
+// unsolicited bytes.
 func (h *HTTP) Stands() error {
-	if h.last {
+	if h.closing {
 		return io.EOF
 	}
 	h.nc.SetReadDeadline(time.Now().Add(time.Millisecond))
@@ -63,7 +63,7 @@
 	return bw.Flush()
 }
 
-// Head reads an answer's head, and gives its body.
+// Head reads the head of the answer, skipping interim (1xx) responses, and returns it with the body.
 func (h *HTTP) Head() (*http1.Response, *http1.Body, error) {
 	for {
 		res, err := http1.ReadResponse(h.br)
@@ -73,16 +73,16 @@
 		if res.Status < 200 {
 			continue
 		}
-		h.last = res.Header.Has("Connection", "close")
+		h.closing = res.Header.Has("Connection", "close")
 		body, err := http1.ResponseBody(h.br, res)
 		return res, body, err
 	}
 }
 
-// Cut ends the connection at once.
+// Cut closes the connection at once.
 func (h *HTTP) Cut() { h.nc.Close() }
 
-// Close ends the connection, and tells what still came on it.
+// Close closes the connection, and returns ErrOutOfTurn if the router still sent bytes on it.
 func (h *HTTP) Close() error {
 	defer h.nc.Close()
 	if c, ok := h.nc.(*net.TCPConn); ok {
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -22,9 +22,9 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// peer is a scripted engine: it answers each request of a connection with the
+// scriptedEngine is a scripted engine: it answers each request of a connection with the
 // next text; "CUT" ends the connection, "HANG" waits for the client to.
-type peer struct {
+type scriptedEngine struct {
 	addr  string
 	conns atomic.Int32
 	mu    sync.Mutex
@@ -32,12 +32,12 @@
 	body  []string
 }
 
-func script(t testing.TB, answers ...string) *peer {
+func startScripted(t testing.TB, answers ...string) *scriptedEngine {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &peer{addr: ln.Addr().String()}
+	p := &scriptedEngine{addr: ln.Addr().String()}
 	var wg sync.WaitGroup
 	wg.Go(func() {
 		for {
@@ -53,7 +53,7 @@
 	return p
 }
 
-func (p *peer) serve(nc net.Conn, answers []string) {
+func (p *scriptedEngine) serve(nc net.Conn, answers []string) {
 	defer nc.Close()
 	br := bufio.NewReader(nc)
 	for {
@@ -110,7 +110,7 @@
 	return hex(n/16) + digits[n%16:n%16+1]
 }
 
-const tok = `{"choices":[{"index":0,"text":" a"}]}`
+const tokenEvent = `{"choices":[{"index":0,"text":" a"}]}`
 
 func limits() Limits {
 	l := DefaultLimits()
@@ -137,27 +137,27 @@
 		{"a read", answer("200 OK", "", `{"kv_transfer_params":{"remote_host":"h"}}`), false, gannethook.ReadDone, false, 0},
 		{"a read without params", answer("200 OK", "", `{"kv_transfer_params":null}`), false, gannethook.Failed, false, 0},
 		{"a read that is no JSON", answer("200 OK", "", `{`), false, gannethook.Failed, false, 0},
-		{"an answer", stream(tok, tok, `{"choices":[{"text":""}]}`, "[DONE]"), true, gannethook.Served, false, 2},
+		{"an answer", stream(tokenEvent, tokenEvent, `{"choices":[{"text":""}]}`, "[DONE]"), true, gannethook.Served, false, 2},
 		{"429", answer("429 Too Many", "", ""), true, gannethook.Full, false, 0},
 		{"503", answer("503 Unavailable", "", ""), true, gannethook.Full, false, 0},
 		{"no state", answer("409 Conflict", "", `{"error":{"code":"no_state"}}`), true, gannethook.Full, true, 0},
 		{"another conflict", answer("409 Conflict", "", `{"error":{"code":"x"}}`), true, gannethook.Failed, false, 0},
 		{"500", answer("500 Error", "", ""), true, gannethook.Failed, false, 0},
 		{"400", answer("400 Bad", "", ""), false, gannethook.Failed, false, 0},
-		{"interim answers are skipped", "HTTP/1.1 100 Continue\r\n\r\n" + stream(tok, "[DONE]"), true, gannethook.Served, false, 1},
+		{"interim answers are skipped", "HTTP/1.1 100 Continue\r\n\r\n" + stream(tokenEvent, "[DONE]"), true, gannethook.Served, false, 1},
 		{"closed without a word", "CUT", true, gannethook.Broken, false, 0},
 		{"closed in the head", "HTTP/1.1 200 OK\r\nA: CUT", true, gannethook.Broken, false, 0},
 		{"not HTTP", "hello\r\n\r\n", true, gannethook.Failed, false, 0},
 		{"a head too large", "HTTP/1.1 200 OK\r\nA: " + strings.Repeat("a", 9000) + "\r\n\r\n", true, gannethook.Failed, false, 0},
-		{"a half answer", stream(tok, tok, "CUT"), true, gannethook.Broken, false, 2},
-		{"an answer that ends without its mark", stream(tok), true, gannethook.Broken, false, 1},
-		{"a stream that stalls", stream(tok, "HANG"), true, gannethook.Broken, false, 1},
-		{"an error in the stream", stream(tok, `{"error":{"message":"x"}}`), true, gannethook.Failed, false, 1},
+		{"a half answer", stream(tokenEvent, tokenEvent, "CUT"), true, gannethook.Broken, false, 2},
+		{"an answer that ends without its mark", stream(tokenEvent), true, gannethook.Broken, false, 1},
+		{"a stream that stalls", stream(tokenEvent, "HANG"), true, gannethook.Broken, false, 1},
+		{"an error in the stream", stream(tokenEvent, `{"error":{"message":"x"}}`), true, gannethook.Failed, false, 1},
 		{"an event that is no JSON", stream(`{"choices":`), true, gannethook.Failed, false, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			p, cl := script(t, c.answer), newClient(t)
+			p, cl := startScripted(t, c.answer), newClient(t)
 			call := &attempt.Call{Addr: p.addr, Key: "k", Prompt: "p", MaxTokens: 5, Idempotency: "i", Class: "c"}
 			var r attempt.Result
 			n := 0
@@ -194,8 +194,8 @@
 
 // A cancel ends an attempt at once, wherever it is, and its connection with it.
 func TestCancel(t *testing.T) {
-	for name, text := range map[string]string{"before the head": "HANG", "in the stream": stream(tok, "HANG")} {
-		p := script(t, text)
+	for name, text := range map[string]string{"before the head": "HANG", "in the stream": stream(tokenEvent, "HANG")} {
+		p := startScripted(t, text)
 		lim := limits()
 		lim.StreamIdle = time.Minute
 		c := NewClient(lim)
@@ -210,7 +210,7 @@
 
 // A first token that may not pass ends the attempt.
 func TestNotStarted(t *testing.T) {
-	p, c := script(t, stream(tok, "[DONE]")), newClient(t)
+	p, c := startScripted(t, stream(tokenEvent, "[DONE]")), newClient(t)
 	r := c.Write(context.Background(), &attempt.Call{Addr: p.addr}, func() bool { return false }, func([]byte) bool {
 		t.Error("a token passed")
 		return true
@@ -224,11 +224,11 @@
 // that the engine has closed meanwhile is not written to: what goes into it
 // would count as what may have run.
 func TestConnections(t *testing.T) {
-	done := stream(tok, "[DONE]")
-	write := func(c *Client, p *peer) gannethook.Outcome {
+	done := stream(tokenEvent, "[DONE]")
+	write := func(c *Client, p *scriptedEngine) gannethook.Outcome {
 		return c.Write(context.Background(), &attempt.Call{Addr: p.addr}, func() bool { return true }, func([]byte) bool { return true }).Outcome
 	}
-	p, shuts := script(t, done), script(t, done+"CUT", done)
+	p, shuts := startScripted(t, done), startScripted(t, done+"CUT", done)
 	c := newClient(t)
 	for range 5 {
 		if o := write(c, p); o != gannethook.Served {
@@ -250,7 +250,7 @@
 
 // Spare connections are opened ahead, kept at their number, and used.
 func TestSpare(t *testing.T) {
-	p := script(t, stream(tok, "[DONE]"))
+	p := startScripted(t, stream(tokenEvent, "[DONE]"))
 	lim := limits()
 	lim.Spare = 2
 	c := NewClient(lim)
@@ -296,7 +296,7 @@
 
 // A release finds the connection that the place came by, while streams hold all others.
 func TestControlApart(t *testing.T) {
-	p, c := script(t, answer("201 Created", "", "")), newClient(t)
+	p, c := startScripted(t, answer("201 Created", "", "")), newClient(t)
 	call := &attempt.Call{Addr: p.addr, Key: "k", PromptSize: 10, MaxTokens: 5}
 	if got := c.Hold(context.Background(), call, "reader:1"); got != attempt.Granted {
 		t.Fatal("no place")
@@ -304,7 +304,7 @@
 	if cn := c.pool.idle.Take(p.addr); cn != nil {
 		t.Fatal("an attempt could take the connection")
 	}
-	if err := c.release(context.Background(), attempt.Held{Addr: p.addr, Key: "k"}); err != nil || p.conns.Load() != 1 {
+	if err := c.deleteState(context.Background(), attempt.Held{Addr: p.addr, Key: "k"}); err != nil || p.conns.Load() != 1 {
 		t.Errorf("release: %v on %d connections", err, p.conns.Load())
 	}
 	if want := `{"request_id":"k","reader":"reader:1","tokens":15,"idle_ms":500}`; p.body[0] != want {
@@ -321,12 +321,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, served := &peer{addr: ln.Addr().String()}, make(chan struct{})
+	p, served := &scriptedEngine{addr: ln.Addr().String()}, make(chan struct{})
 	go func() {
 		defer close(served)
 		nc, err := ln.Accept()
 		if ln.Close(); err == nil { // no dial succeeds from now on
-			p.serve(nc, []string{answer("201 Created", "", ""), stream(tok, "[DONE]")})
+			p.serve(nc, []string{answer("201 Created", "", ""), stream(tokenEvent, "[DONE]")})
 		}
 	}()
 	c := newClient(t)
@@ -348,11 +348,11 @@
 }
 
 func TestHoldTimesOut(t *testing.T) {
-	p, c := script(t, "HANG"), newClient(t)
+	p, c := startScripted(t, "HANG"), newClient(t)
 	if got := c.Hold(context.Background(), &attempt.Call{Addr: p.addr, Key: "k"}, "r"); got != attempt.NoAnswer {
 		t.Errorf("a place that nobody answered: %v", got)
 	}
-	if err := c.release(context.Background(), attempt.Held{Addr: p.addr, Key: "k"}); err == nil || errors.Is(err, context.Canceled) {
+	if err := c.deleteState(context.Background(), attempt.Held{Addr: p.addr, Key: "k"}); err == nil || errors.Is(err, context.Canceled) {
 		t.Errorf("release: %v", err)
 	}
 }
--- a/internal/engine/orca.go
+++ b/internal/engine/orca.go
@@ -6,14 +6,14 @@
 	"strings"
 )
 
-// ReportHeader carries ORCA load reports (Open Request Cost Aggregation).
+// ReportHeader is the header field of ORCA load reports (Open Request Cost Aggregation).
 const ReportHeader = "endpoint-load-metrics"
 
-// memoryNames are the metrics that tell a share of memory, the engine's own first.
-var memoryNames = [...]string{"named_metrics.kv_cache_usage_perc", "named_metrics.kv-cache-utilization", "mem_utilization"}
+// memoryMetrics are the metrics for memory utilization, in order of preference: those of the KV cache first.
+var memoryMetrics = [...]string{"named_metrics.kv_cache_usage_perc", "named_metrics.kv-cache-utilization", "mem_utilization"}
 
-// Report reads the share of memory, 0 to 1, from a load report in the TEXT or
-// JSON format. What is malformed or out of range counts as no report.
+// Report returns the memory utilization, 0 to 1, of a load report in the TEXT or JSON format. A malformed or
+// out-of-range value counts as no report.
 func Report(value string) (memory float64, ok bool) {
 	format, rest, _ := strings.Cut(strings.TrimSpace(value), " ")
 	metrics := map[string]float64{}
@@ -40,7 +40,7 @@
 			metrics["mem_utilization"] = *r.Memory
 		}
 	}
-	for _, name := range memoryNames {
+	for _, name := range memoryMetrics {
 		if x, found := metrics[name]; found && x >= 0 && x <= 1 {
 			return x, true
 		}
--- a/internal/front/batch.go
+++ b/internal/front/batch.go
@@ -15,127 +15,128 @@
 	"gannethook/internal/settings"
 )
 
-// texts is a request of many texts; httpapi.Embeddings and httpapi.Rerank are.
-type texts interface {
-	Sizes() []float64
-	Engine(from, to int, tokens float64) []byte
+// batchRequest is a one-stage request over many texts that may be split into parts: httpapi.Embeddings and
+// httpapi.Rerank implement it.
+type batchRequest interface {
+	TokenCounts() []float64
+	EngineBody(from, to int, tokens float64) []byte
 	Check(body []byte, texts int) error
 	Join(bodies [][]byte, counts []int) ([]byte, error)
 }
 
 func (x *exchange) embed(body []byte) *httpapi.Error {
-	ask, bad := httpapi.ParseEmbeddings(body, x.l.s.cfg.Load().Sessions.TokenBytes)
-	if bad != nil {
-		return bad
+	req, apiErr := httpapi.ParseEmbeddings(body, x.conn.srv.cfg.Load().Sessions.TokenBytes)
+	if apiErr != nil {
+		return apiErr
 	}
-	return x.oneStage(settings.Embedding, ask.Model, engine.EmbeddingsPath, ask)
+	return x.oneStage(settings.Embedding, req.Model, engine.EmbeddingsPath, req)
 }
 
 func (x *exchange) rerank(body []byte) *httpapi.Error {
-	ask, bad := httpapi.ParseRerank(body, x.l.s.cfg.Load().Sessions.TokenBytes)
-	if bad != nil {
-		return bad
+	req, apiErr := httpapi.ParseRerank(body, x.conn.srv.cfg.Load().Sessions.TokenBytes)
+	if apiErr != nil {
+		return apiErr
 	}
-	return x.oneStage(settings.Rerank, ask.Model, engine.RerankPath, ask)
+	return x.oneStage(settings.Rerank, req.Model, engine.RerankPath, req)
 }
 
-// oneStage splits a request, has its parts done, and answers it whole.
-func (x *exchange) oneStage(work settings.Work, model, path string, ask texts) *httpapi.Error {
+// oneStage splits a request into parts, submits them and answers with the joined result.
+func (x *exchange) oneStage(work settings.Work, model, path string, req batchRequest) *httpapi.Error {
 	meta := x.meta(nil)
-	if bad := x.plan(work, model, meta); bad != nil {
-		return bad
+	if apiErr := x.prepareJob(work, model, meta); apiErr != nil {
+		return apiErr
 	}
 	x.job.Path = path
-	sizes := ask.Sizes()
+	sizes := req.TokenCounts()
 	for _, n := range sizes {
 		x.job.PromptSize += n
 	}
-	if bad := x.sized(meta); bad != nil {
-		return bad
+	if apiErr := x.applySizes(meta); apiErr != nil {
+		return apiErr
 	}
-	cfg := x.l.s.cfg.Load()
+	cfg := x.conn.srv.cfg.Load()
 	effect := gannethook.Effect(cfg.Classes[x.class].Effect)
-	b := &bundle{x: x, ask: ask, lim: cfg.Batch(), start: time.Now()}
-	b.parts = batch.Split(sizes, b.lim, effect != gannethook.Safe)
+	b := &batchRun{x: x, req: req, limits: cfg.Batch(), start: time.Now()}
+	b.parts = batch.Split(sizes, b.limits, effect != gannethook.Safe)
 	b.bodies, b.tickets = make([][]byte, len(b.parts)), make([]*admission.Ticket, len(b.parts))
-	b.m = batch.New(len(b.parts), b.lim, x.job.Timeout, effect == gannethook.Safe)
+	b.machine = batch.New(len(b.parts), b.limits, x.job.Timeout, effect == gannethook.Safe)
 	abandon := func() {}
-	if x.begin() {
-		if ok, a := x.l.s.in.Charge(x.job); ok {
+	if x.beginKey() {
+		if ok, a := x.conn.srv.admission.Charge(x.job); ok {
 			b.mu.Lock()
-			b.do(b.m.Start(0))
-			abandon = b.left
+			b.apply(b.machine.Start(0))
+			abandon = b.clientGone
 		} else {
-			x.turnAway(a)
+			x.answerUnsubmitted(a)
 		}
 	}
 	b.finish(x.wait(abandon))
 	return nil
 }
 
-// bundle is a batch on its way: it carries out what package batch decides.
-type bundle struct {
-	x     *exchange
-	ask   texts
-	lim   batch.Limits
-	start time.Time
-	parts []batch.Part
-
-	mu      sync.Mutex
-	m       *batch.Machine
-	bodies  [][]byte
-	tickets []*admission.Ticket
-	bytes   int
-	why     limits.Reason // of the part that was refused last
-	timers  []*time.Timer
-	dropped bool // parts that are on their way are taken back
+// batchRun is one batch in progress. It carries out the actions that the state machine of package batch decides.
+type batchRun struct {
+	x      *exchange
+	req    batchRequest
+	limits batch.Limits
+	start  time.Time
+	parts  []batch.Part
+
+	mu          sync.Mutex
+	machine     *batch.Machine
+	bodies      [][]byte
+	tickets     []*admission.Ticket
+	bytes       int
+	limitReason limits.Reason // of the last part that was refused
+	timers      []*time.Timer
+	abandoned   bool // parts that are still being submitted are cancelled
 }
 
-// part is one part's sink.
-type part struct {
-	b *bundle
-	i int
+// partSink receives the result of one part.
+type partSink struct {
+	run   *batchRun
+	index int
 }
 
-// Token is never called: one-stage work comes whole.
-func (p *part) Token([]byte) bool { return true }
+// Token is never called: one-stage work is not streamed.
+func (p *partSink) Token([]byte) bool { return true }
 
-var partEnds = map[driver.Outcome]batch.Kind{driver.Served: batch.Served, driver.Refused: batch.Refused,
+var endKinds = map[driver.Outcome]batch.Kind{driver.Served: batch.Served, driver.Refused: batch.Refused,
 	driver.Failed: batch.Failed, driver.Cancelled: batch.Cancelled}
 
-func (p *part) Final(a driver.Answer) {
-	b := p.b
+func (p *partSink) Final(a driver.Answer) {
+	b := p.run
 	b.mu.Lock()
-	b.bodies[p.i] = a.Body
+	b.bodies[p.index] = a.Body
 	b.bytes += len(a.Body)
-	end := batch.End{Kind: partEnds[a.Outcome], RetryAfter: a.RetryAfter, Reason: a.Reason, MayHaveRun: a.MayHaveRun}
-	if b.bytes > int(b.x.l.s.cfg.Load().HTTP.Answer) {
+	end := batch.End{Kind: endKinds[a.Outcome], RetryAfter: a.RetryAfter, Reason: a.Reason, MayHaveRun: a.MayHaveRun}
+	if b.bytes > int(b.x.conn.srv.cfg.Load().HTTP.Answer) {
 		end = batch.End{Kind: batch.Failed, Reason: "the answer is too large", MayHaveRun: true}
 	}
 	if a.Outcome == driver.Refused {
-		b.why = a.LimitReason
+		b.limitReason = a.LimitReason
 	}
-	b.do(b.m.Ended(time.Since(b.start), p.i, end))
+	b.apply(b.machine.Ended(time.Since(b.start), p.index, end))
 }
 
-// do carries out actions; it is called with the lock, and gives it up.
-func (b *bundle) do(acts []batch.Action) {
+// apply carries out actions. It is called with b.mu held and releases it.
+func (b *batchRun) apply(actions []batch.Action) {
 	var asks []batch.Ask
-	var drops []*admission.Ticket
+	var abandoned []*admission.Ticket
 	var final *driver.Answer
-	for _, act := range acts {
+	for _, act := range actions {
 		switch a := act.(type) {
 		case batch.Ask:
 			asks = append(asks, a)
 		case batch.Drop:
 			if t := b.tickets[a.Part]; t != nil {
-				drops = append(drops, t)
+				abandoned = append(abandoned, t)
 			}
 		case batch.Wake:
 			b.timers = append(b.timers, time.AfterFunc(a.At-time.Since(b.start), b.wake))
 		case batch.Final:
-			b.dropped = true
-			final = b.answer(a.End)
+			b.abandoned = true
+			final = b.finalAnswer(a.End)
 		}
 	}
 	b.mu.Unlock()
@@ -143,84 +144,84 @@
 		b.submit(a)
 	}
 	if final != nil {
-		b.x.settle(*final)
+		b.x.setFinal(*final)
 	}
-	for _, t := range drops {
+	for _, t := range abandoned {
 		t.Abandon()
 	}
 }
 
-// answer words the whole's end. What it was charged is given back where it was
-// refused, and so was harmless to try again.
-func (b *bundle) answer(e batch.End) *driver.Answer {
+// finalAnswer maps the end of the batch to the request's final answer. A refused batch, which is safe to retry, has
+// its charge refunded.
+func (b *batchRun) finalAnswer(e batch.End) *driver.Answer {
 	for _, t := range b.timers {
 		t.Stop()
 	}
 	a := &driver.Answer{RetryAfter: e.RetryAfter, Reason: e.Reason, MayHaveRun: e.MayHaveRun}
-	for kind, of := range partEnds {
+	for kind, of := range endKinds {
 		if of == e.Kind {
 			a.Outcome = kind
 		}
 	}
 	if a.Outcome == driver.Refused {
-		a.LimitReason = b.why
-		b.x.l.s.in.Refund(b.x.job)
+		a.LimitReason = b.limitReason
+		b.x.conn.srv.admission.Refund(b.x.job)
 	}
 	return a
 }
 
-// submit asks for a part.
-func (b *bundle) submit(a batch.Ask) {
+// submit hands one part to admission. The whole request is charged already, so the part isn't.
+func (b *batchRun) submit(a batch.Ask) {
 	p := b.parts[a.Part]
 	job := b.x.job
 	job.Paid, job.PromptSize = true, max(p.Tokens, 1)
 	job.Begun = a.Begun
-	job.Body = b.ask.Engine(p.From, p.To, p.Tokens)
-	job.CheckAnswer = func(body []byte) error { return b.ask.Check(body, p.To-p.From) }
+	job.Body = b.req.EngineBody(p.From, p.To, p.Tokens)
+	job.CheckAnswer = func(body []byte) error { return b.req.Check(body, p.To-p.From) }
 	job.Timeout = max(b.x.job.Timeout-time.Since(b.start), 0)
-	t := b.x.l.s.in.Submit(job, &part{b, a.Part})
+	t := b.x.conn.srv.admission.Submit(job, &partSink{b, a.Part})
 	b.mu.Lock()
 	b.tickets[a.Part] = t
-	dropped := b.dropped
+	abandoned := b.abandoned
 	b.mu.Unlock()
-	if dropped {
+	if abandoned {
 		t.Abandon()
 	}
 }
 
-func (b *bundle) wake() {
+func (b *batchRun) wake() {
 	b.mu.Lock()
-	b.do(b.m.Wake(time.Since(b.start)))
+	b.apply(b.machine.Wake(time.Since(b.start)))
 }
 
-// left takes the whole back when its client has gone.
-func (b *bundle) left() {
+// clientGone cancels the batch when its client has disconnected.
+func (b *batchRun) clientGone() {
 	b.mu.Lock()
-	b.do(b.m.Left())
+	b.apply(b.machine.Left())
 }
 
-// finish writes the answer; parts are joined here, on the connection's own goroutine.
-func (b *bundle) finish(a driver.Answer) {
+// finish writes the answer. The parts are joined here, on the connection's own goroutine.
+func (b *batchRun) finish(a driver.Answer) {
 	switch a.Outcome {
 	case driver.Cancelled:
-		b.x.keep = false
+		b.x.keepAlive = false
 	case driver.Served:
 		counts := make([]int, len(b.parts))
 		for i, p := range b.parts {
 			counts[i] = p.To - p.From
 		}
-		whole, err := b.ask.Join(b.bodies, counts)
-		if err != nil { // each part was checked: it can't be
-			b.x.turned(driver.Answer{Outcome: driver.Failed, Reason: err.Error()})
+		joined, err := b.req.Join(b.bodies, counts)
+		if err != nil { // can't happen: each part was checked
+			b.x.replyUnserved(driver.Answer{Outcome: driver.Failed, Reason: err.Error()})
 			return
 		}
-		b.x.reply(200, "application/json", b.x.limits(), whole)
+		b.x.reply(200, "application/json", b.x.rateLimitHeaders(), joined)
 	default:
-		b.x.turned(a)
+		b.x.replyUnserved(a)
 	}
 }
 
-// tokensOf is a text's length in tokens, by its bytes.
-func tokensOf(text string, tokenBytes float64) float64 {
+// tokenCount estimates a text's length in tokens from its length in bytes.
+func tokenCount(text string, tokenBytes float64) float64 {
 	return math.Ceil(float64(len(text)) / tokenBytes)
 }
--- a/internal/front/caller.go
+++ b/internal/front/caller.go
@@ -14,16 +14,16 @@
 	"gannethook/internal/realtime"
 )
 
-// caller is who asks.
-type caller struct {
-	tenant int    // by key or certificate; -1: it names one itself, or has none
-	name   string // the tenant's
-	key    string // id of the API key
-	client uint64 // whose tries are counted; 0: not known
+// callerIdentity is the authenticated identity of a client.
+type callerIdentity struct {
+	tenant     int    // by API key or certificate; -1: not known by either, a request may name it
+	tenantName string // name of the tenant
+	keyID      string // id of the API key, or ""
+	client     uint64 // key under which retries are counted; 0: not known
 }
 
-// identityOf is the SPIFFE id of a client's certificate, which the handshake has checked.
-func identityOf(state tls.ConnectionState) string {
+// spiffeIDOf returns the SPIFFE id of the client's certificate, which the TLS handshake has verified, or "".
+func spiffeIDOf(state tls.ConnectionState) string {
 	if len(state.PeerCertificates) == 0 {
 		return ""
 	}
@@ -34,54 +34,55 @@
 	return id.String()
 }
 
-// caller tells who asks, by API key, else by certificate. Where keys are listed,
-// one of the two is due; they may not name two tenants.
-func (s *Server) caller(req *http1.Request, identity string) (caller, *httpapi.Error) {
-	cfg, who := s.cfg.Load(), caller{tenant: -1}
-	if identity != "" {
-		if t := cfg.TenantOf(identity); t >= 0 {
-			who = caller{tenant: t, name: cfg.Tenants[t].Name, client: max(xxhash.Sum64String(identity), 1)}
+// authenticate identifies the client by API key, else by certificate. With a table of API keys one of the two is
+// required, and they must not belong to different tenants.
+func (s *Server) authenticate(req *http1.Request, spiffeID string) (callerIdentity, *httpapi.Error) {
+	cfg, caller := s.cfg.Load(), callerIdentity{tenant: -1}
+	if spiffeID != "" {
+		if t := cfg.TenantOf(spiffeID); t >= 0 {
+			caller = callerIdentity{tenant: t, tenantName: cfg.Tenants[t].Name, client: max(xxhash.Sum64String(spiffeID), 1)}
 		}
 	}
 	table := s.keys.Load()
 	if table == nil {
-		return who, nil
+		return caller, nil
 	}
-	text, shown := strings.CutPrefix(req.Header.Get("Authorization"), "Bearer ")
-	if !shown && who.tenant >= 0 {
-		return who, nil
+	apiKey, present := strings.CutPrefix(req.Header.Get("Authorization"), "Bearer ")
+	if !present && caller.tenant >= 0 {
+		return caller, nil
 	}
-	k, ok := table.Find(time.Now(), strings.TrimSpace(text))
+	k, ok := table.Find(time.Now(), strings.TrimSpace(apiKey))
 	tenant := -1
 	if ok {
 		tenant = cfg.TenantNamed(k.Tenant)
 	}
-	if tenant < 0 || who.tenant >= 0 && who.tenant != tenant {
-		return who, &httpapi.Error{Status: 401, Type: httpapi.InvalidRequest, Code: "invalid_api_key", Message: "no such API key"}
+	if tenant < 0 || caller.tenant >= 0 && caller.tenant != tenant {
+		return caller, &httpapi.Error{Status: 401, Type: httpapi.InvalidRequest, Code: "invalid_api_key", Message: "no such API key"}
 	}
-	return caller{tenant: tenant, name: k.Tenant, key: k.ID, client: k.Client()}, nil
+	return callerIdentity{tenant: tenant, tenantName: k.Tenant, keyID: k.ID, client: k.Client()}, nil
 }
 
-// client is whose tries are counted together: a key's or certificate's, else a
-// tenant's, else those of all whom nothing tells apart.
-func (s *Server) client(who caller, tenant int) uint64 {
-	if who.client != 0 {
-		return who.client
+// clientKey returns the key under which a client's retries are counted: that of its API key or certificate, else its
+// tenant's, else one shared by all unidentified clients.
+func (s *Server) clientKey(caller callerIdentity, tenant int) uint64 {
+	if caller.client != 0 {
+		return caller.client
 	}
 	return uint64(tenant + 2)
 }
 
-// triedBefore tells whether a request says that tries of it went before.
-func triedBefore(meta func(string) (string, bool)) bool {
+// hasPriorAttempt reports whether a request's metadata marks it as a retry.
+func hasPriorAttempt(meta func(string) (string, bool)) bool {
 	text, _ := meta(realtime.MetaTry)
 	n, err := strconv.Atoi(text)
 	return err == nil && n > 1
 }
 
-// named settles a request's tenant: the caller's own, or one that it may name itself.
-func (s *Server) named(who caller, name string) (tenant int, as string, ok bool) {
-	if who.tenant >= 0 {
-		return who.tenant, who.name, name == "" || name == who.name
+// resolveTenant returns a request's tenant: the caller's own, or, for a caller without one, the tenant that the request
+// names. ok is false if the request names an unknown tenant, or another than the caller's own.
+func (s *Server) resolveTenant(caller callerIdentity, name string) (tenant int, tenantName string, ok bool) {
+	if caller.tenant >= 0 {
+		return caller.tenant, caller.tenantName, name == "" || name == caller.tenantName
 	}
 	if name == "" {
 		return -1, "", true
--- a/internal/front/chat.go
+++ b/internal/front/chat.go
@@ -12,161 +12,161 @@
 	"gannethook/internal/settings"
 )
 
-// chat is one chat completion; it is the intake's sink.
-type chat struct {
-	x   *exchange
-	c   httpapi.Completion
-	ask *httpapi.Chat
+// chatSink receives the result of one chat completion and writes it to the client.
+type chatSink struct {
+	x          *exchange
+	completion httpapi.Completion
+	req        *httpapi.Chat
 
-	mu     sync.Mutex // held while a token is written: never by Final
-	begun  bool
-	broken bool // the client does not read
-	long   bool // the text is larger than an answer may be
-	text   []byte
-	event  []byte
+	mu          sync.Mutex // held while a token is written; Final doesn't take it
+	started     bool
+	writeFailed bool // the client doesn't read, or the connection is broken
+	tooLarge    bool // the text exceeds the limit of an answer
+	text        []byte
+	event       []byte
 }
 
 func (x *exchange) chat(body []byte) *httpapi.Error {
-	ask, bad := httpapi.ParseChat(body)
-	if bad != nil {
-		return bad
+	req, apiErr := httpapi.ParseChat(body)
+	if apiErr != nil {
+		return apiErr
 	}
-	if p := checkMetadata("metadata", ask.Metadata); p != nil {
-		return httpapi.Invalid(p.param, "%s", p.msg)
+	if p := checkMetadata("metadata", req.Metadata); p != nil {
+		return httpapi.Invalid(p.param, "%s", p.message)
 	}
-	meta := x.meta(ask.Metadata)
-	if bad = x.plan(settings.Chat, ask.Model, meta); bad != nil {
-		return bad
+	meta := x.meta(req.Metadata)
+	if apiErr = x.prepareJob(settings.Chat, req.Model, meta); apiErr != nil {
+		return apiErr
 	}
 	j := &x.job
-	j.Prompt, j.MaxTokens = ask.Prompt(), x.l.s.cfg.Load().Classes[x.class].MaxTokens
-	if ask.MaxTokens > 0 {
-		j.MaxTokens = min(j.MaxTokens, ask.MaxTokens)
+	j.Prompt, j.MaxTokens = req.Prompt(), x.conn.srv.cfg.Load().Classes[x.class].MaxTokens
+	if req.MaxTokens > 0 {
+		j.MaxTokens = min(j.MaxTokens, req.MaxTokens)
 	}
-	if ask.Sampling != nil {
-		j.Sampling, _ = json.Marshal(ask.Sampling)
+	if req.Sampling != nil {
+		j.Sampling, _ = json.Marshal(req.Sampling)
 	}
 	if name, ok := meta(realtime.MetaSession); ok {
-		j.Session = key(name)
+		j.Session = hashKey(name)
 	}
 	if name, ok := meta(realtime.MetaPrefix); ok {
 		if !printable(name) {
-			return httpapi.Invalid(headerOf(realtime.MetaPrefix), "printable ASCII without spaces expected")
+			return httpapi.Invalid(metaHeader(realtime.MetaPrefix), "printable ASCII without spaces expected")
 		}
-		j.Prefix, j.PrefixName = key(name), name
+		j.Prefix, j.PrefixName = hashKey(name), name
 	}
-	if bad = x.sized(meta); bad != nil {
-		return bad
+	if apiErr = x.applySizes(meta); apiErr != nil {
+		return apiErr
 	}
-	k := &chat{x: x, ask: ask, c: httpapi.Completion{ID: x.id, Model: ask.Model, Created: time.Now().Unix(), Prompt: int(j.PromptSize)}}
+	k := &chatSink{x: x, req: req, completion: httpapi.Completion{ID: x.id, Model: req.Model, Created: time.Now().Unix(), PromptTokens: int(j.PromptSize)}}
 	abandon := func() {}
-	if x.begin() {
-		abandon = x.l.s.in.Submit(*j, k).Abandon
+	if x.beginKey() {
+		abandon = x.conn.srv.admission.Submit(*j, k).Abandon
 	}
 	k.finish(x.wait(abandon))
 	return nil
 }
 
-// Token takes a token: written at once where the answer is streamed.
-func (k *chat) Token(text []byte) bool {
+// Token receives one token. Streamed answers write it at once, others collect it.
+func (k *chatSink) Token(text []byte) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.broken || k.long || k.x.over() {
+	if k.writeFailed || k.tooLarge || k.x.hasFinal() {
 		return false
 	}
-	if !k.ask.Stream {
+	if !k.req.Stream {
 		k.text = append(k.text, text[1:len(text)-1]...)
-		k.long = len(k.text) > int(k.x.l.s.cfg.Load().HTTP.Answer)
-		return !k.long
+		k.tooLarge = len(k.text) > int(k.x.conn.srv.cfg.Load().HTTP.Answer)
+		return !k.tooLarge
 	}
 	k.event = k.event[:0]
-	if !k.begun {
-		k.begin()
-		k.event = k.c.Event(k.event, nil, "")
+	if !k.started {
+		k.startStream()
+		k.event = k.completion.Event(k.event, nil, "")
 	}
-	k.event = k.c.Event(k.event, text, "")
+	k.event = k.completion.Event(k.event, text, "")
 	k.send(k.event)
-	return !k.broken
+	return !k.writeFailed
 }
 
-func (k *chat) begin() {
-	k.begun = true
+func (k *chatSink) startStream() {
+	k.started = true
 	h := http1.Header{{Name: "Content-Type", Value: "text/event-stream; charset=utf-8"}, {Name: "Cache-Control", Value: "no-cache"}}
 	if k.x.req.Minor == 1 {
 		h = append(h, http1.Field{Name: "Transfer-Encoding", Value: "chunked"})
 	}
-	k.x.head(200, append(h, k.x.limits()...))
+	k.x.head(200, append(h, k.x.rateLimitHeaders()...))
 }
 
-// send writes a part of the stream.
-func (k *chat) send(p []byte) {
-	k.x.l.nc.SetWriteDeadline(time.Now().Add(k.x.l.s.cfg.Load().HTTP.Write))
+// send writes a part of the event stream.
+func (k *chatSink) send(p []byte) {
+	k.x.conn.nc.SetWriteDeadline(time.Now().Add(k.x.conn.srv.cfg.Load().HTTP.Write))
 	var err error
 	if k.x.req.Minor == 1 {
-		err = http1.WriteChunk(k.x.l.bw, p)
-	} else if _, err = k.x.l.bw.Write(p); err == nil {
-		err = k.x.l.bw.Flush()
+		err = http1.WriteChunk(k.x.conn.bw, p)
+	} else if _, err = k.x.conn.bw.Write(p); err == nil {
+		err = k.x.conn.bw.Flush()
 	}
-	k.broken = k.broken || err != nil
+	k.writeFailed = k.writeFailed || err != nil
 }
 
-// Final takes the final answer; the connection's goroutine writes it.
-func (k *chat) Final(a driver.Answer) { k.x.settle(a) }
+// Final receives the final answer; the connection's goroutine writes it.
+func (k *chatSink) Final(a driver.Answer) { k.x.setFinal(a) }
 
-// finish writes the final answer and nothing after it.
-func (k *chat) finish(a driver.Answer) {
+// finish writes the final answer, the last thing that is written of this response.
+func (k *chatSink) finish(a driver.Answer) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	reason := "stop"
 	if a.Tokens >= k.x.job.MaxTokens {
 		reason = "length"
 	}
-	if k.long { // its engine was cut off, as if nobody read
+	if k.tooLarge { // Token cancelled the attempt as if the client had disconnected
 		a = driver.Answer{Outcome: driver.Failed, Reason: "the answer is too large", MayHaveRun: true}
 	}
 	switch {
-	case k.broken || a.Outcome == driver.Cancelled:
-		k.x.keep = false // nobody reads
-	case !k.begun && a.Outcome == driver.Served && !k.ask.Stream:
-		k.x.reply(200, "application/json", k.x.limits(), k.c.Whole(k.text, a.Tokens, reason))
-	case !k.begun && a.Outcome != driver.Served:
-		k.x.turned(a)
+	case k.writeFailed || a.Outcome == driver.Cancelled:
+		k.x.keepAlive = false // the client has disconnected
+	case !k.started && a.Outcome == driver.Served && !k.req.Stream:
+		k.x.reply(200, "application/json", k.x.rateLimitHeaders(), k.completion.Response(k.text, a.Tokens, reason))
+	case !k.started && a.Outcome != driver.Served:
+		k.x.replyUnserved(a)
 	case a.Outcome == driver.Served:
-		k.served(a, reason)
+		k.finishStream(a, reason)
 	default:
-		k.failed(a)
+		k.failStream(a)
 	}
 }
 
-func (k *chat) served(a driver.Answer, reason string) {
+func (k *chatSink) finishStream(a driver.Answer, reason string) {
 	k.event = k.event[:0]
-	if !k.begun { // an answer without a token
-		k.begin()
-		k.event = k.c.Event(k.event, nil, "")
+	if !k.started { // an answer without a token
+		k.startStream()
+		k.event = k.completion.Event(k.event, nil, "")
 	}
-	k.event = k.c.Event(k.event, nil, reason)
-	if k.ask.Usage {
-		k.event = k.c.UsageEvent(k.event, a.Tokens)
+	k.event = k.completion.Event(k.event, nil, reason)
+	if k.req.Usage {
+		k.event = k.completion.UsageEvent(k.event, a.Tokens)
 	}
 	k.send(append(k.event, "data: [DONE]\n\n"...))
-	k.end()
+	k.endBody()
 }
 
-// failed ends a stream that broke: an error in place of the rest, no [DONE], and the end of the connection.
-func (k *chat) failed(a driver.Answer) {
+// failStream ends a stream that failed after its head was sent: an error event, no [DONE], and the connection closes.
+func (k *chatSink) failStream(a driver.Answer) {
 	e := httpapi.Error{Type: httpapi.ServerError, Code: httpapi.CodeFailed, Message: a.Reason}
 	k.send(append(append([]byte("data: "), e.Body()...), "\n\n"...))
-	k.end()
-	k.x.keep = false
+	k.endBody()
+	k.x.keepAlive = false
 }
 
-// end ends the body.
-func (k *chat) end() {
-	if k.broken || k.x.req.Minor != 1 {
-		k.x.keep = false
+// endBody writes the last chunk. An HTTP/1.0 body ends with the connection.
+func (k *chatSink) endBody() {
+	if k.writeFailed || k.x.req.Minor != 1 {
+		k.x.keepAlive = false
 		return
 	}
-	if http1.WriteChunk(k.x.l.bw, nil) != nil {
-		k.x.keep = false
+	if http1.WriteChunk(k.x.conn.bw, nil) != nil {
+		k.x.keepAlive = false
 	}
 }
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -1,6 +1,6 @@
-// Package front is the clients' side of the router: HTTP/1.1 with the APIs of
-// package httpapi, and sessions of the Realtime API over WebSocket. It hands
-// requests to the intake and writes what comes back; it decides nothing about them.
+// Package front serves the router's clients: HTTP/1.1 with the APIs of package httpapi, and sessions of the Realtime
+// API over WebSocket. It owns the client connections, authenticates and parses requests, submits them to package
+// admission and writes the answers. It makes no scheduling decisions.
 package front
 
 import (
@@ -19,87 +19,86 @@
 	"gannethook/internal/settings"
 )
 
-// Path is where sessions are opened. A load balancer asks the other two: alive
-// answers 200 as long as the process serves, ready only while it takes sessions.
+// Path opens sessions. The other two are health checks: LivePath answers 200 as long as the process serves, ReadyPath
+// only while it accepts new sessions.
 const (
 	Path      = "/v1/realtime"
 	LivePath  = "/livez"
 	ReadyPath = "/readyz"
 )
 
-// Server serves sessions.
+// Server accepts client connections and serves HTTP requests and sessions on them.
 type Server struct {
-	cfg    atomic.Pointer[settings.File]
-	in     *admission.Controller
-	tls    *tls.Config                   // nil: clients speak plainly
-	keys   atomic.Pointer[apikeys.Table] // nil: clients name their tenant themselves
-	boot   string                        // names this life of the router
-	guard  *guard
-	serial atomic.Uint64
-	bodies http1.Budget // of requests under way
-	done   func(driver.Summary)
-	left   func() // a connection has ended
+	cfg         atomic.Pointer[settings.File]
+	admission   *admission.Controller
+	tls         *tls.Config                   // nil: without TLS
+	keys        atomic.Pointer[apikeys.Table] // nil: clients may name their tenant themselves
+	incarnation string                        // name of the router and its start time
+	keyTable    *keyTable
+	serial      atomic.Uint64
+	bodies      http1.Budget // memory for request bodies in progress
+	done        func(driver.Summary)
+	onConnEnd   func() // called when a connection or an accept loop has ended
 
-	mu       sync.Mutex
-	sessions map[*session]bool
-	conns    map[net.Conn]*guest // of sessions too
-	closing  bool                // no more sessions
-	turned   time.Time
-	final    bool // the listeners are closed for good
-	ended    bool // no more connections
-	loops    int  // that accept
-	wg       sync.WaitGroup
+	mu              sync.Mutex
+	sessions        map[*session]bool
+	connStates      map[net.Conn]*connState // includes upgraded connections
+	draining        bool                    // no new sessions or requests
+	drainedAt       time.Time
+	listenersClosed bool // the listeners won't reopen
+	ended           bool // no new connections
+	acceptLoops     int  // accept loops that are running
+	wg              sync.WaitGroup
 }
 
-// guest is one connection.
-type guest struct {
-	came time.Time
-	idle bool // between two requests: it may be closed
+// connState is the state of one connection.
+type connState struct {
+	acceptedAt time.Time
+	idle       bool // between two requests: a drain may close it
 }
 
-// NewServer returns a server before an intake. done is told of the requests that
-// end here, without having come to the intake.
+// NewServer returns a server that submits requests to in. done receives the summaries of requests that end here,
+// without having been submitted.
 func NewServer(cfg *settings.File, in *admission.Controller, done func(driver.Summary)) *Server {
-	s := &Server{in: in, done: done, boot: fmt.Sprintf("%s-%x", cfg.Name, time.Now().UnixNano()),
-		guard: newGuard(cfg), sessions: map[*session]bool{}, conns: map[net.Conn]*guest{}, left: func() {}}
+	s := &Server{admission: in, done: done, incarnation: fmt.Sprintf("%s-%x", cfg.Name, time.Now().UnixNano()),
+		keyTable: newKeyTable(cfg), sessions: map[*session]bool{}, connStates: map[net.Conn]*connState{}, onConnEnd: func() {}}
 	s.cfg.Store(cfg)
 	return s
 }
 
-// Swap has new settings hold from the next event of each session on; those of
-// connections hold for new ones.
+// Swap replaces the settings. Sessions use them from their next event on; settings of connections apply to new
+// connections.
 func (s *Server) Swap(cfg *settings.File) { s.cfg.Store(cfg) }
 
-// OnLeave sets what is called when a connection has ended. It is set before Serve.
-func (s *Server) OnLeave(left func()) { s.left = left }
+// OnLeave sets the function that is called when a connection or an accept loop has ended. Call it before Serve.
+func (s *Server) OnLeave(onConnEnd func()) { s.onConnEnd = onConnEnd }
 
-// Secure has clients speak TLS. It is set before Serve.
+// Secure enables TLS. Call it before Serve.
 func (s *Server) Secure(cfg *tls.Config) { s.tls = cfg }
 
-// Keys has clients show one of these API keys from now on. What came by a key
-// that is gone goes on to its answers; its sessions take nothing new and close,
-// and what waits for its turn is turned away.
-func (s *Server) Keys(t *apikeys.Table, gone []*apikeys.Key) {
+// Keys replaces the table of API keys; from now on clients must present one of them. For each revoked key, requests in
+// progress run to their end, queued ones are refused, and sessions accept nothing new and close.
+func (s *Server) Keys(t *apikeys.Table, revoked []*apikeys.Key) {
 	s.keys.Store(t)
-	for _, k := range gone {
-		s.in.Revoke(k.Client())
+	for _, k := range revoked {
+		s.admission.Revoke(k.Client())
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.sessions {
-		if c.who.key != "" && !t.Good(time.Now(), c.who.key) {
+		if c.caller.keyID != "" && !t.Good(time.Now(), c.caller.keyID) {
 			go c.revoke()
 		}
 	}
 }
 
-// Boot names this life of the router.
-func (s *Server) Boot() string { return s.boot }
+// Boot returns the id of this run of the router: its name and start time.
+func (s *Server) Boot() string { return s.incarnation }
 
 // Serve accepts connections until the listener closes.
 func (s *Server) Serve(ln net.Listener) error {
-	s.loop(1)
-	defer s.loop(-1)
+	s.countLoop(1)
+	defer s.countLoop(-1)
 	for {
 		nc, err := ln.Accept()
 		if err != nil {
@@ -110,178 +109,177 @@
 			if errors.As(err, &ne) && ne.Timeout() {
 				continue
 			}
-			time.Sleep(10 * time.Millisecond) // out of descriptors: those that close make room
+			time.Sleep(10 * time.Millisecond) // out of file descriptors: wait for connections to close
 			continue
 		}
-		if !s.admit(nc) {
+		if !s.addConn(nc) {
 			nc.Close()
 			continue
 		}
 		go func() {
 			defer s.wg.Done()
-			defer s.forget(nc)
+			defer s.removeConn(nc)
 			s.serve(nc)
 		}()
 	}
 }
 
-func (s *Server) loop(by int) {
+func (s *Server) countLoop(by int) {
 	s.mu.Lock()
-	s.loops += by
+	s.acceptLoops += by
 	s.mu.Unlock()
-	s.left()
+	s.onConnEnd()
 }
 
-// admit counts a connection; too many are turned away before a byte is read.
-func (s *Server) admit(nc net.Conn) bool {
+// addConn registers a connection, unless there are too many: those are closed before a byte is read.
+func (s *Server) addConn(nc net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.ended || len(s.conns) >= s.cfg.Load().Sessions.Most {
+	if s.ended || len(s.connStates) >= s.cfg.Load().Sessions.Most {
 		return false
 	}
-	s.conns[nc] = &guest{came: time.Now()}
-	s.wg.Add(1) // under the lock: End waits only after ended is set
+	s.connStates[nc] = &connState{acceptedAt: time.Now()}
+	s.wg.Add(1) // under the lock, since End sets ended before it waits
 	return true
 }
 
-func (s *Server) forget(nc net.Conn) {
+func (s *Server) removeConn(nc net.Conn) {
 	nc.Close()
 	s.mu.Lock()
-	delete(s.conns, nc)
+	delete(s.connStates, nc)
 	s.mu.Unlock()
-	s.left()
+	s.onConnEnd()
 }
 
-func (s *Server) stopping() bool {
+func (s *Server) isDraining() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.closing
+	return s.draining
 }
 
-// Sessions is how many sessions are open.
+// Sessions returns the number of open sessions.
 func (s *Server) Sessions() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.sessions)
 }
 
-// adopted tells whether a connection came before the router turned. Its client
-// was promised a router by a listener that was open, so it gets its session; as
-// all others, that one is told at once that the router goes.
-func (s *Server) adopted(nc net.Conn) bool {
+// acceptedBeforeDrain reports whether a connection was accepted before the router started to drain. Such a connection
+// still gets its session, which is then drained like all others, since its client connected to an open listener.
+func (s *Server) acceptedBeforeDrain(nc net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	g := s.conns[nc]
-	return !s.ended && g != nil && (s.final || g.came.Before(s.turned))
+	g := s.connStates[nc]
+	return !s.ended && g != nil && (s.listenersClosed || g.acceptedAt.Before(s.drainedAt))
 }
 
-// join counts a session in. It is told to go at once if the router has turned.
-func (s *Server) join(c *session) (going, ok bool) {
+// addSession registers a session. stopping is true if the router is draining, so that the session must drain at once;
+// ok is false if the server has ended.
+func (s *Server) addSession(c *session) (draining, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.ended {
 		return false, false
 	}
 	s.sessions[c] = true
-	return s.closing, true
+	return s.draining, true
 }
 
-func (s *Server) leave(c *session) {
+func (s *Server) removeSession(c *session) {
 	s.mu.Lock()
 	delete(s.sessions, c)
 	s.mu.Unlock()
 }
 
-// Open is how many connections are still to end: after Turn those that came before it.
+// Open returns the number of connections that have not ended; after Turn only of those that were accepted before it.
+// Once the listeners are closed it includes the accept loops that are still running.
 func (s *Server) Open() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.final {
-		return len(s.conns) + s.loops
+	if s.listenersClosed {
+		return len(s.connStates) + s.acceptLoops
 	}
 	n := 0
-	for _, g := range s.conns {
-		if !s.closing || g.came.Before(s.turned) {
+	for _, g := range s.connStates {
+		if !s.draining || g.acceptedAt.Before(s.drainedAt) {
 			n++
 		}
 	}
 	return n
 }
 
-// Accept takes sessions, as at the start or after Turn. Sessions that were told
-// to go still go.
+// Accept ends a drain: new sessions and requests are accepted again. Sessions that are draining still close.
 func (s *Server) Accept() {
 	s.mu.Lock()
-	s.closing = false
+	s.draining = false
 	s.mu.Unlock()
 }
 
-// Turn takes no more sessions or responses and lets the open responses end.
-// Each session is closed with 1001 once it has none. final tells that the
-// listeners were closed before, for good.
-func (s *Server) Turn(final bool) {
+// Turn starts a drain: no new sessions or responses are accepted, and open responses run to their end. A session without
+// open responses is closed with code 1001 (going away). listenersClosed says that the listeners won't reopen.
+func (s *Server) Turn(listenersClosed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.closing, s.final, s.turned = true, final, time.Now()
+	s.draining, s.listenersClosed, s.drainedAt = true, listenersClosed, time.Now()
 	for c := range s.sessions {
 		go c.drain()
 	}
-	for nc, g := range s.conns {
+	for nc, g := range s.connStates {
 		if g.idle {
-			nc.SetReadDeadline(past)
+			nc.SetReadDeadline(pastDeadline)
 		}
 	}
 }
 
-// past wakes a read that waits.
-var past = time.Unix(1, 0)
+// pastDeadline is a deadline in the past: it wakes a blocked read.
+var pastDeadline = time.Unix(1, 0)
 
-// rest marks a connection as between two requests, or as at work again.
-func (s *Server) rest(nc net.Conn, idle bool) {
+// setIdle marks a connection as idle between two requests, or as busy.
+func (s *Server) setIdle(nc net.Conn, idle bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if g := s.conns[nc]; g != nil {
+	if g := s.connStates[nc]; g != nil {
 		g.idle = idle
 	}
 }
 
-// Cut closes every connection, whatever it is about.
+// Cut closes every connection at once.
 func (s *Server) Cut() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for nc := range s.conns {
+	for nc := range s.connStates {
 		nc.Close()
 	}
 }
 
-// End takes no more connections, cuts what is left and waits for it to end.
+// End accepts no more connections, closes those that remain and waits for their goroutines.
 func (s *Server) End() {
 	s.mu.Lock()
-	s.ended, s.closing = true, true
+	s.ended, s.draining = true, true
 	s.mu.Unlock()
 	s.Cut()
 	s.wg.Wait()
 }
 
-// Sight is a session as operators see it.
+// Sight describes a session for operators.
 type Sight struct {
 	ID    string
 	Since time.Time
-	Open  int // responses
-	Made  int // responses asked for so far
+	Open  int // responses that are open
+	Made  int // responses requested so far
 	Going bool
 }
 
-// Sights lists the sessions, at most so many, in no order.
-func (s *Server) Sights(most int) []Sight {
+// Sights lists up to limit sessions, in no order.
+func (s *Server) Sights(limit int) []Sight {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var list []Sight
 	for c := range s.sessions {
-		if len(list) == most {
+		if len(list) == limit {
 			break
 		}
-		list = append(list, c.sight())
+		list = append(list, c.info())
 	}
 	return list
 }
--- a/internal/front/session.go
+++ b/internal/front/session.go
@@ -14,48 +14,48 @@
 	"gannethook/internal/ws"
 )
 
-// session is one client's connection. Its fields but those under mu belong to
-// the goroutine that reads it.
+// session is one session of the Realtime API. The fields that mu doesn't guard belong to the goroutine that reads the
+// connection.
 type session struct {
-	srv   *Server
-	conn  *ws.Conn
-	id    string
-	since time.Time
-	model string
-	who   caller
+	srv    *Server
+	conn   *ws.Conn
+	id     string
+	since  time.Time
+	model  string
+	caller callerIdentity
 
 	instructions string
 	maxTokens    int
 	items        []realtime.Item
-	size         int // what the items cost, in bytes
-	made         int // items and responses named so far
+	bytes        int // size of the conversation, as itemBytes counts it
+	ids          int // ids of items and responses generated so far
 
-	mu      sync.Mutex
-	events  uint64               // sent so far
-	open    map[string]*response // by id
-	answers []realtime.Item      // ended, not yet of the conversation
-	main    *response            // of the default conversation
-	going   bool                 // the router stops: nothing new
-	revoked bool                 // its key was taken back: the same
-	asked   int                  // responses so far
+	mu        sync.Mutex
+	events    uint64               // number of events sent
+	open      map[string]*response // by id
+	finished  []realtime.Item      // answers that are not yet in the conversation
+	active    *response            // the open response of the default conversation
+	draining  bool                 // the router is draining: no new responses
+	revoked   bool                 // the API key was revoked: no new responses
+	responses int                  // requested so far
 }
 
-func (s *Server) session(conn *ws.Conn, req *http1.Request, who caller) {
-	c := &session{srv: s, conn: conn, who: who, since: time.Now(), id: fmt.Sprintf("sess_%s_%d", s.boot, s.serial.Add(1))}
+func (s *Server) session(conn *ws.Conn, req *http1.Request, caller callerIdentity) {
+	c := &session{srv: s, conn: conn, caller: caller, since: time.Now(), id: fmt.Sprintf("sess_%s_%d", s.incarnation, s.serial.Add(1))}
 	if _, query, ok := strings.Cut(req.Target, "?"); ok {
 		if q, err := url.ParseQuery(query); err == nil {
 			c.model = q.Get("model")
 		}
 	}
-	going, ok := s.join(c)
+	draining, ok := s.addSession(c)
 	if !ok {
 		conn.Close(ws.CloseGoingAway, "the router stops")
 		conn.Read()
 		return
 	}
-	defer s.leave(c)
+	defer s.removeSession(c)
 	c.send(&realtime.Server{Type: realtime.SessionCreated, Session: c.describe()})
-	if going {
+	if draining {
 		c.drain()
 	}
 	c.read()
@@ -65,10 +65,10 @@
 func (c *session) describe() *realtime.Session {
 	limit := realtime.Limit(c.maxTokens)
 	return &realtime.Session{Type: "realtime", Object: "realtime.session", ID: c.id, Model: c.model,
-		Instructions: &c.instructions, Modalities: []string{"text"}, MaxTokens: &limit, Router: c.srv.boot}
+		Instructions: &c.instructions, Modalities: []string{"text"}, MaxTokens: &limit, Router: c.srv.incarnation}
 }
 
-// read takes the client's events until the connection ends.
+// read handles the client's events until the connection ends.
 func (c *session) read() {
 	for {
 		op, msg, err := c.conn.Read()
@@ -106,7 +106,7 @@
 	}
 }
 
-// send writes an event; its number is in the order of sending.
+// send writes an event. Event ids are numbered in the order of sending.
 func (c *session) send(ev *realtime.Server) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -118,7 +118,7 @@
 	ev.EventID = fmt.Sprintf("event_%d", c.events)
 	msg, err := json.Marshal(ev)
 	if err != nil {
-		return // none of these types fails
+		return // can't happen with these types
 	}
 	c.conn.Send(msg)
 }
@@ -157,9 +157,9 @@
 	c.send(&realtime.Server{Type: realtime.SessionUpdated, Session: c.describe()})
 }
 
-func (c *session) name(kind string) string {
-	c.made++
-	return fmt.Sprintf("%s_%s_%d", kind, c.id[len("sess_"):], c.made)
+func (c *session) newID(kind string) string {
+	c.ids++
+	return fmt.Sprintf("%s_%s_%d", kind, c.id[len("sess_"):], c.ids)
 }
 
 func (c *session) addItem(ev *realtime.Client) {
@@ -173,59 +173,59 @@
 		c.fail(ev.EventID, "invalid_request_error", "invalid_item", "an item's parts are texts; its id has 64 bytes at most", "item")
 		return
 	}
-	if c.size+cost(text) > int(c.srv.cfg.Load().Sessions.Conversation) {
+	if c.bytes+itemBytes(text) > int(c.srv.cfg.Load().Sessions.Conversation) {
 		c.fail(ev.EventID, "invalid_request_error", "too_long", "the conversation is full; delete items", "item")
 		return
 	}
 	if item.ID == "" {
-		item.ID = c.name("item")
+		item.ID = c.newID("item")
 	} else if c.find(item.ID) >= 0 {
 		c.fail(ev.EventID, "invalid_request_error", "item_exists", "an item has this id", "item.id")
 		return
 	}
 	item.Object, item.Status = "realtime.item", "completed"
-	c.size += cost(text)
+	c.bytes += itemBytes(text)
 	c.items = append(c.items, item)
 	c.send(&realtime.Server{Type: realtime.ItemAdded, Item: &item})
 	c.send(&realtime.Server{Type: realtime.ItemDone, Item: &item})
 }
 
-// cost is what an item counts for in the conversation's bound: empty ones too
-// take memory.
-func cost(text string) int { return len(text) + 128 }
+// itemBytes returns the size of an item for the limit of a conversation: its text plus a flat 128 bytes, since empty
+// items take memory too.
+func itemBytes(text string) int { return len(text) + 128 }
 
 func (c *session) find(id string) int {
 	return slices.IndexFunc(c.items, func(i realtime.Item) bool { return i.ID == id })
 }
 
 func (c *session) deleteItem(ev *realtime.Client) {
-	c.takeAnswers()
+	c.appendAnswers()
 	i := c.find(ev.ItemID)
 	if i < 0 {
 		c.fail(ev.EventID, "invalid_request_error", "item_not_found", "no item has this id", "item_id")
 		return
 	}
 	text, _ := c.items[i].Text()
-	c.size -= cost(text)
+	c.bytes -= itemBytes(text)
 	c.items = slices.Delete(c.items, i, i+1)
 	c.send(&realtime.Server{Type: realtime.ItemDeleted, ItemID: ev.ItemID})
 }
 
 func (c *session) cancel(ev *realtime.Client) {
 	c.mu.Lock()
-	r := c.main
+	r := c.active
 	if ev.ResponseID != "" {
 		r = c.open[ev.ResponseID]
 	}
 	c.mu.Unlock()
-	if r == nil || r.call == nil {
+	if r == nil || r.ticket == nil {
 		c.fail(ev.EventID, "invalid_request_error", "response_cancel_not_active", "no such response is open", "response_id")
 		return
 	}
-	r.call.Abandon()
+	r.ticket.Abandon()
 }
 
-// abandonAll takes back what is open when the connection has ended.
+// abandonAll cancels the open responses when the connection has ended.
 func (c *session) abandonAll() {
 	c.mu.Lock()
 	var calls []*response
@@ -234,43 +234,43 @@
 	}
 	c.mu.Unlock()
 	for _, r := range calls {
-		r.call.Abandon()
+		r.ticket.Abandon()
 	}
 }
 
-// sight shows the session.
-func (c *session) sight() Sight {
+// info describes the session for operators.
+func (c *session) info() Sight {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return Sight{ID: c.id, Since: c.since, Open: len(c.open), Made: c.asked, Going: c.going}
+	return Sight{ID: c.id, Since: c.since, Open: len(c.open), Made: c.responses, Going: c.draining}
 }
 
-// drain closes the session as soon as no response is open.
+// drain refuses new responses and closes the session as soon as none is open.
 func (c *session) drain() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.going = true
+	c.draining = true
 	if len(c.open) == 0 {
-		c.part()
+		c.closeWithReason()
 	}
 }
 
-// revoke closes the session as soon as no response is open: its key was taken back.
+// revoke handles a revoked API key: new responses are refused, and the session closes as soon as none is open.
 func (c *session) revoke() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.revoked = true
 	if len(c.open) == 0 {
-		c.part()
+		c.closeWithReason()
 	}
 }
 
-// part closes a session that takes nothing more.
-func (c *session) part() {
+// closeWithReason closes the connection if the session is revoked or draining.
+func (c *session) closeWithReason() {
 	switch {
 	case c.revoked:
 		c.conn.Close(ws.ClosePolicy, "the API key was taken back")
-	case c.going:
+	case c.draining:
 		c.conn.Close(ws.CloseGoingAway, "the router stops")
 	}
 }
--- a/internal/http1/endtoend.go
+++ b/internal/http1/endtoend.go
@@ -5,25 +5,24 @@
 	"strings"
 )
 
-// hopByHop are the fields that concern one connection alone (RFC 9110, section
-// 7.6.1), and those by which a message is framed, which its sender writes anew.
+// hopByHop are the fields that apply to a single connection (RFC 9110, section 7.6.1), and those that frame a message,
+// which each sender writes itself.
 var hopByHop = []string{"Connection", "Proxy-Connection", "Keep-Alive", "TE", "Trailer", "Transfer-Encoding", "Upgrade",
 	"Proxy-Authenticate", "Proxy-Authorization", "Content-Length", "Expect"}
 
-// EndToEnd is the fields that an intermediary passes on as they came, in order.
-// It leaves out hop-by-hop fields, those that Connection names, and those in
-// except, which the intermediary writes itself.
+// EndToEnd returns the fields that an intermediary forwards unchanged, in order: all but the hop-by-hop fields, those
+// that Connection names, and those in except, which the intermediary writes itself.
 func (h Header) EndToEnd(except ...string) Header {
-	var on Header
+	var kept Header
 	for _, f := range h {
 		if !contains(hopByHop, f.Name) && !contains(except, f.Name) && !h.Has("Connection", f.Name) {
-			on = append(on, f)
+			kept = append(kept, f)
 		}
 	}
-	return on
+	return kept
 }
 
-// Size is how many bytes of text the fields hold.
+// Size returns the number of bytes of all field names and values.
 func (h Header) Size() int64 {
 	size := 0
 	for _, f := range h {
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -1,5 +1,6 @@
-// Package http1 reads and writes HTTP/1.1 (RFC 9112) heads and bodies on bufio,
-// with bounds on every part. It holds no connections and starts no goroutines.
+// Package http1 reads and writes HTTP/1.1 messages (RFC 9112) on bufio readers and writers, with limits on the size of
+// every part. A head is the start line and the header section of a message. The package owns no connections and starts
+// no goroutines.
 package http1
 
 import (
@@ -14,14 +15,14 @@
 	"sync/atomic"
 )
 
-// Bounds of a head.
+// Limits of a head: bytes of a line, number of fields, bytes of the whole head.
 const (
 	MaxLine    = 8 << 10
 	MaxHeaders = 64
 	MaxHead    = 32 << 10
 )
 
-// Errors of bad messages.
+// Errors for messages that are refused.
 var (
 	ErrTooLarge  = errors.New("http: head too large")
 	ErrMalformed = errors.New("http: malformed message")
@@ -30,13 +31,13 @@
 	ErrCrowded      = errors.New("http: too many large bodies are under way")
 )
 
-// Field is one header field; names are kept as sent.
+// Field is one header field; its name keeps its case.
 type Field struct{ Name, Value string }
 
-// Header is the fields in order.
+// Header is a list of fields in the order in which they were sent.
 type Header []Field
 
-// Get is the first value of a field, by name without case, or "".
+// Get returns the first value of a field, or "". Names are compared case-insensitively.
 func (h Header) Get(name string) string {
 	for _, f := range h {
 		if strings.EqualFold(f.Name, name) {
@@ -46,7 +47,7 @@
 	return ""
 }
 
-// Has tells whether a comma-separated field holds a token, without case.
+// Has reports whether a comma-separated field contains a token, case-insensitively.
 func (h Header) Has(name, token string) bool {
 	for _, f := range h {
 		if !strings.EqualFold(f.Name, name) {
@@ -61,14 +62,14 @@
 	return false
 }
 
-// Request is a request's head.
+// Request is the head of a request.
 type Request struct {
 	Method, Target string
-	Minor          int // of HTTP/1.x
+	Minor          int // minor version: x of HTTP/1.x
 	Header         Header
 }
 
-// Response is a response's head.
+// Response is the head of a response.
 type Response struct {
 	Status int
 	Reason string
@@ -76,44 +77,44 @@
 	Header Header
 }
 
-// ReadRequest reads a request's head. io.EOF tells that the peer closed before one.
+// ReadRequest reads the head of a request. The error is io.EOF if the peer closed the connection before its first byte.
 func ReadRequest(r *bufio.Reader) (*Request, error) {
-	left := MaxHead
-	line, err := readLine(r, &left)
+	remaining := MaxHead
+	line, err := readLine(r, &remaining)
 	if err != nil {
 		return nil, err
 	}
 	method, rest, ok := strings.Cut(line, " ")
 	target, version, ok2 := strings.Cut(rest, " ")
-	minor, ok3 := minorOf(version)
+	minor, ok3 := minorVersion(version)
 	if !ok || !ok2 || !ok3 || !isToken(method) || target == "" || strings.ContainsAny(target, " \t") {
 		return nil, fmt.Errorf("%w: request line", ErrMalformed)
 	}
 	req := &Request{Method: method, Target: target, Minor: minor}
-	req.Header, err = readHeader(r, &left)
+	req.Header, err = readHeader(r, &remaining)
 	return req, err
 }
 
-// ReadResponse reads a response's head.
+// ReadResponse reads the head of a response.
 func ReadResponse(r *bufio.Reader) (*Response, error) {
-	left := MaxHead
-	line, err := readLine(r, &left)
+	remaining := MaxHead
+	line, err := readLine(r, &remaining)
 	if err != nil {
 		return nil, err
 	}
 	version, rest, _ := strings.Cut(line, " ")
 	code, reason, _ := strings.Cut(rest, " ")
-	minor, ok := minorOf(version)
+	minor, ok := minorVersion(version)
 	status, err := strconv.Atoi(code)
 	if !ok || err != nil || len(code) != 3 || status < 100 {
 		return nil, fmt.Errorf("%w: status line", ErrMalformed)
 	}
 	res := &Response{Status: status, Reason: reason, Minor: minor}
-	res.Header, err = readHeader(r, &left)
+	res.Header, err = readHeader(r, &remaining)
 	return res, err
 }
 
-func minorOf(version string) (int, bool) {
+func minorVersion(version string) (int, bool) {
 	switch version {
 	case "HTTP/1.1":
 		return 1, true
@@ -123,13 +124,14 @@
 	return 0, false
 }
 
-// readLine reads to the line's end; an end inside a line is an error of its own.
-func readLine(r *bufio.Reader, left *int) (string, error) {
+// readLine reads one line, and counts its bytes against remaining. An end of input inside a line is
+// io.ErrUnexpectedEOF.
+func readLine(r *bufio.Reader, remaining *int) (string, error) {
 	var long []byte
 	for {
 		part, err := r.ReadSlice('\n')
-		*left -= len(part)
-		if *left < 0 || len(long)+len(part) > MaxLine {
+		*remaining -= len(part)
+		if *remaining < 0 || len(long)+len(part) > MaxLine {
 			return "", ErrTooLarge
 		}
 		switch {
@@ -147,8 +149,8 @@
 	}
 }
 
-// trimLine takes the line's end off. A bare LF is refused as a bare CR is: what
-// one party takes for a line's end and another does not is a way to smuggle.
+// trimLine removes the line terminator. A bare LF is refused, and so is a bare CR: if peers disagree about where a line
+// ends, requests can be smuggled.
 func trimLine(line []byte) (string, error) {
 	line, ok := bytes.CutSuffix(line, []byte("\r\n"))
 	if !ok {
@@ -162,10 +164,10 @@
 	return string(line), nil
 }
 
-func readHeader(r *bufio.Reader, left *int) (Header, error) {
+func readHeader(r *bufio.Reader, remaining *int) (Header, error) {
 	var h Header
 	for {
-		line, err := readLine(r, left)
+		line, err := readLine(r, remaining)
 		if errors.Is(err, io.EOF) {
 			err = io.ErrUnexpectedEOF
 		}
@@ -176,7 +178,7 @@
 			return h, nil
 		}
 		name, value, ok := strings.Cut(line, ":")
-		if !ok || !isToken(name) { // a folded line or a space before the colon is refused too
+		if !ok || !isToken(name) { // also refuses line folding and whitespace before the colon
 			return nil, fmt.Errorf("%w: header line", ErrMalformed)
 		}
 		if len(h) == MaxHeaders {
@@ -196,25 +198,25 @@
 	return s != ""
 }
 
-// Body is a message's body; it reads to io.EOF once whole. A peer that closes
-// early gives io.ErrUnexpectedEOF.
+// Body reads the body of a message and returns io.EOF at its end. If the peer closes the connection before the end, the
+// error is io.ErrUnexpectedEOF.
 type Body struct {
-	r       *bufio.Reader
-	left    int64 // of the length or of the chunk
-	most    int64 // of one chunk; 0: any size
-	chunked bool
-	toClose bool
-	begun   bool
-	done    bool
+	r          *bufio.Reader
+	remaining  int64 // bytes of the body or of the current chunk
+	maxChunk   int64 // largest size of a chunk; 0: any
+	chunked    bool
+	untilClose bool
+	started    bool
+	done       bool
 }
 
-// NoBody is a body that is empty.
+// NoBody returns an empty body.
 func NoBody() *Body { return &Body{done: true} }
 
-// RequestBody is the body that follows a request's head.
+// RequestBody returns the body that follows the head of a request.
 func RequestBody(r *bufio.Reader, h Header) (*Body, error) { return newBody(r, h, false) }
 
-// ResponseBody is the body that follows a response's head.
+// ResponseBody returns the body that follows the head of a response.
 func ResponseBody(r *bufio.Reader, res *Response) (*Body, error) {
 	if res.Status < 200 || res.Status == 204 || res.Status == 304 {
 		return NoBody(), nil
@@ -222,7 +224,7 @@
 	return newBody(r, res.Header, true)
 }
 
-func newBody(r *bufio.Reader, h Header, toClose bool) (*Body, error) {
+func newBody(r *bufio.Reader, h Header, untilClose bool) (*Body, error) {
 	b := &Body{r: r}
 	coding, length, lengths := "", "", 0
 	for _, f := range h {
@@ -236,7 +238,7 @@
 	}
 	switch {
 	case coding != "" && (lengths > 0 || !strings.EqualFold(coding, "chunked,")):
-		return nil, fmt.Errorf("%w: transfer coding", ErrMalformed) // both at once is a way to smuggle
+		return nil, fmt.Errorf("%w: transfer coding", ErrMalformed) // both together allow request smuggling (RFC 9112, section 6.1)
 	case coding != "":
 		b.chunked = true
 	case lengths == 1:
@@ -244,42 +246,42 @@
 		if err != nil {
 			return nil, fmt.Errorf("%w: content length", ErrMalformed)
 		}
-		b.left, b.done = int64(n), n == 0
+		b.remaining, b.done = int64(n), n == 0
 	case lengths > 1:
 		return nil, fmt.Errorf("%w: content length", ErrMalformed)
-	case toClose:
-		b.toClose = true
+	case untilClose:
+		b.untilClose = true
 	default:
 		b.done = true
 	}
 	return b, nil
 }
 
-// Length is how long the body is, where that is told; else 0.
+// Length returns the unread bytes of a body with a Content-Length, and 0 for other bodies.
 func (b *Body) Length() int64 {
-	if b.chunked || b.toClose {
+	if b.chunked || b.untilClose {
 		return 0
 	}
-	return b.left
+	return b.remaining
 }
 
-// Bound has a chunk that is said to be larger end the body with ErrTooLarge.
-func (b *Body) Bound(chunk int64) { b.most = chunk }
+// Bound sets the largest chunk size; a larger chunk fails with ErrTooLarge before its data is read.
+func (b *Body) Bound(chunk int64) { b.maxChunk = chunk }
 
-// Whole tells whether the body has been read to its end, so that the connection may be used again.
-func (b *Body) Whole() bool { return b.done && !b.toClose }
+// Whole reports whether the body has been read to its end, so that the connection can be reused.
+func (b *Body) Whole() bool { return b.done && !b.untilClose }
 
-// Read reads decoded bytes.
+// Read reads the content, without chunk framing.
 func (b *Body) Read(p []byte) (int, error) {
 	if b.done {
 		return 0, io.EOF
 	}
-	if b.toClose {
+	if b.untilClose {
 		n, err := b.r.Read(p)
 		b.done = errors.Is(err, io.EOF)
 		return n, err
 	}
-	if b.chunked && b.left == 0 {
+	if b.chunked && b.remaining == 0 {
 		if err := b.nextChunk(); err != nil {
 			return 0, err
 		}
@@ -287,48 +289,48 @@
 			return 0, io.EOF
 		}
 	}
-	if int64(len(p)) > b.left {
-		p = p[:b.left]
+	if int64(len(p)) > b.remaining {
+		p = p[:b.remaining]
 	}
 	n, err := b.r.Read(p)
-	b.left -= int64(n)
+	b.remaining -= int64(n)
 	if errors.Is(err, io.EOF) {
 		err = io.ErrUnexpectedEOF
 	}
-	if err == nil && b.left == 0 && !b.chunked {
+	if err == nil && b.remaining == 0 && !b.chunked {
 		b.done = true
 	}
 	return n, err
 }
 
-// nextChunk reads the line of a chunk, and the trailer after the last.
+// nextChunk reads the size line of the next chunk, and the trailer section after the last chunk.
 func (b *Body) nextChunk() error {
-	left := MaxHead
-	if b.begun {
-		if line, err := readLine(b.r, &left); err != nil || line != "" {
+	remaining := MaxHead
+	if b.started {
+		if line, err := readLine(b.r, &remaining); err != nil || line != "" {
 			return bodyError(err, "chunk end")
 		}
 	}
-	b.begun = true
+	b.started = true
 	size, err := readChunkSize(b.r)
 	if err != nil {
 		return bodyError(err, "chunk size")
 	}
-	if b.most > 0 && size > b.most {
+	if b.maxChunk > 0 && size > b.maxChunk {
 		return ErrTooLarge
 	}
-	b.left = size
+	b.remaining = size
 	if size > 0 {
 		return nil
 	}
-	if _, err := readHeader(b.r, &left); err != nil {
+	if _, err := readHeader(b.r, &remaining); err != nil {
 		return bodyError(err, "trailer")
 	}
 	b.done = true
 	return nil
 }
 
-// readChunkSize reads hexadecimal digits and skips extensions, without allocating.
+// readChunkSize reads the hexadecimal size of a chunk and skips chunk extensions, without allocating.
 func readChunkSize(r *bufio.Reader) (int64, error) {
 	line, err := r.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
@@ -364,36 +366,35 @@
 	return n, nil
 }
 
-// Chunked tells whether the body comes in chunks, which alone tell its end for certain.
+// Chunked reports whether the body has the chunked transfer coding.
 func (b *Body) Chunked() bool { return b.chunked }
 
-// Budget counts the bytes of the bodies that are held together. Its zero value is ready for use.
+// Budget counts the bytes of all bodies that are in memory at the same time. Its zero value is ready for use.
 type Budget struct{ used atomic.Int64 }
 
-// Take counts bytes, unless all would be passed.
-func (b *Budget) Take(n, all int64) bool {
-	if b.used.Add(n) <= all {
+// Take counts n bytes, unless the sum would exceed maxTotal.
+func (b *Budget) Take(n, maxTotal int64) bool {
+	if b.used.Add(n) <= maxTotal {
 		return true
 	}
 	b.used.Add(-n)
 	return false
 }
 
-// Add counts bytes that are held already.
+// Add counts bytes that are in memory already, without a limit.
 func (b *Budget) Add(n int64) { b.used.Add(n) }
 
-// Give takes bytes back that ReadWhole or Take counted.
+// Give returns n bytes that ReadWhole, Take or Add counted.
 func (b *Budget) Give(n int64) { b.used.Add(-n) }
 
-// ReadWhole reads a body of most bytes at the most; memory grows as they come,
-// whatever length the peer told. What is read counts in the budget, which holds
-// all bytes at the most, until the caller gives held back, after an error too.
-// Errors are ErrBodyTooLarge, ErrCrowded, or the connection's.
-func (b *Body) ReadWhole(most, all int64, budget *Budget) (text []byte, held int64, err error) {
-	if b.Length() > most {
+// ReadWhole reads a body of up to maxBytes. Memory grows with the bytes received, not with the announced length. The
+// bytes count in the budget, up to maxTotal for all bodies, until the caller gives held back, also after an error. The
+// error is ErrBodyTooLarge, ErrCrowded or one of the connection.
+func (b *Body) ReadWhole(maxBytes, maxTotal int64, budget *Budget) (text []byte, held int64, err error) {
+	if b.Length() > maxBytes {
 		return nil, 0, ErrBodyTooLarge
 	}
-	text = make([]byte, 0, min(max(b.Length(), firstPart), mostPart))
+	text = make([]byte, 0, min(max(b.Length(), minInitialBuffer), maxInitialBuffer))
 	for {
 		if len(text) == cap(text) {
 			text = slices.Grow(text, 1)
@@ -401,9 +402,9 @@
 		n, err := b.Read(text[len(text):cap(text)])
 		text, held = text[:len(text)+n], held+int64(n)
 		switch {
-		case budget.used.Add(int64(n)) > all:
+		case budget.used.Add(int64(n)) > maxTotal:
 			return nil, held, ErrCrowded
-		case held > most:
+		case held > maxBytes:
 			return nil, held, ErrBodyTooLarge
 		case errors.Is(err, io.EOF):
 			return text, held, nil
@@ -413,23 +414,23 @@
 	}
 }
 
-// Memory for a body before any of it has come.
+// Bytes of the buffer for a body before any of it has been received.
 const (
-	firstPart = 512
-	mostPart  = 4 << 10
+	minInitialBuffer = 512
+	maxInitialBuffer = 4 << 10
 )
 
-func bodyError(err error, what string) error {
+func bodyError(err error, part string) error {
 	switch {
 	case err == nil:
-		return fmt.Errorf("%w: %s", ErrMalformed, what)
+		return fmt.Errorf("%w: %s", ErrMalformed, part)
 	case errors.Is(err, io.EOF):
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-// WriteHead writes a start line and the fields, without flushing.
+// WriteHead writes a head without flushing.
 func WriteHead(w *bufio.Writer, start string, h Header) error {
 	w.WriteString(start)
 	w.WriteString("\r\n")
@@ -443,7 +444,7 @@
 	return err
 }
 
-// AppendChunk appends one chunk; an empty one ends the body.
+// AppendChunk appends one chunk; an empty chunk ends the body.
 func AppendChunk(b, p []byte) []byte {
 	b = strconv.AppendInt(b, int64(len(p)), 16)
 	b = append(b, "\r\n"...)
@@ -451,7 +452,7 @@
 	return append(b, "\r\n"...)
 }
 
-// WriteChunk writes one chunk and flushes; an empty one ends the body.
+// WriteChunk writes one chunk and flushes; an empty chunk ends the body.
 func WriteChunk(w *bufio.Writer, p []byte) error {
 	var size [16]byte
 	w.Write(strconv.AppendInt(size[:0], int64(len(p)), 16))
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -204,7 +204,7 @@
 
 func BenchmarkEvents(b *testing.B) {
 	one := "data: {\"choices\":[{\"index\":0,\"text\":\" token\",\"finish_reason\":null}]}\n\n"
-	ev := NewEvents(&endless{text: one})
+	ev := NewEvents(&repeatingReader{text: one})
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := ev.Next(); err != nil {
@@ -213,12 +213,12 @@
 	}
 }
 
-type endless struct {
+type repeatingReader struct {
 	text string
 	at   int
 }
 
-func (e *endless) Read(p []byte) (int, error) {
+func (e *repeatingReader) Read(p []byte) (int, error) {
 	n := copy(p, e.text[e.at:])
 	e.at = (e.at + n) % len(e.text)
 	return n, nil
@@ -260,19 +260,19 @@
 	})
 }
 
-// pieces is read a piece at a time.
-type pieces struct {
-	list []string
-	read int
+// chunkedReader is read a piece at a time.
+type chunkedReader struct {
+	parts    []string
+	consumed int
 }
 
-func (p *pieces) Read(b []byte) (int, error) {
-	if p.read == len(p.list) {
+func (p *chunkedReader) Read(b []byte) (int, error) {
+	if p.consumed == len(p.parts) {
 		return 0, io.EOF
 	}
-	n := copy(b, p.list[p.read])
-	if p.list[p.read] = p.list[p.read][n:]; p.list[p.read] == "" {
-		p.read++
+	n := copy(b, p.parts[p.consumed])
+	if p.parts[p.consumed] = p.parts[p.consumed][n:]; p.parts[p.consumed] == "" {
+		p.consumed++
 	}
 	return n, nil
 }
@@ -280,7 +280,7 @@
 // Events pass as soon as they are whole, whatever the chunks are; a part of one does not, and a chunk that is said to
 // be huge is not waited for.
 func TestRawEvents(t *testing.T) {
-	in := &pieces{list: []string{
+	in := &chunkedReader{parts: []string{
 		"12\r\n: none\n\ndata: abc", // a comment is no answer, half an event neither
 		"\n\r\n1\r\n",
 		"\n", // its chunk's end has not come
@@ -296,12 +296,12 @@
 		read int // pieces, by then
 	}{{": none\n\ndata: abc\n\n", 3}, {"data: b\n\ndata: c\n\n", 4}, {"data: d\r\n\r\n", 5}} {
 		got, err := ev.Next()
-		if err != nil || string(got) != c.want || in.read != c.read {
-			t.Fatalf("%q after %d pieces, %v; %q expected after %d", got, in.read, err, c.want, c.read)
+		if err != nil || string(got) != c.want || in.consumed != c.read {
+			t.Fatalf("%q after %d pieces, %v; %q expected after %d", got, in.consumed, err, c.want, c.read)
 		}
 	}
-	if got, err := ev.Next(); !errors.Is(err, ErrTooLarge) || in.read != 6 {
-		t.Errorf("%q, %v after %d pieces", got, err, in.read)
+	if got, err := ev.Next(); !errors.Is(err, ErrTooLarge) || in.consumed != 6 {
+		t.Errorf("%q, %v after %d pieces", got, err, in.consumed)
 	}
 }
 
--- a/internal/http1/sse.go
+++ b/internal/http1/sse.go
@@ -7,47 +7,47 @@
 	"io"
 )
 
-// MaxEvent bounds the data of one server-sent event.
+// MaxEvent is the largest server-sent event in bytes.
 const MaxEvent = 256 << 10
 
-// Events reads server-sent events (the event stream format of the HTML
-// standard); only their data is kept.
+// Events reads server-sent events (the event stream format of the HTML standard) and returns their data; other fields
+// are ignored.
 type Events struct {
 	r    *bufio.Reader
 	data []byte
 }
 
-// NewEvents reads events from a body, with a buffer of its own.
+// NewEvents returns a reader of the events in body, with a buffer of its own.
 func NewEvents(body io.Reader) *Events { return &Events{r: bufio.NewReaderSize(body, 2048)} }
 
-// Next is the data of the next event, valid until the next call. io.EOF tells
-// that the stream ended between events; inside one, io.ErrUnexpectedEOF.
+// Next returns the data of the next event, valid until the next call. The error is io.EOF if the stream ended between
+// events, and io.ErrUnexpectedEOF if it ended inside one.
 func (e *Events) Next() ([]byte, error) {
 	e.data = e.data[:0]
-	some := false
+	hasData := false
 	for {
 		line, err := e.line()
 		if err != nil {
-			if errors.Is(err, io.EOF) && some {
+			if errors.Is(err, io.EOF) && hasData {
 				err = io.ErrUnexpectedEOF
 			}
 			return nil, err
 		}
 		if len(line) == 0 {
-			if some {
+			if hasData {
 				return e.data, nil
 			}
 			continue
 		}
 		value, ok := bytes.CutPrefix(line, []byte("data"))
 		if !ok || len(value) > 0 && value[0] != ':' {
-			continue // a comment, or a field that nothing here needs
+			continue // a comment or another field
 		}
 		value = bytes.TrimPrefix(bytes.TrimPrefix(value, []byte(":")), []byte(" "))
-		if some {
+		if hasData {
 			e.data = append(e.data, '\n')
 		}
-		some = true
+		hasData = true
 		if len(e.data)+len(value) > MaxEvent {
 			return nil, ErrTooLarge
 		}
@@ -55,7 +55,7 @@
 	}
 }
 
-// line reads one line; longer ones than the buffer are gathered up to MaxEvent.
+// line reads one line. Lines longer than the buffer are collected up to MaxEvent.
 func (e *Events) line() ([]byte, error) {
 	part, err := e.r.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
@@ -78,39 +78,39 @@
 	return bytes.TrimSuffix(bytes.TrimSuffix(part, []byte("\n")), []byte("\r")), nil
 }
 
-// RawEvents passes a stream of events on as it came, by whole events: each as
-// soon as its last byte is there, however chunks cut the stream.
+// RawEvents splits a stream at event boundaries without changing its bytes. Each event is returned as soon as its last
+// byte has been received, wherever chunks end.
 type RawEvents struct {
-	body io.Reader
-	buf  []byte
-	told int // of buf, returned by the last call
-	seen int // of buf, looked at for the end of an event
-	data bool
+	body     io.Reader
+	buf      []byte
+	returned int // bytes of buf that the last call returned
+	scanned  int // bytes of buf that were searched for the end of an event
+	sawData  bool
 }
 
-// rawPart is how much is read at a time, and at first.
-const rawPart = 1 << 10
+// rawBufferSize is the initial size of the buffer in bytes. It grows once less than a quarter of this is free.
+const rawBufferSize = 1 << 10
 
-// NewRawEvents reads a stream. An event of over MaxEvent bytes is ErrTooLarge.
+// NewRawEvents returns a reader of the events in body. An event of more than MaxEvent bytes is ErrTooLarge.
 func NewRawEvents(body io.Reader) *RawEvents { return &RawEvents{body: body} }
 
-// Next is one or more whole events, valid until the next call. What comes before
-// the first event with data comes with it, or not at all: it is no answer yet.
-// With io.EOF, the end, come the bytes that no blank line ended, if any.
+// Next returns one or more whole events, valid until the next call. Bytes before the first event with data are returned
+// together with it or not at all, since they are no answer yet. At the end of the stream, any remaining bytes that no
+// blank line ended are returned together with io.EOF.
 func (e *RawEvents) Next() ([]byte, error) {
-	e.buf = append(e.buf[:0], e.buf[e.told:]...)
-	e.seen -= e.told
-	e.told = 0
+	e.buf = append(e.buf[:0], e.buf[e.returned:]...)
+	e.scanned -= e.returned
+	e.returned = 0
 	for {
-		if end := e.lastEnd(); end > 0 && e.hasData(end) {
-			e.told = end
+		if end := e.lastEventEnd(); end > 0 && e.hasData(end) {
+			e.returned = end
 			return e.buf[:end], nil
 		}
 		if len(e.buf) > MaxEvent {
 			return nil, ErrTooLarge
 		}
-		if cap(e.buf)-len(e.buf) < rawPart/4 {
-			e.buf = append(make([]byte, 0, max(2*cap(e.buf), rawPart)), e.buf...)
+		if cap(e.buf)-len(e.buf) < rawBufferSize/4 {
+			e.buf = append(make([]byte, 0, max(2*cap(e.buf), rawBufferSize)), e.buf...)
 		}
 		n, err := e.body.Read(e.buf[len(e.buf):cap(e.buf)])
 		e.buf = e.buf[:len(e.buf)+n]
@@ -118,16 +118,16 @@
 			if !errors.Is(err, io.EOF) || !e.hasData(len(e.buf)) {
 				return nil, err
 			}
-			e.told = len(e.buf)
+			e.returned = len(e.buf)
 			return e.buf, err
 		}
 	}
 }
 
-// lastEnd is where the last blank line ends, 0 where there is none.
-func (e *RawEvents) lastEnd() int {
-	from := max(e.seen-3, 0) // a blank line may be in pieces
-	e.seen = len(e.buf)
+// lastEventEnd returns the position after the last blank line among the new bytes, or 0.
+func (e *RawEvents) lastEventEnd() int {
+	from := max(e.scanned-3, 0) // a blank line may have come in parts
+	e.scanned = len(e.buf)
 	end := 0
 	for i := len(e.buf) - 1; i > from && end == 0; i-- {
 		if e.buf[i] == '\n' && (e.buf[i-1] == '\n' || i > 1 && e.buf[i-1] == '\r' && e.buf[i-2] == '\n') {
@@ -137,8 +137,8 @@
 	return end
 }
 
-// hasData tells whether an event with data has come, up to a place.
+// hasData reports whether buf[:end], or an earlier event, has a data field.
 func (e *RawEvents) hasData(end int) bool {
-	e.data = e.data || bytes.HasPrefix(e.buf[:end], []byte("data:")) || bytes.Contains(e.buf[:end], []byte("\ndata:"))
-	return e.data
+	e.sawData = e.sawData || bytes.HasPrefix(e.buf[:end], []byte("data:")) || bytes.Contains(e.buf[:end], []byte("\ndata:"))
+	return e.sawData
 }
--- a/internal/httpapi/chat.go
+++ b/internal/httpapi/chat.go
@@ -8,32 +8,33 @@
 	"strings"
 )
 
-// Chat is a request for a chat completion.
+// Chat is a chat completion request.
 type Chat struct {
 	Model     string
 	Messages  []Message
-	MaxTokens int // 0: not told
+	MaxTokens int // 0: not stated
 	Stream    bool
-	Usage     bool // a stream ends with its usage
+	Usage     bool // stream_options.include_usage: a stream ends with an event for its usage
 	Metadata  map[string]string
-	Sampling  map[string]json.RawMessage // passed on to the engine as it came
+	Sampling  map[string]json.RawMessage // passed to the engine unchanged
 }
 
-// Message is one turn.
+// Message is one message of the conversation; its text parts are joined.
 type Message struct {
 	Role string
 	Text string
 }
 
-// sampling are the fields of a request that the engine understands as they are.
-var sampling = []string{"temperature", "top_p", "stop", "seed", "presence_penalty", "frequency_penalty", "logit_bias", "user"}
+// samplingFields are the fields of a request that are passed to the engine unchanged.
+var samplingFields = []string{"temperature", "top_p", "stop", "seed", "presence_penalty", "frequency_penalty", "logit_bias", "user"}
 
-// refused are the fields that ask for what this router does not do.
-var refused = []string{"tools", "functions", "audio", "logprobs", "response_format", "modalities", "prediction"}
+// unsupportedFields are the fields of features that the router doesn't support. A request with one is rejected unless
+// its value asks for nothing.
+var unsupportedFields = []string{"tools", "functions", "audio", "logprobs", "response_format", "modalities", "prediction"}
 
 var chatRoles = []string{"system", "developer", "user", "assistant"}
 
-// ParseChat reads a request.
+// ParseChat parses and checks the body of a chat completion request.
 func ParseChat(body []byte) (*Chat, *Error) {
 	var p struct {
 		Model    string `json:"model"`
@@ -48,8 +49,8 @@
 		StreamOpts *streamOptions    `json:"stream_options"`
 		Metadata   map[string]string `json:"metadata"`
 	}
-	if bad := read(body, &p); bad != nil {
-		return nil, bad
+	if apiErr := decode(body, &p); apiErr != nil {
+		return nil, apiErr
 	}
 	c := &Chat{Model: p.Model, Stream: p.Stream, Metadata: p.Metadata}
 	c.Usage = p.StreamOpts != nil && p.StreamOpts.Usage
@@ -67,31 +68,31 @@
 		return nil, Invalid("messages", "there are no messages")
 	}
 	for i, m := range p.Messages {
-		text, ok := content(m.Content)
+		text, ok := messageText(m.Content)
 		if !ok || !slices.Contains(chatRoles, m.Role) {
 			return nil, Invalid(fmt.Sprintf("messages[%d]", i), "a message has a role of %s, and texts", strings.Join(chatRoles, ", "))
 		}
 		c.Messages = append(c.Messages, Message{m.Role, text})
 	}
-	return c, c.options(body)
+	return c, c.parseOptions(body)
 }
 
 type streamOptions struct {
 	Usage bool `json:"include_usage"`
 }
 
-func (c *Chat) options(body []byte) *Error {
-	var all map[string]json.RawMessage
-	if bad := read(body, &all); bad != nil {
-		return bad
+func (c *Chat) parseOptions(body []byte) *Error {
+	var fields map[string]json.RawMessage
+	if apiErr := decode(body, &fields); apiErr != nil {
+		return apiErr
 	}
-	for _, name := range refused {
-		if v := string(all[name]); v != "" && v != "null" && v != "false" && v != "[]" && v != `["text"]` && v != `{"type":"text"}` {
+	for _, name := range unsupportedFields {
+		if v := string(fields[name]); v != "" && v != "null" && v != "false" && v != "[]" && v != `["text"]` && v != `{"type":"text"}` {
 			return Invalid(name, "this router does not do %s", name)
 		}
 	}
-	for _, name := range sampling {
-		if v, ok := all[name]; ok && string(v) != "null" {
+	for _, name := range samplingFields {
+		if v, ok := fields[name]; ok && string(v) != "null" {
 			if c.Sampling == nil {
 				c.Sampling = map[string]json.RawMessage{}
 			}
@@ -101,8 +102,8 @@
 	return nil
 }
 
-// content reads a message's content: a text, or parts that are texts.
-func content(raw json.RawMessage) (string, bool) {
+// messageText returns the text of a message's content: a string, or a list of text parts.
+func messageText(raw json.RawMessage) (string, bool) {
 	var text string
 	if len(raw) > 0 && raw[0] == '"' && json.Unmarshal(raw, &text) == nil {
 		return text, true
@@ -124,7 +125,7 @@
 	return b.String(), true
 }
 
-// Prompt is the conversation as the engines read it.
+// Prompt renders the conversation as the prompt for the engines.
 func (c *Chat) Prompt() string {
 	var b strings.Builder
 	for _, m := range c.Messages {
@@ -134,12 +135,12 @@
 	return b.String()
 }
 
-// Completion words the answer of one chat.
+// Completion encodes the answer to one chat completion request.
 type Completion struct {
-	ID      string
-	Model   string
-	Created int64
-	Prompt  int // tokens
+	ID           string
+	Model        string
+	Created      int64
+	PromptTokens int
 }
 
 type chatUsage struct {
@@ -149,12 +150,13 @@
 }
 
 func (c *Completion) usage(tokens int) chatUsage {
-	return chatUsage{c.Prompt, tokens, c.Prompt + tokens}
+	return chatUsage{c.PromptTokens, tokens, c.PromptTokens + tokens}
 }
 
-// Whole is the answer to a chat that is not streamed; text is the inside of a JSON string.
-func (c *Completion) Whole(text []byte, tokens int, finish string) []byte {
-	out := c.head("chat.completion")
+// Response returns the body of an answer that is not streamed. text is the inside of a JSON string, finish the
+// finish_reason.
+func (c *Completion) Response(text []byte, tokens int, finish string) []byte {
+	out := c.openObject("chat.completion")
 	out = append(out, `,"choices":[{"index":0,"message":{"role":"assistant","content":"`...)
 	out = append(out, text...)
 	out = append(out, `","refusal":null},"logprobs":null,"finish_reason":"`...)
@@ -164,16 +166,16 @@
 	return append(append(out, usage...), '}')
 }
 
-func (c *Completion) head(object string) []byte {
+func (c *Completion) openObject(object string) []byte {
 	model, _ := json.Marshal(c.Model)
 	return fmt.Appendf(nil, `{"id":%q,"object":%q,"created":%d,"model":%s`, c.ID, object, c.Created, model)
 }
 
-// Event is a server-sent event with one chunk: text is a raw JSON string, or nil
-// for the chunk that begins, and for the one that ends with a reason.
+// Event appends a server-sent event with one chunk. text is a raw JSON string. It is nil for the first chunk, which has
+// the role, and for the last, which has the finish_reason.
 func (c *Completion) Event(dst []byte, text []byte, finish string) []byte {
 	dst = append(dst, "data: "...)
-	dst = append(dst, c.head("chat.completion.chunk")...)
+	dst = append(dst, c.openObject("chat.completion.chunk")...)
 	dst = append(dst, `,"choices":[{"index":0,"delta":{`...)
 	switch {
 	case text != nil:
@@ -190,10 +192,10 @@
 	return append(dst, "}]}\n\n"...)
 }
 
-// UsageEvent is the event that tells a stream's usage.
+// UsageEvent appends the event that reports a stream's token usage.
 func (c *Completion) UsageEvent(dst []byte, tokens int) []byte {
 	usage, _ := json.Marshal(c.usage(tokens))
-	dst = append(append(dst, "data: "...), c.head("chat.completion.chunk")...)
+	dst = append(append(dst, "data: "...), c.openObject("chat.completion.chunk")...)
 	dst = append(dst, `,"choices":[],"usage":`...)
 	return append(append(dst, usage...), "}\n\n"...)
 }
--- a/internal/httpapi/embeddings.go
+++ b/internal/httpapi/embeddings.go
@@ -8,27 +8,28 @@
 	"strconv"
 )
 
-// MaxInputs is how many texts one request may embed, as OpenAI has it.
+// MaxInputs is the largest number of inputs of one request, as in OpenAI's API.
 const MaxInputs = 2048
 
 const maxDimensions = 1 << 16
 
-// Input is one text, or its tokens, as it came.
+// Input is one input of the request: a text or a list of tokens.
 type Input struct {
 	Raw    json.RawMessage
-	Tokens float64 // as counted, or guessed from its bytes
+	Tokens float64 // length of the token list, or an estimate from the text's bytes
 }
 
-// Embeddings is a request for embeddings.
+// Embeddings is an embeddings request.
 type Embeddings struct {
 	Model      string
 	Inputs     []Input
-	Format     string // "float", "base64" or "" for float
-	Dimensions int    // 0: the model's own
+	Format     string // "float", "base64" or "" (float)
+	Dimensions int    // 0: the model's default
 	User       string
 }
 
-// ParseEmbeddings reads a request; a token is taken to have so many bytes.
+// ParseEmbeddings parses and checks the body of an embeddings request. tokenBytes is the mean number of bytes of a
+// token, by which the length of texts is estimated.
 func ParseEmbeddings(body []byte, tokenBytes float64) (*Embeddings, *Error) {
 	var p struct {
 		Model      string          `json:"model"`
@@ -37,8 +38,8 @@
 		Dimensions *int            `json:"dimensions"`
 		User       string          `json:"user"`
 	}
-	if bad := read(body, &p); bad != nil {
-		return nil, bad
+	if apiErr := decode(body, &p); apiErr != nil {
+		return nil, apiErr
 	}
 	e := &Embeddings{Model: p.Model, Format: p.Format, User: p.User}
 	switch {
@@ -52,16 +53,17 @@
 	if p.Dimensions != nil {
 		e.Dimensions = *p.Dimensions
 	}
-	var bad *Error
-	e.Inputs, bad = inputs(p.Input, tokenBytes)
-	return e, bad
+	var apiErr *Error
+	e.Inputs, apiErr = parseInputs(p.Input, tokenBytes)
+	return e, apiErr
 }
 
-// inputs reads the four forms of an input: a text, texts, tokens, lists of tokens.
-func inputs(raw json.RawMessage, tokenBytes float64) ([]Input, *Error) {
+// parseInputs parses the four forms of the input field: a text, a list of texts, a list of tokens, a list of token
+// lists.
+func parseInputs(raw json.RawMessage, tokenBytes float64) ([]Input, *Error) {
 	if len(raw) > 0 && raw[0] == '"' {
-		in, bad := input(raw, "input", tokenBytes)
-		return []Input{in}, bad
+		in, apiErr := parseInput(raw, "input", tokenBytes)
+		return []Input{in}, apiErr
 	}
 	var list []json.RawMessage
 	if len(raw) == 0 || json.Unmarshal(raw, &list) != nil {
@@ -71,26 +73,26 @@
 		return nil, Invalid("input", "input is empty")
 	}
 	if c := list[0][0]; c != '"' && c != '[' {
-		in, bad := input(raw, "input", tokenBytes)
-		return []Input{in}, bad
+		in, apiErr := parseInput(raw, "input", tokenBytes)
+		return []Input{in}, apiErr
 	}
 	if len(list) > MaxInputs {
 		return nil, Invalid("input", "input has %d texts; %d are the most", len(list), MaxInputs)
 	}
 	out := make([]Input, len(list))
-	for i, one := range list {
-		var bad *Error
-		if out[i], bad = input(one, fmt.Sprintf("input[%d]", i), tokenBytes); bad != nil {
-			return nil, bad
+	for i, item := range list {
+		var apiErr *Error
+		if out[i], apiErr = parseInput(item, fmt.Sprintf("input[%d]", i), tokenBytes); apiErr != nil {
+			return nil, apiErr
 		}
-		if one[0] != list[0][0] {
+		if item[0] != list[0][0] {
 			return nil, Invalid(fmt.Sprintf("input[%d]", i), "texts and tokens are not mixed")
 		}
 	}
 	return out, nil
 }
 
-func input(raw json.RawMessage, param string, tokenBytes float64) (Input, *Error) {
+func parseInput(raw json.RawMessage, param string, tokenBytes float64) (Input, *Error) {
 	if raw[0] == '"' {
 		var text string
 		if json.Unmarshal(raw, &text) != nil || text == "" {
@@ -105,8 +107,8 @@
 	return Input{raw, float64(len(tokens))}, nil
 }
 
-// Sizes are the inputs' tokens.
-func (e *Embeddings) Sizes() []float64 {
+// TokenCounts returns the number of tokens of each input.
+func (e *Embeddings) TokenCounts() []float64 {
 	list := make([]float64, len(e.Inputs))
 	for i := range e.Inputs {
 		list[i] = e.Inputs[i].Tokens
@@ -114,9 +116,9 @@
 	return list
 }
 
-// Engine is what an engine is asked for the inputs from one to before another.
-func (e *Embeddings) Engine(from, to int, tokens float64) []byte {
-	ask := struct {
+// EngineBody returns the body of the engine's request for the inputs [from, to); tokens is their sum.
+func (e *Embeddings) EngineBody(from, to int, tokens float64) []byte {
+	req := struct {
 		Model      string            `json:"model"`
 		Input      []json.RawMessage `json:"input"`
 		Format     string            `json:"encoding_format,omitempty"`
@@ -125,14 +127,14 @@
 		Size       int               `json:"x_prompt_tokens,omitempty"`
 	}{Model: e.Model, Format: e.Format, Dimensions: e.Dimensions, User: e.User, Size: int(tokens)}
 	for _, in := range e.Inputs[from:to] {
-		ask.Input = append(ask.Input, in.Raw)
+		req.Input = append(req.Input, in.Raw)
 	}
-	b, _ := json.Marshal(ask)
+	b, _ := json.Marshal(req)
 	return b
 }
 
-// vectors is an engine's answer, read.
-type vectors struct {
+// embeddingResponse is an engine's answer.
+type embeddingResponse struct {
 	Model string `json:"model"`
 	Data  []struct {
 		Index     int             `json:"index"`
@@ -141,14 +143,14 @@
 	Usage *Usage `json:"usage"`
 }
 
-// readVectors reads the answer for so many inputs: each has one embedding, in the form asked for.
-func (e *Embeddings) readVectors(body []byte, inputs int) (*vectors, []json.RawMessage, error) {
-	var v vectors
+// parseAnswer parses an engine's answer and checks that each input has exactly one embedding, in the requested format.
+func (e *Embeddings) parseAnswer(body []byte, inputs int) (*embeddingResponse, []json.RawMessage, error) {
+	var v embeddingResponse
 	if err := json.Unmarshal(body, &v); err != nil {
 		return nil, nil, fmt.Errorf("embeddings: %w", err)
 	}
 	if v.Usage == nil || len(v.Data) != inputs {
-		return nil, nil, fmt.Errorf("embeddings: %d of %d, or no usage", len(v.Data), inputs)
+		return nil, nil, fmt.Errorf("embeddings: %d of %d, or usage is missing", len(v.Data), inputs)
 	}
 	first := byte('[')
 	if e.Format == "base64" {
@@ -157,20 +159,21 @@
 	list := make([]json.RawMessage, inputs)
 	for _, d := range v.Data {
 		if d.Index < 0 || d.Index >= inputs || list[d.Index] != nil || len(d.Embedding) == 0 || d.Embedding[0] != first {
-			return nil, nil, errors.New("embeddings: one is twice, amiss, or not in the form asked for")
+			return nil, nil, errors.New("embeddings: an index is repeated or out of range, or an embedding is missing or not in the requested format")
 		}
 		list[d.Index] = d.Embedding
 	}
 	return &v, list, nil
 }
 
-// Check tells whether an engine's answer is one for so many inputs.
+// Check returns an error unless body is a valid answer of an engine for this number of inputs.
 func (e *Embeddings) Check(body []byte, inputs int) error {
-	_, _, err := e.readVectors(body, inputs)
+	_, _, err := e.parseAnswer(body, inputs)
 	return err
 }
 
-// Join makes the whole answer of the parts' answers, in order; counts are the inputs of each.
+// Join joins the answers to the parts, in order, to the answer to the whole request. counts has the number of inputs of
+// each part.
 func (e *Embeddings) Join(bodies [][]byte, counts []int) ([]byte, error) {
 	size := 256
 	for _, b := range bodies {
@@ -180,7 +183,7 @@
 	var sum Usage
 	model, n := e.Model, 0
 	for i, b := range bodies {
-		v, list, err := e.readVectors(b, counts[i])
+		v, list, err := e.parseAnswer(b, counts[i])
 		if err != nil {
 			return nil, err
 		}
@@ -189,14 +192,14 @@
 		}
 		sum.Prompt += v.Usage.Prompt
 		sum.Total += v.Usage.Total
-		for _, one := range list {
+		for _, vector := range list {
 			if n > 0 {
 				out = append(out, ',')
 			}
 			out = append(out, `{"object":"embedding","index":`...)
 			out = strconv.AppendInt(out, int64(n), 10)
 			out = append(out, `,"embedding":`...)
-			out = append(out, one...)
+			out = append(out, vector...)
 			out = append(out, '}')
 			n++
 		}
--- a/internal/httpapi/errors.go
+++ b/internal/httpapi/errors.go
@@ -1,7 +1,6 @@
-// Package httpapi has the published shapes of the HTTP APIs that the router's front
-// speaks: OpenAI's chat completions and embeddings, and the rerank that Cohere
-// and Jina have in common. It reads requests, builds what engines are asked, and
-// joins what they answer. It keeps no state and decides nothing.
+// Package httpapi has the request and response formats of the HTTP APIs that the router serves: OpenAI's chat
+// completions and embeddings, and the rerank API that Cohere and Jina have in common. It parses and checks requests,
+// builds the requests to engines and joins their answers. It keeps no state.
 package httpapi
 
 import (
@@ -12,7 +11,7 @@
 	"io"
 )
 
-// Error is an error answer.
+// Error is an error answer: the HTTP status and the fields of the error object.
 type Error struct {
 	Status  int
 	Type    string
@@ -23,7 +22,7 @@
 
 func (e *Error) Error() string { return e.Message }
 
-// Body is the error's JSON. OpenAI's clients read the object, Cohere's the message beside it.
+// Body returns the error as JSON. OpenAI's clients read the error object, Cohere's the message at the top level.
 func (e *Error) Body() []byte {
 	type inner struct {
 		Message string  `json:"message"`
@@ -42,7 +41,7 @@
 	return b
 }
 
-// Types of errors.
+// Values of Error.Type.
 const (
 	InvalidRequest = "invalid_request_error"
 	RateLimited    = "rate_limit_error"
@@ -50,40 +49,40 @@
 	ServerError    = "server_error"
 )
 
-// Codes that tell how a request ended. The first two promise that trying again is harmless.
+// Values of Error.Code for requests that were not served. The first two guarantee that a retry is harmless.
 const (
 	CodeRefused = "refused"
 	CodeLimited = "rate_limit_exceeded"
 	CodeFailed  = "failed"
 )
 
-// Invalid is an error of the request itself.
+// Invalid returns a 400 for an invalid value of a field of the request.
 func Invalid(param, format string, args ...any) *Error {
 	return &Error{Status: 400, Type: InvalidRequest, Code: "invalid_value", Param: param, Message: fmt.Sprintf(format, args...)}
 }
 
-// read binds a request's JSON. Fields that are not known are skipped, as published APIs grow.
-func read(body []byte, to any) *Error {
+// decode decodes a request's JSON. Unknown fields are ignored, since the published APIs gain fields.
+func decode(body []byte, into any) *Error {
 	dec := json.NewDecoder(bytes.NewReader(body))
-	err := dec.Decode(to)
+	err := dec.Decode(into)
 	if err == nil {
 		if _, err = dec.Token(); errors.Is(err, io.EOF) {
 			return nil
 		}
 		err = errors.New("more follows after the JSON value")
 	}
-	var wrong *json.UnmarshalTypeError
-	if errors.As(err, &wrong) {
-		return Invalid(wrong.Field, "%s: %s expected, not %s (at byte %d)", wrong.Field, wrong.Type, wrong.Value, wrong.Offset)
+	var typeErr *json.UnmarshalTypeError
+	if errors.As(err, &typeErr) {
+		return Invalid(typeErr.Field, "%s: %s expected, not %s (at byte %d)", typeErr.Field, typeErr.Type, typeErr.Value, typeErr.Offset)
 	}
-	var syntax *json.SyntaxError
-	if errors.As(err, &syntax) {
-		return &Error{Status: 400, Type: InvalidRequest, Code: "invalid_json", Message: fmt.Sprintf("%v (at byte %d)", err, syntax.Offset)}
+	var syntaxErr *json.SyntaxError
+	if errors.As(err, &syntaxErr) {
+		return &Error{Status: 400, Type: InvalidRequest, Code: "invalid_json", Message: fmt.Sprintf("%v (at byte %d)", err, syntaxErr.Offset)}
 	}
 	return &Error{Status: 400, Type: InvalidRequest, Code: "invalid_json", Message: err.Error()}
 }
 
-// Usage counts tokens as embeddings and reranks tell it.
+// Usage is the token usage in answers to embeddings and rerank requests.
 type Usage struct {
 	Prompt int `json:"prompt_tokens"`
 	Total  int `json:"total_tokens"`
--- a/internal/httpapi/httpapi_test.go
+++ b/internal/httpapi/httpapi_test.go
@@ -74,18 +74,18 @@
 		}
 		in, _ := json.Marshal(map[string]any{"model": "m", "input": texts, "documents": texts, "query": "q",
 			"top_n": rapid.IntRange(1, 50).Draw(t, "top")})
-		e, bad := ParseEmbeddings(in, 4)
-		r, bad2 := ParseRerank(in, 4)
-		if bad != nil || bad2 != nil {
-			t.Fatal(bad, bad2)
+		e, embedErr := ParseEmbeddings(in, 4)
+		r, rerankErr := ParseRerank(in, 4)
+		if embedErr != nil || rerankErr != nil {
+			t.Fatal(embedErr, rerankErr)
 		}
 		var counts []int
-		var vectors, ranks, wholeV, wholeR [][]byte
+		var vectors, ranks, unsplitVectors, unsplitRanks [][]byte
 		for from := 0; from < n; {
 			to := min(from+rapid.IntRange(1, 10).Draw(t, "part"), n)
 			counts = append(counts, to-from)
-			vectors = append(vectors, engineVectors(t, e.Engine(from, to, 1)))
-			ranks = append(ranks, engineRanks(t, r.Engine(from, to, 1)))
+			vectors = append(vectors, engineVectors(t, e.EngineBody(from, to, 1)))
+			ranks = append(ranks, engineRanks(t, r.EngineBody(from, to, 1)))
 			if e.Check(vectors[len(vectors)-1], to-from) != nil || r.Check(ranks[len(ranks)-1], to-from) != nil {
 				t.Fatal("a right answer is not taken")
 			}
@@ -94,12 +94,12 @@
 			}
 			from = to
 		}
-		wholeV = [][]byte{engineVectors(t, e.Engine(0, n, 1))}
-		wholeR = [][]byte{engineRanks(t, r.Engine(0, n, 1))}
+		unsplitVectors = [][]byte{engineVectors(t, e.EngineBody(0, n, 1))}
+		unsplitRanks = [][]byte{engineRanks(t, r.EngineBody(0, n, 1))}
 		for _, c := range []struct {
 			join         func([][]byte, []int) ([]byte, error)
 			parts, whole [][]byte
-		}{{e.Join, vectors, wholeV}, {r.Join, ranks, wholeR}} {
+		}{{e.Join, vectors, unsplitVectors}, {r.Join, ranks, unsplitRanks}} {
 			a, err := c.join(c.parts, counts)
 			b, err2 := c.join(c.whole, []int{n})
 			var x, y map[string]any
@@ -116,9 +116,9 @@
 }
 
 // engineVectors answers as an engine does: the last first, as it may.
-func engineVectors(t *rapid.T, ask []byte) []byte {
+func engineVectors(t *rapid.T, req []byte) []byte {
 	var in struct{ Input []string }
-	if err := json.Unmarshal(ask, &in); err != nil {
+	if err := json.Unmarshal(req, &in); err != nil {
 		t.Fatal(err)
 	}
 	var data []any
@@ -129,12 +129,12 @@
 	return b
 }
 
-func engineRanks(t *rapid.T, ask []byte) []byte {
+func engineRanks(t *rapid.T, req []byte) []byte {
 	var in struct {
 		Documents []string
 		TopN      int `json:"top_n"`
 	}
-	if err := json.Unmarshal(ask, &in); err != nil {
+	if err := json.Unmarshal(req, &in); err != nil {
 		t.Fatal(err)
 	}
 	var list []result
@@ -190,27 +190,27 @@
 				t.Fatalf("%s", e.Body())
 			}
 		}
-		if e, bad := ParseEmbeddings(in, 4); bad == nil {
-			if len(e.Inputs) < 1 || len(e.Inputs) > MaxInputs || !json.Valid(e.Engine(0, len(e.Inputs), 1)) {
+		if e, apiErr := ParseEmbeddings(in, 4); apiErr == nil {
+			if len(e.Inputs) < 1 || len(e.Inputs) > MaxInputs || !json.Valid(e.EngineBody(0, len(e.Inputs), 1)) {
 				t.Fatalf("%+v", e)
 			}
 		} else {
-			check(bad)
+			check(apiErr)
 		}
-		if r, bad := ParseRerank(in, 4); bad == nil {
-			if len(r.Documents) < 1 || len(r.Documents) != len(r.Sizes()) || !json.Valid(r.Engine(0, len(r.Documents), 1)) {
+		if r, apiErr := ParseRerank(in, 4); apiErr == nil {
+			if len(r.Documents) < 1 || len(r.Documents) != len(r.TokenCounts()) || !json.Valid(r.EngineBody(0, len(r.Documents), 1)) {
 				t.Fatalf("%+v", r)
 			}
 		} else {
-			check(bad)
+			check(apiErr)
 		}
-		if c, bad := ParseChat(in); bad == nil {
+		if c, apiErr := ParseChat(in); apiErr == nil {
 			k := Completion{ID: "x", Model: c.Model}
-			if len(c.Messages) == 0 || !json.Valid(k.Whole(nil, 1, "stop")) {
+			if len(c.Messages) == 0 || !json.Valid(k.Response(nil, 1, "stop")) {
 				t.Fatalf("%+v", c)
 			}
 		} else {
-			check(bad)
+			check(apiErr)
 		}
 	})
 }
--- a/internal/httpapi/rerank.go
+++ b/internal/httpapi/rerank.go
@@ -9,21 +9,22 @@
 	"slices"
 )
 
-// MaxDocuments is how many documents one request may rank, as Cohere has it.
+// MaxDocuments is the largest number of documents of one request, as in Cohere's API.
 const MaxDocuments = 1000
 
-// Rerank is a request for a ranking.
+// Rerank is a rerank request.
 type Rerank struct {
-	Model     string
-	Query     string
-	Documents []string
-	TopN      int // 0: all
-	Return    bool
-	PerDoc    int // tokens read of each document at the most; 0: the model's own
-	sizes     []float64
+	Model           string
+	Query           string
+	Documents       []string
+	TopN            int // 0: all
+	ReturnDocuments bool
+	MaxTokensPerDoc int // a document's tokens beyond it are not read; 0: the model's default
+	tokenCounts     []float64
 }
 
-// ParseRerank reads a request; a token is taken to have so many bytes.
+// ParseRerank parses and checks the body of a rerank request. tokenBytes is the mean number of bytes of a token, by
+// which the length of texts is estimated.
 func ParseRerank(body []byte, tokenBytes float64) (*Rerank, *Error) {
 	var p struct {
 		Model     string            `json:"model"`
@@ -33,10 +34,10 @@
 		Return    bool              `json:"return_documents"`
 		PerDoc    int               `json:"max_tokens_per_doc"`
 	}
-	if bad := read(body, &p); bad != nil {
-		return nil, bad
+	if apiErr := decode(body, &p); apiErr != nil {
+		return nil, apiErr
 	}
-	r := &Rerank{Model: p.Model, Query: p.Query, Return: p.Return, PerDoc: p.PerDoc}
+	r := &Rerank{Model: p.Model, Query: p.Query, ReturnDocuments: p.Return, MaxTokensPerDoc: p.PerDoc}
 	switch {
 	case p.Model == "":
 		return nil, Invalid("model", "a model is named")
@@ -56,21 +57,21 @@
 	}
 	query := math.Ceil(float64(len(p.Query)) / tokenBytes)
 	for i, raw := range p.Documents {
-		text, ok := document(raw)
+		text, ok := parseDocument(raw)
 		if !ok {
 			return nil, Invalid(fmt.Sprintf("documents[%d]", i), "a document is a text, or an object with one")
 		}
 		size := math.Ceil(float64(len(text)) / tokenBytes)
-		if r.PerDoc > 0 {
-			size = min(size, float64(r.PerDoc))
+		if r.MaxTokensPerDoc > 0 {
+			size = min(size, float64(r.MaxTokensPerDoc))
 		}
 		r.Documents = append(r.Documents, text)
-		r.sizes = append(r.sizes, query+size) // each is read beside the query
+		r.tokenCounts = append(r.tokenCounts, query+size) // the model reads each document together with the query
 	}
 	return r, nil
 }
 
-func document(raw json.RawMessage) (string, bool) {
+func parseDocument(raw json.RawMessage) (string, bool) {
 	var text string
 	if json.Unmarshal(raw, &text) == nil && raw[0] == '"' {
 		return text, true
@@ -84,27 +85,27 @@
 	return *object.Text, true
 }
 
-// Sizes are the documents' tokens, each with the query's.
-func (r *Rerank) Sizes() []float64 { return r.sizes }
+// TokenCounts returns the number of tokens of each document, including the query's.
+func (r *Rerank) TokenCounts() []float64 { return r.tokenCounts }
 
-// Engine is what an engine is asked for the documents from one to before another.
-func (r *Rerank) Engine(from, to int, tokens float64) []byte {
-	ask := struct {
+// EngineBody returns the body of the engine's request for the documents [from, to); tokens is their sum.
+func (r *Rerank) EngineBody(from, to int, tokens float64) []byte {
+	req := struct {
 		Model     string   `json:"model"`
 		Query     string   `json:"query"`
 		Documents []string `json:"documents"`
 		TopN      int      `json:"top_n,omitempty"`
 		PerDoc    int      `json:"max_tokens_per_doc,omitempty"`
 		Size      int      `json:"x_prompt_tokens,omitempty"`
-	}{r.Model, r.Query, r.Documents[from:to], 0, r.PerDoc, int(tokens)}
+	}{r.Model, r.Query, r.Documents[from:to], 0, r.MaxTokensPerDoc, int(tokens)}
 	if r.TopN > 0 {
-		ask.TopN = min(r.TopN, to-from) // the whole's first are among each part's
+		req.TopN = min(r.TopN, to-from) // the top documents of the whole are among the top of each part
 	}
-	b, _ := json.Marshal(ask)
+	b, _ := json.Marshal(req)
 	return b
 }
 
-type ranking struct {
+type rerankResponse struct {
 	Model   string `json:"model"`
 	Results []struct {
 		Index int      `json:"index"`
@@ -113,58 +114,58 @@
 	Usage *Usage `json:"usage"`
 }
 
-func (r *Rerank) readRanking(body []byte, documents int) (*ranking, error) {
-	var v ranking
+func (r *Rerank) parseAnswer(body []byte, documents int) (*rerankResponse, error) {
+	var v rerankResponse
 	if err := json.Unmarshal(body, &v); err != nil {
 		return nil, fmt.Errorf("rerank: %w", err)
 	}
-	due := documents
+	want := documents
 	if r.TopN > 0 {
-		due = min(due, r.TopN)
+		want = min(want, r.TopN)
 	}
-	if len(v.Results) < due {
-		return nil, fmt.Errorf("rerank: %d results of %d", len(v.Results), due)
+	if len(v.Results) < want {
+		return nil, fmt.Errorf("rerank: %d results of %d", len(v.Results), want)
 	}
 	seen := make([]bool, documents)
 	for _, x := range v.Results {
 		if x.Index < 0 || x.Index >= documents || seen[x.Index] || x.Score == nil {
-			return nil, errors.New("rerank: a result is twice, amiss, or has no score")
+			return nil, errors.New("rerank: an index is repeated or out of range, or a score is missing")
 		}
 		seen[x.Index] = true
 	}
 	return &v, nil
 }
 
-// Check tells whether an engine's answer is one for so many documents.
+// Check returns an error unless body is a valid answer of an engine for this number of documents.
 func (r *Rerank) Check(body []byte, documents int) error {
-	_, err := r.readRanking(body, documents)
+	_, err := r.parseAnswer(body, documents)
 	return err
 }
 
-// result is one document's place, in the shape that Cohere and Jina share.
+// result is one ranked document, in the format that Cohere and Jina share.
 type result struct {
-	Index    int       `json:"index"`
-	Score    float64   `json:"relevance_score"`
-	Document *textOnly `json:"document,omitempty"`
+	Index    int           `json:"index"`
+	Score    float64       `json:"relevance_score"`
+	Document *documentText `json:"document,omitempty"`
 }
 
-type textOnly struct {
+type documentText struct {
 	Text string `json:"text"`
 }
 
-// Join makes the whole answer of the parts' answers: each document is scored
-// against the query alone, so that scores of parts compare.
+// Join joins the answers to the parts, in order, to the answer to the whole request. counts has the number of documents
+// of each part. Scores of different parts are comparable, since each document is scored against the query alone.
 func (r *Rerank) Join(bodies [][]byte, counts []int) ([]byte, error) {
 	out := struct {
-		ID      string   `json:"id"`
-		Model   string   `json:"model"`
-		Results []result `json:"results"`
-		Usage   Usage    `json:"usage"`
-		Meta    meta     `json:"meta"`
+		ID      string     `json:"id"`
+		Model   string     `json:"model"`
+		Results []result   `json:"results"`
+		Usage   Usage      `json:"usage"`
+		Meta    rerankMeta `json:"meta"`
 	}{Model: r.Model, Results: []result{}}
 	from := 0
 	for i, b := range bodies {
-		v, err := r.readRanking(b, counts[i])
+		v, err := r.parseAnswer(b, counts[i])
 		if err != nil {
 			return nil, err
 		}
@@ -183,9 +184,9 @@
 	if r.TopN > 0 {
 		out.Results = out.Results[:min(r.TopN, len(out.Results))]
 	}
-	if r.Return {
+	if r.ReturnDocuments {
 		for i := range out.Results {
-			out.Results[i].Document = &textOnly{r.Documents[out.Results[i].Index]}
+			out.Results[i].Document = &documentText{r.Documents[out.Results[i].Index]}
 		}
 	}
 	out.Meta.Version.Version = "1"
@@ -193,8 +194,8 @@
 	return json.Marshal(out)
 }
 
-// meta is what Cohere's answers tell besides; a search unit is 100 documents.
-type meta struct {
+// rerankMeta is the meta field of Cohere's answers. A search unit is up to 100 documents.
+type rerankMeta struct {
 	Version struct {
 		Version string `json:"version"`
 	} `json:"api_version"`
--- a/internal/jsonscan/scan.go
+++ b/internal/jsonscan/scan.go
@@ -1,5 +1,5 @@
-// Package jsonscan finds values in JSON text (RFC 8259) without building them,
-// so that a token can be passed on as it came, still escaped, with no allocation.
+// Package jsonscan finds values in JSON text (RFC 8259) without decoding them, so that a token's text can be passed on
+// unchanged, still escaped, without an allocation.
 package jsonscan
 
 import (
@@ -7,36 +7,35 @@
 	"unicode/utf8"
 )
 
-// ErrBad tells that the text is not JSON.
-var ErrBad = errors.New("json: bad text")
+// ErrInvalid is returned for text that is not valid JSON, is not UTF-8 or is nested too deeply.
+var ErrInvalid = errors.New("json: invalid text")
 
 const maxDepth = 64
 
-// Find returns the raw value at a path of object keys; "0" as a step takes an
-// array's first element. found is false where the path leads nowhere. The
-// whole text is checked.
+// Find returns the raw value at a path of object keys; "0" as an element of the path selects the first element of an
+// array. found is false if there is no value at the path. The whole text is checked.
 func Find(text []byte, path ...string) (raw []byte, found bool, err error) {
 	s := scanner{text: text}
-	raw, found = s.find(path)
-	s.space()
-	if s.bad || s.at != len(text) {
-		return nil, false, ErrBad
+	raw, found = s.findValue(path)
+	s.skipSpace()
+	if s.invalid || s.pos != len(text) {
+		return nil, false, ErrInvalid
 	}
 	return raw, found, nil
 }
 
 type scanner struct {
-	text []byte
-	at   int
-	deep int
-	bad  bool
+	text    []byte
+	pos     int
+	depth   int
+	invalid bool
 }
 
-func (s *scanner) space() {
-	for s.at < len(s.text) {
-		switch s.text[s.at] {
+func (s *scanner) skipSpace() {
+	for s.pos < len(s.text) {
+		switch s.text[s.pos] {
 		case ' ', '\t', '\n', '\r':
-			s.at++
+			s.pos++
 		default:
 			return
 		}
@@ -44,191 +43,191 @@
 }
 
 func (s *scanner) peek() byte {
-	if s.space(); s.at < len(s.text) {
-		return s.text[s.at]
+	if s.skipSpace(); s.pos < len(s.text) {
+		return s.text[s.pos]
 	}
 	return 0
 }
 
-func (s *scanner) take(c byte) bool {
+func (s *scanner) consume(c byte) bool {
 	if s.peek() == c {
-		s.at++
+		s.pos++
 		return true
 	}
 	return false
 }
 
-// find reads one value and looks into it along the path.
-func (s *scanner) find(path []string) ([]byte, bool) {
+// findValue scans one value and returns the part of it at the path.
+func (s *scanner) findValue(path []string) ([]byte, bool) {
 	if len(path) == 0 {
-		s.space()
-		from := s.at
-		s.skip()
-		return s.text[from:s.at], !s.bad
+		s.skipSpace()
+		from := s.pos
+		s.skipValue()
+		return s.text[from:s.pos], !s.invalid
 	}
 	switch s.peek() {
 	case '{':
-		return s.object(path)
+		return s.scanObject(path)
 	case '[':
-		return s.array(path)
+		return s.scanArray(path)
 	}
-	s.skip()
+	s.skipValue()
 	return nil, false
 }
 
-func (s *scanner) object(path []string) (raw []byte, found bool) {
+func (s *scanner) scanObject(path []string) (raw []byte, found bool) {
 	s.enter()
 	defer s.leave()
-	if s.take('}') {
+	if s.consume('}') {
 		return nil, false
 	}
-	for !s.bad {
-		s.space()
-		from := s.at
-		s.str()
-		key := s.text[min(from, len(s.text)):s.at]
-		if !s.take(':') {
-			s.bad = true
+	for !s.invalid {
+		s.skipSpace()
+		from := s.pos
+		s.scanString()
+		key := s.text[min(from, len(s.text)):s.pos]
+		if !s.consume(':') {
+			s.invalid = true
 			return nil, false
 		}
 		if len(path) > 0 && !found && len(key) >= 2 && string(key[1:len(key)-1]) == path[0] {
-			raw, found = s.find(path[1:])
+			raw, found = s.findValue(path[1:])
 		} else {
-			s.skip()
+			s.skipValue()
 		}
-		if s.take('}') {
+		if s.consume('}') {
 			return raw, found
 		}
-		s.bad = s.bad || !s.take(',')
+		s.invalid = s.invalid || !s.consume(',')
 	}
 	return nil, false
 }
 
-func (s *scanner) array(path []string) (raw []byte, found bool) {
+func (s *scanner) scanArray(path []string) (raw []byte, found bool) {
 	s.enter()
 	defer s.leave()
-	if s.take(']') {
+	if s.consume(']') {
 		return nil, false
 	}
-	for first := true; !s.bad; first = false {
+	for first := true; !s.invalid; first = false {
 		if first && len(path) > 0 && path[0] == "0" {
-			raw, found = s.find(path[1:])
+			raw, found = s.findValue(path[1:])
 		} else {
-			s.skip()
+			s.skipValue()
 		}
-		if s.take(']') {
+		if s.consume(']') {
 			return raw, found
 		}
-		s.bad = s.bad || !s.take(',')
+		s.invalid = s.invalid || !s.consume(',')
 	}
 	return nil, false
 }
 
 func (s *scanner) enter() {
-	s.at++
-	s.deep++
-	s.bad = s.bad || s.deep > maxDepth
+	s.pos++
+	s.depth++
+	s.invalid = s.invalid || s.depth > maxDepth
 }
 
-func (s *scanner) leave() { s.deep-- }
+func (s *scanner) leave() { s.depth-- }
 
-func (s *scanner) skip() {
+func (s *scanner) skipValue() {
 	switch c := s.peek(); {
-	case s.bad:
+	case s.invalid:
 	case c == '{':
-		s.object(nil)
+		s.scanObject(nil)
 	case c == '[':
-		s.array(nil)
+		s.scanArray(nil)
 	case c == '"':
-		s.str()
+		s.scanString()
 	case c == 't':
-		s.literal("true")
+		s.scanLiteral("true")
 	case c == 'f':
-		s.literal("false")
+		s.scanLiteral("false")
 	case c == 'n':
-		s.literal("null")
+		s.scanLiteral("null")
 	default:
-		s.number()
+		s.scanNumber()
 	}
 }
 
-func (s *scanner) literal(word string) {
-	if len(s.text)-s.at < len(word) || string(s.text[s.at:s.at+len(word)]) != word {
-		s.bad = true
+func (s *scanner) scanLiteral(literal string) {
+	if len(s.text)-s.pos < len(literal) || string(s.text[s.pos:s.pos+len(literal)]) != literal {
+		s.invalid = true
 		return
 	}
-	s.at += len(word)
+	s.pos += len(literal)
 }
 
-func (s *scanner) number() {
-	if s.at < len(s.text) && s.text[s.at] == '-' {
-		s.at++
+func (s *scanner) scanNumber() {
+	if s.pos < len(s.text) && s.text[s.pos] == '-' {
+		s.pos++
 	}
-	if s.at < len(s.text) && s.text[s.at] == '0' {
-		s.at++
+	if s.pos < len(s.text) && s.text[s.pos] == '0' {
+		s.pos++
 	} else {
-		s.digits()
+		s.scanDigits()
 	}
-	if s.at < len(s.text) && s.text[s.at] == '.' {
-		s.at++
-		s.digits()
+	if s.pos < len(s.text) && s.text[s.pos] == '.' {
+		s.pos++
+		s.scanDigits()
 	}
-	if s.at < len(s.text) && (s.text[s.at] == 'e' || s.text[s.at] == 'E') {
-		s.at++
-		if s.at < len(s.text) && (s.text[s.at] == '+' || s.text[s.at] == '-') {
-			s.at++
+	if s.pos < len(s.text) && (s.text[s.pos] == 'e' || s.text[s.pos] == 'E') {
+		s.pos++
+		if s.pos < len(s.text) && (s.text[s.pos] == '+' || s.text[s.pos] == '-') {
+			s.pos++
 		}
-		s.digits()
+		s.scanDigits()
 	}
 }
 
-func (s *scanner) digits() {
-	from := s.at
-	for s.at < len(s.text) && s.text[s.at] >= '0' && s.text[s.at] <= '9' {
-		s.at++
+func (s *scanner) scanDigits() {
+	from := s.pos
+	for s.pos < len(s.text) && s.text[s.pos] >= '0' && s.text[s.pos] <= '9' {
+		s.pos++
 	}
-	s.bad = s.bad || s.at == from
+	s.invalid = s.invalid || s.pos == from
 }
 
-// str reads a string: its escapes, no control characters, UTF-8.
-func (s *scanner) str() {
-	if s.at >= len(s.text) || s.text[s.at] != '"' {
-		s.bad = true
+// scanString scans a string and checks its escapes, that it has no control characters and that it is UTF-8.
+func (s *scanner) scanString() {
+	if s.pos >= len(s.text) || s.text[s.pos] != '"' {
+		s.invalid = true
 		return
 	}
-	from := s.at + 1
-	for s.at++; s.at < len(s.text); s.at++ {
-		switch c := s.text[s.at]; {
+	from := s.pos + 1
+	for s.pos++; s.pos < len(s.text); s.pos++ {
+		switch c := s.text[s.pos]; {
 		case c == '"':
-			s.bad = s.bad || !utf8.Valid(s.text[from:s.at])
-			s.at++
+			s.invalid = s.invalid || !utf8.Valid(s.text[from:s.pos])
+			s.pos++
 			return
 		case c < ' ':
-			s.bad = true
+			s.invalid = true
 			return
 		case c == '\\':
-			s.at++
-			if !s.escape() {
-				s.bad = true
+			s.pos++
+			if !s.scanEscape() {
+				s.invalid = true
 				return
 			}
 		}
 	}
-	s.bad = true
+	s.invalid = true
 }
 
-// escape checks what follows a backslash and stops at its last character.
-func (s *scanner) escape() bool {
-	if s.at >= len(s.text) {
+// scanEscape checks the escape sequence after a backslash and stops at its last character.
+func (s *scanner) scanEscape() bool {
+	if s.pos >= len(s.text) {
 		return false
 	}
-	switch s.text[s.at] {
+	switch s.text[s.pos] {
 	case '"', '\\', '/', 'b', 'f', 'n', 'r', 't':
 		return true
 	case 'u':
 		for range 4 {
-			s.at++
-			if s.at >= len(s.text) || !isHex(s.text[s.at]) {
+			s.pos++
+			if s.pos >= len(s.text) || !isHex(s.text[s.pos]) {
 				return false
 			}
 		}
--- a/internal/realtime/events.go
+++ b/internal/realtime/events.go
@@ -1,7 +1,6 @@
-// Package realtime has the text events of OpenAI's Realtime API over WebSocket
-// (platform documentation, "Realtime"), as far as gannethook speaks it:
-// docs/client-protocol.md lists them. It reads clients' events and writes
-// servers'; it keeps no state.
+// Package realtime has the text events of OpenAI's Realtime API over WebSocket (platform documentation, "Realtime") that
+// gannethook supports; docs/client-protocol.md lists them. It parses client events and encodes server events, and keeps
+// no state.
 package realtime
 
 import (
@@ -11,7 +10,7 @@
 	"strings"
 )
 
-// Event types of clients.
+// Types of client events.
 const (
 	SessionUpdate  = "session.update"
 	ItemCreate     = "conversation.item.create"
@@ -20,7 +19,7 @@
 	ResponseCancel = "response.cancel"
 )
 
-// Event types of servers.
+// Types of server events.
 const (
 	SessionCreated  = "session.created"
 	SessionUpdated  = "session.updated"
@@ -38,7 +37,7 @@
 	ErrorType       = "error"
 )
 
-// Client is an event of a client; which fields matter goes by its type.
+// Client is a client event; its type says which fields are used.
 type Client struct {
 	Type       string   `json:"type"`
 	EventID    string   `json:"event_id"`
@@ -49,7 +48,7 @@
 	ResponseID string   `json:"response_id"`
 }
 
-// Session is the session's settings.
+// Session is the configuration of a session.
 type Session struct {
 	Type         string   `json:"type,omitempty"`
 	Object       string   `json:"object,omitempty"`
@@ -58,10 +57,10 @@
 	Instructions *string  `json:"instructions,omitempty"`
 	Modalities   []string `json:"output_modalities,omitempty"`
 	MaxTokens    *Limit   `json:"max_output_tokens,omitempty"`
-	Router       string   `json:"router,omitempty"` // ours: which router and which life of it
+	Router       string   `json:"router,omitempty"` // extension to the API: the router's name and start time
 }
 
-// Item is a conversation's item.
+// Item is an item of a conversation; the router supports messages only.
 type Item struct {
 	ID      string `json:"id,omitempty"`
 	Object  string `json:"object,omitempty"`
@@ -71,13 +70,13 @@
 	Content []Part `json:"content"`
 }
 
-// Part is a part of an item's content.
+// Part is one content part of an item.
 type Part struct {
 	Type string `json:"type"`
 	Text string `json:"text"`
 }
 
-// Text joins the text parts; ok is false where there is another kind.
+// Text joins the text parts; ok is false if the item has a part of another type.
 func (i *Item) Text() (text string, ok bool) {
 	var b strings.Builder
 	for _, p := range i.Content {
@@ -89,7 +88,7 @@
 	return b.String(), true
 }
 
-// Params are the settings of one response.
+// Params are the parameters of one response.
 type Params struct {
 	Conversation string            `json:"conversation"`
 	Instructions *string           `json:"instructions"`
@@ -99,10 +98,10 @@
 	Metadata     map[string]string `json:"metadata"`
 }
 
-// Limit is a number of tokens, or "inf" as 0.
+// Limit is a maximum number of tokens; 0 stands for "inf".
 type Limit int
 
-// UnmarshalJSON reads a number of 1 or more, or "inf".
+// UnmarshalJSON accepts an integer of at least 1, or "inf".
 func (l *Limit) UnmarshalJSON(b []byte) error {
 	if string(b) == `"inf"` {
 		*l = 0
@@ -116,7 +115,7 @@
 	return nil
 }
 
-// MarshalJSON writes what UnmarshalJSON reads.
+// MarshalJSON encodes the limit as UnmarshalJSON expects it.
 func (l Limit) MarshalJSON() ([]byte, error) {
 	if l == 0 {
 		return []byte(`"inf"`), nil
@@ -124,7 +123,7 @@
 	return strconv.AppendInt(nil, int64(l), 10), nil
 }
 
-// Keys of a response's metadata that the router understands.
+// Metadata keys of a response that the router interprets.
 const (
 	MetaClass       = "class"
 	MetaTenant      = "tenant"
@@ -133,19 +132,19 @@
 	MetaPrefixSize  = "prefix_tokens"
 	MetaPromptSize  = "prompt_tokens"
 	MetaIdempotency = "idempotency_key"
-	MetaRetry       = "retry" // "true": a try whose end the client does not know went before
-	MetaTry         = "try"   // 2 and more: tries went before, however they ended
+	MetaRetry       = "retry" // "true": repeats a request whose outcome the client doesn't know
+	MetaTry         = "try"   // number of the attempt, from 1; above 1 it is a retry, whatever the outcome of the first
 	MetaGiveUp      = "give_up_ms"
 )
 
-// Bounds of metadata, as the API has them.
+// Limits of metadata as in OpenAI's API: entries, bytes of a key, bytes of a value.
 const (
 	MaxMetadata = 16
 	MaxMetaKey  = 64
 	MaxMetaText = 512
 )
 
-// Response is a response as servers tell it.
+// Response is a response in server events.
 type Response struct {
 	Object       string            `json:"object"`
 	ID           string            `json:"id"`
@@ -157,15 +156,15 @@
 	Usage        *Usage            `json:"usage,omitempty"`
 }
 
-// Details tell why a response is not completed.
+// Details says why a response was not completed.
 type Details struct {
 	Type   string  `json:"type"`
 	Reason string  `json:"reason,omitempty"`
 	Error  *Reason `json:"error,omitempty"`
 }
 
-// Reason is the error of a response. A code of "refused" promises that trying
-// again is harmless, after RetryAfterMS at the best; any other promises nothing.
+// Reason is the error of a failed response. The code "refused" guarantees that a retry is harmless, best after
+// RetryAfterMS; any other code guarantees nothing.
 type Reason struct {
 	Type         string `json:"type"`
 	Code         string `json:"code"`
@@ -173,20 +172,20 @@
 	RetryAfterMS *int64 `json:"retry_after_ms,omitempty"`
 }
 
-// Codes of Reason.
+// Values of Reason.Code.
 const (
 	CodeRefused = "refused"
 	CodeFailed  = "failed"
 )
 
-// Usage counts tokens.
+// Usage is the token usage of a response.
 type Usage struct {
 	Total  int `json:"total_tokens"`
 	Input  int `json:"input_tokens"`
 	Output int `json:"output_tokens"`
 }
 
-// Server is an event of a server, for clients and tests to read.
+// Server is a server event.
 type Server struct {
 	Type       string    `json:"type"`
 	EventID    string    `json:"event_id"`
@@ -200,7 +199,7 @@
 	Error      *Error    `json:"error,omitempty"`
 }
 
-// Error is what an error event tells.
+// Error is the content of an error event; EventID is the id of the client event that caused it.
 type Error struct {
 	Type    string `json:"type"`
 	Code    string `json:"code"`
@@ -209,7 +208,7 @@
 	EventID string `json:"event_id,omitempty"`
 }
 
-// ParseClient reads a client's event.
+// ParseClient parses a client event.
 func ParseClient(msg []byte) (*Client, *Error) {
 	var c Client
 	if err := json.Unmarshal(msg, &c); err != nil {
@@ -222,8 +221,8 @@
 	return &c, nil
 }
 
-// AppendDelta appends a response.output_text.delta event; text is a raw JSON
-// string, passed on as it came. Its fields are those of the published event.
+// AppendDelta appends a response.output_text.delta event with the fields of the published API. text is a raw JSON
+// string and is copied unchanged, which avoids decoding and encoding each token.
 func AppendDelta(dst []byte, eventID uint64, responseID, itemID string, text []byte) []byte {
 	dst = append(dst, `{"type":"`+TextDelta+`","event_id":"event_`...)
 	dst = strconv.AppendUint(dst, eventID, 10)
--- a/internal/realtime/events_test.go
+++ b/internal/realtime/events_test.go
@@ -10,12 +10,12 @@
 	f.Add([]byte(`{"type":"response.create","response":{"max_output_tokens":"inf","metadata":{"class":"q"}}}`))
 	f.Add([]byte(`{"type":"conversation.item.create","item":{"type":"message","content":[{"type":"input_text","text":"a"}]}}`))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		c, bad := ParseClient(in)
+		c, parseErr := ParseClient(in)
 		switch {
-		case (c == nil) == (bad == nil):
-			t.Fatalf("%q: %v and %v", in, c, bad)
-		case bad != nil && bad.Code == "" || c != nil && c.Type == "":
-			t.Fatalf("%q: %v, %v", in, c, bad)
+		case (c == nil) == (parseErr == nil):
+			t.Fatalf("%q: %v and %v", in, c, parseErr)
+		case parseErr != nil && parseErr.Code == "" || c != nil && c.Type == "":
+			t.Fatalf("%q: %v, %v", in, c, parseErr)
 		case c != nil && c.Response != nil && c.Response.MaxTokens != nil && *c.Response.MaxTokens < 0:
 			t.Fatalf("%q: %d tokens", in, *c.Response.MaxTokens)
 		}
--- a/internal/ws/conn.go
+++ b/internal/ws/conn.go
@@ -13,67 +13,67 @@
 	"unicode/utf8"
 )
 
-// Limits bound a connection.
+// Limits are the size limits and timeouts of a connection.
 type Limits struct {
-	Message int           // bytes of a message
-	Pending int           // bytes that may wait to be sent; four messages more, and the connection is cut
-	Idle    time.Duration // without a frame: a ping; as long again: the end
-	Frame   time.Duration // a frame that has begun must be whole by then
-	Write   time.Duration // a write to the peer takes no longer
-	Linger  time.Duration // how long the peer's answer to a close is waited for
+	Message int           // maximum bytes of a message
+	Pending int           // bytes that may be queued for sending; beyond it by four messages, the connection is closed
+	Idle    time.Duration // after this time without a frame a ping is sent; after as long again the connection is closed
+	Frame   time.Duration // to receive a whole frame, from its first byte
+	Write   time.Duration // to write the queued bytes
+	Linger  time.Duration // to wait for the peer's close frame
 }
 
-// DefaultLimits suit sessions of a person's length.
+// DefaultLimits suits interactive sessions.
 func DefaultLimits() Limits {
 	return Limits{Message: 1 << 20, Pending: 256 << 10, Idle: 30 * time.Second,
 		Frame: 20 * time.Second, Write: 10 * time.Second, Linger: time.Second}
 }
 
-// ErrSlow tells that far more waits to be sent than may; the connection is cut.
-var ErrSlow = errors.New("websocket: the peer reads too slowly")
+// ErrSlowPeer is returned when the send queue exceeds its limit; the connection is closed.
+var ErrSlowPeer = errors.New("websocket: send queue is full: the peer reads too slowly")
 
-// Conn is one connection. One goroutine may read; Send and Close are for all.
+// Conn is a WebSocket connection. Only one goroutine may call Read; all other methods are safe for concurrent use.
 type Conn struct {
 	nc     net.Conn
 	br     *bufio.Reader
 	client bool
-	lim    Limits
+	limits Limits
 
-	mu       sync.Mutex
-	pending  []byte
-	spare    []byte
-	flushing bool
-	closing  bool // a close frame is sent or waits: nothing may follow it
-	err      error
-	flushed  *sync.Cond
+	mu          sync.Mutex
+	pending     []byte
+	spareBuf    []byte
+	flushing    bool
+	closeQueued bool // a close frame is sent or queued: no frame may follow it
+	err         error
+	flushed     *sync.Cond
 }
 
-// New returns a connection on which the handshake is done.
-func New(nc net.Conn, br *bufio.Reader, client bool, lim Limits) *Conn {
-	c := &Conn{nc: nc, br: br, client: client, lim: lim}
+// New returns a connection after the opening handshake. client says which side this is: clients mask their frames.
+func New(nc net.Conn, br *bufio.Reader, client bool, limits Limits) *Conn {
+	c := &Conn{nc: nc, br: br, client: client, limits: limits}
 	c.flushed = sync.NewCond(&c.mu)
 	return c
 }
 
-// RemoteAddr is the peer's address.
+// RemoteAddr returns the peer's address.
 func (c *Conn) RemoteAddr() string { return c.nc.RemoteAddr().String() }
 
-// Read returns the next whole message. It answers pings and closes by itself.
-// Its error is a *CloseError where a close frame was sent or received.
+// Read returns the next message, joined from its fragments. It answers ping and close frames itself. The error is a
+// *CloseError if a close frame was sent or received.
 func (c *Conn) Read() (op byte, msg []byte, err error) {
-	op, msg, err = c.read()
+	op, msg, err = c.readMessage()
 	var ce *CloseError
 	if err == nil {
 		return op, msg, nil
 	}
 	if errors.As(err, &ce) {
-		c.finish(ce)
+		c.finishClose(ce)
 	}
 	c.Cut()
 	return 0, nil, err
 }
 
-func (c *Conn) read() (byte, []byte, error) {
+func (c *Conn) readMessage() (byte, []byte, error) {
 	var op byte
 	var msg []byte
 	for {
@@ -81,83 +81,84 @@
 		if err != nil {
 			return 0, nil, err
 		}
-		if h.control() {
-			if err := c.control(h); err != nil {
+		if h.isControl() {
+			if err := c.handleControl(h); err != nil {
 				return 0, nil, err
 			}
 			continue
 		}
-		if (h.op == opCont) != (op != 0) {
-			return 0, nil, fault(CloseProtocol, "fragment out of order")
+		if (h.op == opContinuation) != (op != 0) {
+			return 0, nil, newCloseError(CloseProtocol, "fragment out of order")
 		}
 		if op == 0 {
 			op = h.op
 		}
-		if h.length > uint64(c.lim.Message-len(msg)) {
-			return 0, nil, fault(CloseTooBig, "message too big")
+		if h.length > uint64(c.limits.Message-len(msg)) {
+			return 0, nil, newCloseError(CloseTooBig, "message too big")
 		}
-		if msg, err = c.payload(h, msg); err != nil {
+		if msg, err = c.readPayload(h, msg); err != nil {
 			return 0, nil, err
 		}
 		if h.fin {
 			if op == OpText && !utf8.Valid(msg) {
-				return 0, nil, fault(CloseBadData, "text is not UTF-8")
+				return 0, nil, newCloseError(CloseBadData, "text is not UTF-8")
 			}
 			return op, msg, nil
 		}
 	}
 }
 
-// nextHeader waits for a frame. A quiet peer is pinged once; one that stays quiet is let go.
-func (c *Conn) nextHeader() (header, error) {
+// nextHeader waits for a frame and reads its header. An idle peer is pinged once; if it stays idle, the connection is
+// closed.
+func (c *Conn) nextHeader() (frameHeader, error) {
 	for pinged := false; ; pinged = true {
-		c.nc.SetReadDeadline(deadline(c.lim.Idle))
+		c.nc.SetReadDeadline(deadlineIn(c.limits.Idle))
 		_, err := c.br.Peek(1)
 		if err == nil {
 			break
 		}
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
-			return header{}, err
+			return frameHeader{}, err
 		}
 		if pinged {
-			return header{}, fault(CloseGoingAway, "idle")
+			return frameHeader{}, newCloseError(CloseGoingAway, "idle")
 		}
 		if err := c.sendControl(opPing, nil); err != nil {
-			return header{}, err
+			return frameHeader{}, err
 		}
 	}
-	c.nc.SetReadDeadline(deadline(c.lim.Frame))
-	return readHeader(c.br, c.client)
+	c.nc.SetReadDeadline(deadlineIn(c.limits.Frame))
+	return readFrameHeader(c.br, c.client)
 }
 
-func deadline(d time.Duration) time.Time {
+func deadlineIn(d time.Duration) time.Time {
 	if d <= 0 {
 		return time.Time{}
 	}
 	return time.Now().Add(d)
 }
 
-// payload appends a frame's payload. The buffer grows with what arrives, not with what is announced.
-func (c *Conn) payload(h header, msg []byte) ([]byte, error) {
+// readPayload appends a frame's payload to msg. The buffer grows with the bytes received, not with the announced length.
+func (c *Conn) readPayload(h frameHeader, msg []byte) ([]byte, error) {
 	const step = 16 << 10
-	left, offset := int(h.length), 0
-	for left > 0 {
-		n := min(left, step)
-		at := len(msg)
+	remaining, offset := int(h.length), 0
+	for remaining > 0 {
+		n := min(remaining, step)
+		start := len(msg)
 		msg = append(msg, make([]byte, n)...)
-		if _, err := io.ReadFull(c.br, msg[at:]); err != nil {
+		if _, err := io.ReadFull(c.br, msg[start:]); err != nil {
 			return nil, err
 		}
 		if h.masked {
-			unmask(msg[at:], h.mask, offset)
+			applyMask(msg[start:], h.mask, offset)
 		}
-		left, offset = left-n, offset+n
+		remaining, offset = remaining-n, offset+n
 	}
 	return msg, nil
 }
 
-func (c *Conn) control(h header) error {
-	payload, err := c.payload(h, nil)
+func (c *Conn) handleControl(h frameHeader) error {
+	payload, err := c.readPayload(h, nil)
 	if err != nil {
 		return err
 	}
@@ -165,31 +166,31 @@
 	case opPing:
 		return c.sendControl(opPong, payload)
 	case opClose:
-		return closeOf(payload)
+		return parseClose(payload)
 	}
 	return nil
 }
 
-// closeOf reads a close frame's payload (RFC 6455, 5.5.1).
-func closeOf(p []byte) error {
+// parseClose parses the payload of a close frame (RFC 6455, section 5.5.1) and returns it as an error.
+func parseClose(p []byte) error {
 	if len(p) == 0 {
 		return &CloseError{Code: CloseNoStatus, Remote: true}
 	}
 	if len(p) == 1 {
-		return fault(CloseProtocol, "close frame of one byte")
+		return newCloseError(CloseProtocol, "close frame of one byte")
 	}
 	code := int(binary.BigEndian.Uint16(p))
-	if !validCode(code) {
-		return fault(CloseProtocol, "close code not allowed")
+	if !validCloseCode(code) {
+		return newCloseError(CloseProtocol, "close code not allowed")
 	}
 	if !utf8.Valid(p[2:]) {
-		return fault(CloseBadData, "close reason is not UTF-8")
+		return newCloseError(CloseBadData, "close reason is not UTF-8")
 	}
 	return &CloseError{Code: code, Reason: string(p[2:]), Remote: true}
 }
 
-// finish sends the close frame that an error calls for, and lets it out before the connection is cut.
-func (c *Conn) finish(ce *CloseError) {
+// finishClose sends the close frame for an error, or the answer to the peer's, and waits until it is written.
+func (c *Conn) finishClose(ce *CloseError) {
 	code := ce.Code
 	if code == CloseNoStatus {
 		code = CloseNormal
@@ -200,50 +201,48 @@
 		c.flushed.Wait()
 	}
 	c.mu.Unlock()
-	if half, ok := c.nc.(interface{ CloseWrite() error }); ok && !ce.Remote { // TCP and TLS
-		// What the peer still sends is read for a moment: to close on unread bytes
-		// would reset the connection, and the close frame might be lost.
-		half.CloseWrite()
-		c.nc.SetReadDeadline(deadline(c.lim.Linger))
+	if halfCloser, ok := c.nc.(interface{ CloseWrite() error }); ok && !ce.Remote { // implemented by TCP and TLS
+		// Read on for a moment: closing with unread bytes would reset the connection, and the close frame could be lost.
+		halfCloser.CloseWrite()
+		c.nc.SetReadDeadline(deadlineIn(c.limits.Linger))
 		io.CopyN(io.Discard, c.br, 1<<20)
 	}
 }
 
-// Send queues a text message; it never waits for the peer.
-func (c *Conn) Send(msg []byte) error { return c.queue(OpText, msg) }
+// Send queues a text message. It doesn't block on the peer.
+func (c *Conn) Send(msg []byte) error { return c.enqueue(OpText, msg) }
 
-// Room waits while over half of what may wait to be sent does, so that a quick
-// source goes at its reader's pace. A peer that reads nothing ends the wait with
-// the time that a write may take.
-func (c *Conn) Room() {
+// WaitCapacity blocks while more than half of Limits.Pending is queued, so that a fast sender is slowed to the pace of
+// the peer. If the peer reads nothing, the write timeout ends the wait.
+func (c *Conn) WaitCapacity() {
 	c.mu.Lock()
-	for c.err == nil && c.flushing && len(c.pending) > c.lim.Pending/2 {
+	for c.err == nil && c.flushing && len(c.pending) > c.limits.Pending/2 {
 		c.flushed.Wait()
 	}
 	c.mu.Unlock()
 }
 
 // SendBinary queues a binary message.
-func (c *Conn) SendBinary(msg []byte) error { return c.queue(OpBin, msg) }
+func (c *Conn) SendBinary(msg []byte) error { return c.enqueue(OpBin, msg) }
 
-func (c *Conn) sendControl(op byte, payload []byte) error { return c.queue(op, payload) }
+func (c *Conn) sendControl(op byte, payload []byte) error { return c.enqueue(op, payload) }
 
-// Close starts the closing handshake: a close frame, and the peer's answer ends Read.
+// Close starts the closing handshake with a close frame. The peer's close frame ends Read.
 func (c *Conn) Close(code int, reason string) {
 	c.sendClose(code, reason)
-	// The reader waits for the answer within Linger; a peer that never answers is cut.
-	time.AfterFunc(max(c.lim.Linger, time.Millisecond), c.Cut)
+	// If the peer does not answer within Linger, the connection is closed.
+	time.AfterFunc(max(c.limits.Linger, time.Millisecond), c.Cut)
 }
 
 func (c *Conn) sendClose(code int, reason string) {
 	p := binary.BigEndian.AppendUint16(nil, uint16(code))
-	for len(reason) > maxControl-2 || !utf8.ValidString(reason) {
+	for len(reason) > maxControlPayload-2 || !utf8.ValidString(reason) {
 		reason = reason[:len(reason)-1]
 	}
-	c.queue(opClose, append(p, reason...))
+	c.enqueue(opClose, append(p, reason...))
 }
 
-// Cut ends the connection at once.
+// Cut closes the connection at once, without a closing handshake.
 func (c *Conn) Cut() {
 	c.mu.Lock()
 	if c.err == nil {
@@ -254,7 +253,7 @@
 	c.nc.Close()
 }
 
-func (c *Conn) queue(op byte, payload []byte) error {
+func (c *Conn) enqueue(op byte, payload []byte) error {
 	var mask *[4]byte
 	if c.client {
 		var m [4]byte
@@ -266,16 +265,16 @@
 	if c.err != nil {
 		return c.err
 	}
-	if c.closing {
+	if c.closeQueued {
 		return net.ErrClosed
 	}
-	if len(c.pending)+len(payload) > c.lim.Pending+4*c.lim.Message {
-		c.err = ErrSlow
+	if len(c.pending)+len(payload) > c.limits.Pending+4*c.limits.Message {
+		c.err = ErrSlowPeer
 		c.flushed.Broadcast()
-		c.nc.Close() // no close frame would pass the jam
-		return ErrSlow
+		c.nc.Close() // a close frame could not be sent either
+		return ErrSlowPeer
 	}
-	c.closing = op == opClose
+	c.closeQueued = op == opClose
 	c.pending = appendFrame(c.pending, op, payload, mask)
 	if !c.flushing {
 		c.flushing = true
@@ -284,21 +283,21 @@
 	return nil
 }
 
-const keepBuffer = 4 << 10 // larger send buffers are not kept on idle connections
+const maxIdleBuffer = 4 << 10 // bytes; larger send buffers are not kept on idle connections
 
-// flush writes what waits until nothing does.
+// flush writes queued bytes until the queue is empty.
 func (c *Conn) flush() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for len(c.pending) > 0 && c.err == nil {
 		out := c.pending
-		c.pending, c.spare = c.spare[:0], nil
+		c.pending, c.spareBuf = c.spareBuf[:0], nil
 		c.mu.Unlock()
-		c.nc.SetWriteDeadline(deadline(c.lim.Write))
+		c.nc.SetWriteDeadline(deadlineIn(c.limits.Write))
 		_, err := c.nc.Write(out)
 		c.mu.Lock()
-		if cap(out) <= keepBuffer {
-			c.spare = out
+		if cap(out) <= maxIdleBuffer {
+			c.spareBuf = out
 		}
 		if err != nil && c.err == nil {
 			c.err = err
@@ -306,7 +305,7 @@
 		}
 		c.flushed.Broadcast()
 	}
-	if cap(c.pending) > keepBuffer {
+	if cap(c.pending) > maxIdleBuffer {
 		c.pending = nil
 	}
 	c.flushing = false
--- a/internal/ws/frame.go
+++ b/internal/ws/frame.go
@@ -1,6 +1,6 @@
-// Package ws speaks WebSocket (RFC 6455) on a net.Conn: one goroutine reads a
-// connection, anyone may send, and what is to be sent waits in a bounded buffer
-// that a short-lived goroutine empties. An idle connection costs one goroutine.
+// Package ws implements WebSocket (RFC 6455) on a net.Conn, for clients and servers. One goroutine reads a connection;
+// any goroutine may send. Frames to be sent are queued in a bounded buffer that a short-lived goroutine writes, so that
+// an idle connection costs one goroutine.
 package ws
 
 import (
@@ -10,17 +10,17 @@
 	"io"
 )
 
-// Opcodes of frames (RFC 6455, 5.2).
+// Opcodes of frames (RFC 6455, section 5.2).
 const (
-	opCont  = 0x0
-	OpText  = 0x1
-	OpBin   = 0x2
-	opClose = 0x8
-	opPing  = 0x9
-	opPong  = 0xA
+	opContinuation = 0x0
+	OpText         = 0x1
+	OpBin          = 0x2
+	opClose        = 0x8
+	opPing         = 0x9
+	opPong         = 0xA
 )
 
-// Close codes (RFC 6455, 7.4.1).
+// Close codes (RFC 6455, section 7.4.1).
 const (
 	CloseNormal      = 1000
 	CloseGoingAway   = 1001
@@ -34,9 +34,9 @@
 	CloseInternal    = 1011
 )
 
-const maxControl = 125 // bytes of a control frame's payload
+const maxControlPayload = 125 // bytes (RFC 6455, section 5.5)
 
-// CloseError tells with which code a connection ended; Remote, that the peer began it.
+// CloseError is the close frame that ended a connection. Remote says that the peer sent it.
 type CloseError struct {
 	Code   int
 	Reason string
@@ -47,10 +47,10 @@
 	return fmt.Sprintf("websocket closed: %d %s", e.Code, e.Reason)
 }
 
-func fault(code int, reason string) error { return &CloseError{Code: code, Reason: reason} }
+func newCloseError(code int, reason string) error { return &CloseError{Code: code, Reason: reason} }
 
-// header is a frame's head.
-type header struct {
+// frameHeader is the header of a frame.
+type frameHeader struct {
 	fin    bool
 	op     byte
 	masked bool
@@ -58,26 +58,27 @@
 	length uint64
 }
 
-func (h header) control() bool { return h.op >= opClose }
+func (h frameHeader) isControl() bool { return h.op >= opClose }
 
-// readHeader reads and checks a frame's head; client tells which side reads.
-func readHeader(r *bufio.Reader, client bool) (header, error) {
+// readFrameHeader reads and checks the header of a frame. client says which side reads: only frames from clients are
+// masked.
+func readFrameHeader(r *bufio.Reader, client bool) (frameHeader, error) {
 	var b [8]byte
 	if _, err := io.ReadFull(r, b[:2]); err != nil {
-		return header{}, err
+		return frameHeader{}, err
 	}
-	h := header{fin: b[0]&0x80 != 0, op: b[0] & 0x0f, masked: b[1]&0x80 != 0, length: uint64(b[1] & 0x7f)}
+	h := frameHeader{fin: b[0]&0x80 != 0, op: b[0] & 0x0f, masked: b[1]&0x80 != 0, length: uint64(b[1] & 0x7f)}
 	switch {
 	case b[0]&0x70 != 0:
-		return h, fault(CloseProtocol, "reserved bits without an extension")
+		return h, newCloseError(CloseProtocol, "reserved bits without an extension")
 	case h.op > OpBin && h.op < opClose || h.op > opPong:
-		return h, fault(CloseProtocol, "unknown opcode")
-	case h.control() && (!h.fin || h.length > maxControl):
-		return h, fault(CloseProtocol, "control frame too long or fragmented")
+		return h, newCloseError(CloseProtocol, "unknown opcode")
+	case h.isControl() && (!h.fin || h.length > maxControlPayload):
+		return h, newCloseError(CloseProtocol, "control frame too long or fragmented")
 	case h.masked == client:
-		return h, fault(CloseProtocol, "wrong masking")
+		return h, newCloseError(CloseProtocol, "wrong masking")
 	}
-	if err := h.readLength(r, b[:]); err != nil {
+	if err := h.readExtendedLength(r, b[:]); err != nil {
 		return h, err
 	}
 	if h.masked {
@@ -88,7 +89,7 @@
 	return h, nil
 }
 
-func (h *header) readLength(r *bufio.Reader, b []byte) error {
+func (h *frameHeader) readExtendedLength(r *bufio.Reader, b []byte) error {
 	switch h.length {
 	case 126:
 		if _, err := io.ReadFull(r, b[:2]); err != nil {
@@ -96,7 +97,7 @@
 		}
 		h.length = uint64(binary.BigEndian.Uint16(b))
 		if h.length < 126 {
-			return fault(CloseProtocol, "length not in its shortest form")
+			return newCloseError(CloseProtocol, "length not in its shortest form")
 		}
 	case 127:
 		if _, err := io.ReadFull(r, b[:8]); err != nil {
@@ -104,18 +105,18 @@
 		}
 		h.length = binary.BigEndian.Uint64(b)
 		if h.length>>63 != 0 || h.length < 1<<16 {
-			return fault(CloseProtocol, "length not in its shortest form")
+			return newCloseError(CloseProtocol, "length not in its shortest form")
 		}
 	}
 	return nil
 }
 
-// appendFrame appends a whole frame; a nil mask sends it plain.
+// appendFrame appends an unfragmented frame; with a nil mask it is not masked.
 func appendFrame(dst []byte, op byte, payload []byte, mask *[4]byte) []byte {
-	return appendPayload(appendHead(dst, 0x80|op, len(payload), mask), payload, mask)
+	return appendPayload(appendFrameHeader(dst, 0x80|op, len(payload), mask), payload, mask)
 }
 
-func appendHead(dst []byte, first byte, length int, mask *[4]byte) []byte {
+func appendFrameHeader(dst []byte, first byte, length int, mask *[4]byte) []byte {
 	bit := byte(0)
 	if mask != nil {
 		bit = 0x80
@@ -139,20 +140,20 @@
 	at := len(dst)
 	dst = append(dst, payload...)
 	if mask != nil {
-		unmask(dst[at:], *mask, 0)
+		applyMask(dst[at:], *mask, 0)
 	}
 	return dst
 }
 
-// unmask applies a mask to bytes that start at an offset in the payload.
-func unmask(p []byte, mask [4]byte, offset int) {
+// applyMask masks or unmasks bytes that start at an offset of the payload.
+func applyMask(p []byte, mask [4]byte, offset int) {
 	for i := range p {
 		p[i] ^= mask[(offset+i)&3]
 	}
 }
 
-// validCode tells whether a peer may send a close code.
-func validCode(code int) bool {
+// validCloseCode reports whether a close code is allowed in a close frame.
+func validCloseCode(code int) bool {
 	return code >= 1000 && code <= 1014 && code != 1004 && code != CloseNoStatus && code != CloseAbnormal ||
 		code >= 3000 && code <= 4999
 }
--- a/internal/ws/handshake.go
+++ b/internal/ws/handshake.go
@@ -14,9 +14,9 @@
 	"gannethook/internal/http1"
 )
 
-const acceptGUID = "258EAFA5-E914-47DA-95CA-C5AB0DC85B11" // RFC 6455, 1.3
+const acceptGUID = "258EAFA5-E914-47DA-95CA-C5AB0DC85B11" // RFC 6455, section 1.3
 
-// HandshakeError tells why an opening handshake was refused, with the status to answer it with.
+// HandshakeError says why an opening handshake was refused. Status is the status of the HTTP response.
 type HandshakeError struct {
 	Status int
 	Msg    string
@@ -24,16 +24,16 @@
 
 func (e *HandshakeError) Error() string { return "websocket handshake: " + e.Msg }
 
-func accept(key string) string {
+func acceptKey(key string) string {
 	sum := sha1.Sum([]byte(key + acceptGUID))
 	return base64.StdEncoding.EncodeToString(sum[:])
 }
 
-// Upgrade checks an opening handshake (RFC 6455, 4.2) and writes the answer, a
-// refusal included. protocol is chosen if the client offers it. Extensions
-// (permessage-deflate among them) are declined by not naming them.
+// Upgrade checks an opening handshake (RFC 6455, section 4.2) and writes the response, also if it refuses it. protocol
+// is selected as subprotocol if the client offers it. Extensions such as permessage-deflate are declined by not naming
+// them in the response.
 func Upgrade(w *bufio.Writer, req *http1.Request, protocol string) error {
-	if err := check(req); err != nil {
+	if err := checkUpgrade(req); err != nil {
 		h := http1.Header{{Name: "Content-Length", Value: "0"}, {Name: "Connection", Value: "close"}}
 		if err.Status == 426 {
 			h = append(h, http1.Field{Name: "Sec-WebSocket-Version", Value: "13"},
@@ -44,7 +44,7 @@
 		return err
 	}
 	h := http1.Header{{Name: "Upgrade", Value: "websocket"}, {Name: "Connection", Value: "Upgrade"},
-		{Name: "Sec-WebSocket-Accept", Value: accept(req.Header.Get("Sec-WebSocket-Key"))}}
+		{Name: "Sec-WebSocket-Accept", Value: acceptKey(req.Header.Get("Sec-WebSocket-Key"))}}
 	if protocol != "" && req.Header.Has("Sec-WebSocket-Protocol", protocol) {
 		h = append(h, http1.Field{Name: "Sec-WebSocket-Protocol", Value: protocol})
 	}
@@ -52,7 +52,7 @@
 	return w.Flush()
 }
 
-func check(req *http1.Request) *HandshakeError {
+func checkUpgrade(req *http1.Request) *HandshakeError {
 	key, err := base64.StdEncoding.DecodeString(req.Header.Get("Sec-WebSocket-Key"))
 	switch {
 	case req.Method != "GET":
@@ -69,15 +69,15 @@
 	return nil
 }
 
-// Dial opens a connection to a host and port. An answer other than 101 is a *HandshakeError.
-func Dial(ctx context.Context, addr, path, protocol string, lim Limits) (*Conn, error) {
+// Dial opens a connection to a host and port. A response with a status other than 101 is a *HandshakeError.
+func Dial(ctx context.Context, addr, path, protocol string, limits Limits) (*Conn, error) {
 	var d net.Dialer
 	nc, err := d.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return nil, err
 	}
 	stop := context.AfterFunc(ctx, func() { nc.Close() })
-	br, err := shake(nc, addr, path, protocol)
+	br, err := clientHandshake(nc, addr, path, protocol)
 	if !stop() && err == nil {
 		err = ctx.Err()
 	}
@@ -85,10 +85,10 @@
 		nc.Close()
 		return nil, err
 	}
-	return New(nc, br, true, lim), nil
+	return New(nc, br, true, limits), nil
 }
 
-func shake(nc net.Conn, addr, path, protocol string) (*bufio.Reader, error) {
+func clientHandshake(nc net.Conn, addr, path, protocol string) (*bufio.Reader, error) {
 	var nonce [16]byte
 	rand.Read(nonce[:])
 	key := base64.StdEncoding.EncodeToString(nonce[:])
@@ -110,8 +110,8 @@
 		return nil, err
 	case res.Status != 101:
 		return nil, &HandshakeError{res.Status, strings.TrimSpace(res.Reason)}
-	case res.Header.Get("Sec-WebSocket-Accept") != accept(key):
-		return nil, errors.New("websocket handshake: the answer does not fit the key")
+	case res.Header.Get("Sec-WebSocket-Accept") != acceptKey(key):
+		return nil, errors.New("websocket handshake: Sec-WebSocket-Accept does not match the key")
 	}
 	return br, nil
 }
--- a/internal/ws/ws_test.go
+++ b/internal/ws/ws_test.go
@@ -25,17 +25,17 @@
 
 // frame builds a client's frame byte by byte, right or wrong.
 func frame(first byte, payload []byte) []byte {
-	return appendPayload(appendHead(nil, first, len(payload), &testMask), payload, &testMask)
+	return appendPayload(appendFrameHeader(nil, first, len(payload), &testMask), payload, &testMask)
 }
 
 func closeFrame(code int, reason string) []byte {
 	return frame(0x88, append(binary.BigEndian.AppendUint16(nil, uint16(code)), reason...))
 }
 
-func join(parts ...[]byte) []byte { return bytes.Join(parts, nil) }
+func concat(parts ...[]byte) []byte { return bytes.Join(parts, nil) }
 
-// pair is a connected pair of TCP ends; closed when the test ends.
-func pair(t testing.TB) (client, server net.Conn) {
+// tcpPair is a connected pair of TCP ends; closed when the test ends.
+func tcpPair(t testing.TB) (client, server net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -77,19 +77,19 @@
 	}
 }
 
-// reply is what came back: messages, pongs, and the code of the close.
-type reply struct {
+// received is what came back: messages, pongs, and the code of the close.
+type received struct {
 	text, pongs []string
 	code        int // 0: the connection ended without a close frame
 }
 
-func readReply(t *testing.T, nc net.Conn) reply {
+func readReceived(t *testing.T, nc net.Conn) received {
 	t.Helper()
 	nc.SetReadDeadline(time.Now().Add(5 * time.Second))
 	br := bufio.NewReader(nc)
-	var r reply
+	var r received
 	for {
-		h, err := readHeader(br, true)
+		h, err := readFrameHeader(br, true)
 		if err != nil {
 			return r
 		}
@@ -133,21 +133,21 @@
 		pongs []string
 		code  int
 	}{
-		{"empty text", join(frame(0x81, nil), normal), []string{""}, nil, 1000},
-		{"text of 125", join(frame(0x81, []byte(long[:125])), normal), []string{long[:125]}, nil, 1000},
-		{"text of 126", join(frame(0x81, []byte(long[:126])), normal), []string{long[:126]}, nil, 1000},
-		{"text of 65535", join(frame(0x81, []byte(long[:65535])), normal), []string{long[:65535]}, nil, 1000},
-		{"text of 65536", join(frame(0x81, []byte(long[:65536])), normal), []string{long[:65536]}, nil, 1000},
-		{"binary", join(frame(0x82, []byte{0, 255, 1}), normal), []string{"\x00\xff\x01"}, nil, 1000},
-		{"two messages", join(frame(0x81, []byte("a")), frame(0x81, []byte("b")), normal), []string{"a", "b"}, nil, 1000},
-		{"fragments", join(frame(0x01, []byte("a")), frame(0x00, []byte("b")), frame(0x80, []byte("c")), normal), []string{"abc"}, nil, 1000},
-		{"empty fragments", join(frame(0x01, nil), frame(0x00, nil), frame(0x80, nil), normal), []string{""}, nil, 1000},
-		{"ping between fragments", join(frame(0x01, []byte("a")), frame(0x89, []byte("p")), frame(0x80, []byte("b")), normal), []string{"ab"}, []string{"p"}, 1000},
-		{"character over fragments", join(frame(0x01, []byte("\xce")), frame(0x80, []byte("\xba")), normal), []string{"κ"}, nil, 1000},
-		{"ping", join(frame(0x89, []byte("hi")), normal), nil, []string{"hi"}, 1000},
-		{"empty ping", join(frame(0x89, nil), normal), nil, []string{""}, 1000},
-		{"ping of 125", join(frame(0x89, []byte(long[:125])), normal), nil, []string{long[:125]}, 1000},
-		{"unasked pong", join(frame(0x8a, []byte("x")), normal), nil, nil, 1000},
+		{"empty text", concat(frame(0x81, nil), normal), []string{""}, nil, 1000},
+		{"text of 125", concat(frame(0x81, []byte(long[:125])), normal), []string{long[:125]}, nil, 1000},
+		{"text of 126", concat(frame(0x81, []byte(long[:126])), normal), []string{long[:126]}, nil, 1000},
+		{"text of 65535", concat(frame(0x81, []byte(long[:65535])), normal), []string{long[:65535]}, nil, 1000},
+		{"text of 65536", concat(frame(0x81, []byte(long[:65536])), normal), []string{long[:65536]}, nil, 1000},
+		{"binary", concat(frame(0x82, []byte{0, 255, 1}), normal), []string{"\x00\xff\x01"}, nil, 1000},
+		{"two messages", concat(frame(0x81, []byte("a")), frame(0x81, []byte("b")), normal), []string{"a", "b"}, nil, 1000},
+		{"fragments", concat(frame(0x01, []byte("a")), frame(0x00, []byte("b")), frame(0x80, []byte("c")), normal), []string{"abc"}, nil, 1000},
+		{"empty fragments", concat(frame(0x01, nil), frame(0x00, nil), frame(0x80, nil), normal), []string{""}, nil, 1000},
+		{"ping between fragments", concat(frame(0x01, []byte("a")), frame(0x89, []byte("p")), frame(0x80, []byte("b")), normal), []string{"ab"}, []string{"p"}, 1000},
+		{"character over fragments", concat(frame(0x01, []byte("\xce")), frame(0x80, []byte("\xba")), normal), []string{"κ"}, nil, 1000},
+		{"ping", concat(frame(0x89, []byte("hi")), normal), nil, []string{"hi"}, 1000},
+		{"empty ping", concat(frame(0x89, nil), normal), nil, []string{""}, 1000},
+		{"ping of 125", concat(frame(0x89, []byte(long[:125])), normal), nil, []string{long[:125]}, 1000},
+		{"unasked pong", concat(frame(0x8a, []byte("x")), normal), nil, nil, 1000},
 		{"ping of 126", frame(0x89, []byte(long[:126])), nil, nil, 1002},
 		{"fragmented ping", frame(0x09, nil), nil, nil, 1002},
 		{"first bit reserved", frame(0xc1, nil), nil, nil, 1002},
@@ -158,19 +158,19 @@
 		{"opcode 11", frame(0x8b, nil), nil, nil, 1002},
 		{"opcode 15", frame(0x8f, nil), nil, nil, 1002},
 		{"continues nothing", frame(0x80, []byte("x")), nil, nil, 1002},
-		{"text inside a message", join(frame(0x01, []byte("a")), frame(0x81, []byte("b"))), nil, nil, 1002},
+		{"text inside a message", concat(frame(0x01, []byte("a")), frame(0x81, []byte("b"))), nil, nil, 1002},
 		{"not masked", []byte{0x81, 1, 'x'}, nil, nil, 1002},
 		{"length 125 in 16 bits", []byte{0x81, 0xfe, 0, 125}, nil, nil, 1002},
 		{"length 65535 in 64 bits", []byte{0x81, 0xff, 0, 0, 0, 0, 0, 0, 0xff, 0xff}, nil, nil, 1002},
 		{"length with the top bit", []byte{0x81, 0xff, 0x80, 0, 0, 0, 0, 0, 0, 0}, nil, nil, 1002},
 		{"frame of 1 GB announced", []byte{0x81, 0xff, 0, 0, 0, 0, 0x40, 0, 0, 0, 1, 2, 3, 4}, nil, nil, 1009},
-		{"fragments beyond the bound", join(frame(0x01, make([]byte, 60000)), frame(0x00, make([]byte, 60000))), nil, nil, 1009},
+		{"fragments beyond the bound", concat(frame(0x01, make([]byte, 60000)), frame(0x00, make([]byte, 60000))), nil, nil, 1009},
 		{"bad UTF-8", frame(0x81, []byte("\xce\xba\xe1\xbd\xb9\xcf\x83\xed\xa0\x80")), nil, nil, 1007},
 		{"cut UTF-8", frame(0x81, []byte("\xf0\x90")), nil, nil, 1007},
 		{"overlong UTF-8", frame(0x81, []byte("\xc0\xaf")), nil, nil, 1007},
 		{"beyond Unicode", frame(0x81, []byte("\xf4\x90\x80\x80")), nil, nil, 1007},
-		{"bad UTF-8 over fragments", join(frame(0x01, []byte("\xce")), frame(0x80, []byte("\xce"))), nil, nil, 1007},
-		{"bad UTF-8 in binary", join(frame(0x82, []byte("\xff")), normal), []string{"\xff"}, nil, 1000},
+		{"bad UTF-8 over fragments", concat(frame(0x01, []byte("\xce")), frame(0x80, []byte("\xce"))), nil, nil, 1007},
+		{"bad UTF-8 in binary", concat(frame(0x82, []byte("\xff")), normal), []string{"\xff"}, nil, 1000},
 		{"close without code", frame(0x88, nil), nil, nil, 1000},
 		{"close 1001", closeFrame(1001, "bye"), nil, nil, 1001},
 		{"close 3000", closeFrame(3000, ""), nil, nil, 3000},
@@ -183,18 +183,18 @@
 		{"close 2999", closeFrame(2999, ""), nil, nil, 1002},
 		{"close 5000", closeFrame(5000, ""), nil, nil, 1002},
 		{"close reason not UTF-8", closeFrame(1000, "\xff"), nil, nil, 1007},
-		{"text after close", join(normal, frame(0x81, []byte("late"))), nil, nil, 1000},
-		{"ping after close", join(normal, frame(0x89, []byte("late"))), nil, nil, 1000},
+		{"text after close", concat(normal, frame(0x81, []byte("late"))), nil, nil, 1000},
+		{"ping after close", concat(normal, frame(0x89, []byte("late"))), nil, nil, 1000},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			client, server := pair(t)
+			client, server := tcpPair(t)
 			lim := testLimits()
 			lim.Message = 100000
 			done := make(chan error, 1)
 			go func() { done <- echo(server, lim) }()
 			client.Write(c.send)
-			got := readReply(t, client)
+			got := readReceived(t, client)
 			var ce *CloseError
 			if err := <-done; !errors.As(err, &ce) {
 				t.Errorf("Read ended with %v, not a close", err)
@@ -214,13 +214,13 @@
 
 // Chops must not matter: every frame arrives byte by byte.
 func TestByteByByte(t *testing.T) {
-	client, server := pair(t)
+	client, server := tcpPair(t)
 	done := make(chan error, 1)
 	go func() { done <- echo(server, testLimits()) }()
-	for _, b := range join(frame(0x01, []byte("a")), frame(0x89, []byte("p")), frame(0x80, []byte("b")), closeFrame(1000, "")) {
+	for _, b := range concat(frame(0x01, []byte("a")), frame(0x89, []byte("p")), frame(0x80, []byte("b")), closeFrame(1000, "")) {
 		client.Write([]byte{b})
 	}
-	got := readReply(t, client)
+	got := readReceived(t, client)
 	if err := <-done; len(got.text) != 1 || got.text[0] != "ab" || len(got.pongs) != 1 || got.code != 1000 {
 		t.Fatalf("got %+v, %v", got, err)
 	}
@@ -228,7 +228,7 @@
 
 // A client that never reads must not hold its sender up: it is cut at the bound.
 func TestSlowReaderIsCut(t *testing.T) {
-	_, server := pair(t)
+	_, server := tcpPair(t)
 	lim := testLimits()
 	lim.Pending, lim.Message = 64<<10, 64<<10
 	c := New(server, bufio.NewReader(server), false, lim)
@@ -239,7 +239,7 @@
 		if took := time.Since(from); took > time.Second {
 			t.Fatalf("Send waited %v", took)
 		}
-		if errors.Is(err, ErrSlow) {
+		if errors.Is(err, ErrSlowPeer) {
 			break
 		}
 		if err != nil || n > 10000 {
@@ -254,7 +254,7 @@
 
 // Nothing follows a close frame, whoever sends.
 func TestNothingAfterClose(t *testing.T) {
-	client, server := pair(t)
+	client, server := tcpPair(t)
 	c := New(server, bufio.NewReader(server), false, testLimits())
 	c.Send([]byte("before"))
 	c.Close(CloseGoingAway, "stop")
@@ -263,7 +263,7 @@
 	}
 	client.Write(closeFrame(CloseGoingAway, ""))
 	go c.Read()
-	if got := readReply(t, client); len(got.text) != 1 || got.code != CloseGoingAway {
+	if got := readReceived(t, client); len(got.text) != 1 || got.code != CloseGoingAway {
 		t.Errorf("%+v", got)
 	}
 }
@@ -278,20 +278,20 @@
 
 // A quiet peer is pinged, and let go when it stays quiet; one that answers stays.
 func TestIdle(t *testing.T) {
-	client, server := pair(t)
+	client, server := tcpPair(t)
 	lim := testLimits()
 	lim.Idle = 200 * time.Millisecond
 	done := make(chan error, 1)
 	go func() { done <- echo(server, lim) }()
 	br := bufio.NewReader(client)
 	for range 3 {
-		h, err := readHeader(br, true)
+		h, err := readFrameHeader(br, true)
 		if err != nil || h.op != opPing {
 			t.Fatalf("got %+v, %v; want a ping", h, err)
 		}
 		client.Write(frame(0x8a, nil))
 	}
-	got := readReply(t, client)
+	got := readReceived(t, client)
 	var ce *CloseError
 	if err := <-done; !errors.As(err, &ce) || got.code != CloseGoingAway {
 		t.Fatalf("closed with %d, %v", got.code, err)
@@ -300,7 +300,7 @@
 
 // A frame that drips may not hold the connection for good.
 func TestDrippingFrame(t *testing.T) {
-	client, server := pair(t)
+	client, server := tcpPair(t)
 	lim := testLimits()
 	lim.Frame = 30 * time.Millisecond
 	done := make(chan error, 1)
@@ -450,7 +450,7 @@
 
 // Whatever comes, Read ends, and what it gives fits the bounds.
 func FuzzRead(f *testing.F) {
-	f.Add(join(frame(0x01, []byte("a")), frame(0x80, []byte("b")), closeFrame(1000, "x")))
+	f.Add(concat(frame(0x01, []byte("a")), frame(0x80, []byte("b")), closeFrame(1000, "x")))
 	f.Add([]byte{0x81, 0xff, 0, 0, 0, 0, 0x40, 0, 0, 0})
 	f.Fuzz(func(t *testing.T, in []byte) {
 		client, server := net.Pipe()
@@ -475,7 +475,7 @@
 }
 
 func BenchmarkSend(b *testing.B) {
-	client, server := pair(b)
+	client, server := tcpPair(b)
 	go func() {
 		buf := make([]byte, 1<<20)
 		for {
