--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -22,14 +22,14 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// scriptedEngine is a scripted engine: it answers each request of a connection with the
-// next text; "CUT" ends the connection, "HANG" waits for the client to.
+// scriptedEngine is an engine that answers each request with the next of its responses, then repeats the last. "CUT" at
+// the end of a response closes the connection after it, "HANG" keeps it open until the client closes it.
 type scriptedEngine struct {
-	addr  string
-	conns atomic.Int32
-	mu    sync.Mutex
-	heads []*http1.Request
-	body  []string
+	addr     string
+	conns    atomic.Int32
+	mu       sync.Mutex
+	requests []*http1.Request
+	bodies   []string
 }
 
 func startScripted(t testing.TB, answers ...string) *scriptedEngine {
@@ -64,8 +64,8 @@
 		body, _ := http1.RequestBody(br, req.Header)
 		text, _ := io.ReadAll(body)
 		p.mu.Lock()
-		n := len(p.heads)
-		p.heads, p.body = append(p.heads, req), append(p.body, string(text))
+		n := len(p.requests)
+		p.requests, p.bodies = append(p.requests, req), append(p.bodies, string(text))
 		p.mu.Unlock()
 		answer := answers[min(n, len(answers)-1)]
 		cut, hang := strings.HasSuffix(answer, "CUT"), strings.HasSuffix(answer, "HANG")
@@ -79,7 +79,7 @@
 	}
 }
 
-func answer(status, headers, body string) string {
+func response(status, headers, body string) string {
 	return "HTTP/1.1 " + status + "\r\n" + headers + "Content-Length: " + itoa(len(body)) + "\r\n\r\n" + body
 }
 
@@ -90,7 +90,7 @@
 	return itoa(n/10) + itoa(n%10)
 }
 
-func stream(events ...string) string {
+func sseResponse(events ...string) string {
 	s := "HTTP/1.1 200 OK\r\nendpoint-load-metrics: TEXT mem_utilization=0.25\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for _, e := range events {
 		if e == "CUT" || e == "HANG" {
@@ -112,20 +112,20 @@
 
 const tokenEvent = `{"choices":[{"index":0,"text":" a"}]}`
 
-func limits() Limits {
+func testLimits() Limits {
 	l := DefaultLimits()
 	l.Dial, l.StreamIdle, l.Extension = 500*time.Millisecond, 300*time.Millisecond, 500*time.Millisecond
-	l.Spare = 0 // the tests count connections
+	l.Spare = 0 // no background dials, since the tests count connections
 	return l
 }
 
 func newClient(t testing.TB) *Client {
-	c := NewClient(limits())
+	c := NewClient(testLimits())
 	t.Cleanup(c.Close)
 	return c
 }
 
-// Each way in which an engine may answer maps to one outcome.
+// Each kind of answer or failure of an engine maps to one outcome.
 func TestOutcomes(t *testing.T) {
 	for _, c := range []struct {
 		name, answer string
@@ -134,40 +134,40 @@
 		noState      bool
 		tokens       int
 	}{
-		{"a read", answer("200 OK", "", `{"kv_transfer_params":{"remote_host":"h"}}`), false, gannethook.ReadDone, false, 0},
-		{"a read without params", answer("200 OK", "", `{"kv_transfer_params":null}`), false, gannethook.Failed, false, 0},
-		{"a read that is no JSON", answer("200 OK", "", `{`), false, gannethook.Failed, false, 0},
-		{"an answer", stream(tokenEvent, tokenEvent, `{"choices":[{"text":""}]}`, "[DONE]"), true, gannethook.Served, false, 2},
-		{"429", answer("429 Too Many", "", ""), true, gannethook.Full, false, 0},
-		{"503", answer("503 Unavailable", "", ""), true, gannethook.Full, false, 0},
-		{"no state", answer("409 Conflict", "", `{"error":{"code":"no_state"}}`), true, gannethook.Full, true, 0},
-		{"another conflict", answer("409 Conflict", "", `{"error":{"code":"x"}}`), true, gannethook.Failed, false, 0},
-		{"500", answer("500 Error", "", ""), true, gannethook.Failed, false, 0},
-		{"400", answer("400 Bad", "", ""), false, gannethook.Failed, false, 0},
-		{"interim answers are skipped", "HTTP/1.1 100 Continue\r\n\r\n" + stream(tokenEvent, "[DONE]"), true, gannethook.Served, false, 1},
+		{"a read", response("200 OK", "", `{"kv_transfer_params":{"remote_host":"h"}}`), false, gannethook.ReadDone, false, 0},
+		{"a read without params", response("200 OK", "", `{"kv_transfer_params":null}`), false, gannethook.Failed, false, 0},
+		{"a read that is no JSON", response("200 OK", "", `{`), false, gannethook.Failed, false, 0},
+		{"an answer", sseResponse(tokenEvent, tokenEvent, `{"choices":[{"text":""}]}`, "[DONE]"), true, gannethook.Served, false, 2},
+		{"429", response("429 Too Many", "", ""), true, gannethook.Full, false, 0},
+		{"503", response("503 Unavailable", "", ""), true, gannethook.Full, false, 0},
+		{"no state", response("409 Conflict", "", `{"error":{"code":"no_state"}}`), true, gannethook.Full, true, 0},
+		{"another conflict", response("409 Conflict", "", `{"error":{"code":"x"}}`), true, gannethook.Failed, false, 0},
+		{"500", response("500 Error", "", ""), true, gannethook.Failed, false, 0},
+		{"400", response("400 Bad", "", ""), false, gannethook.Failed, false, 0},
+		{"interim answers are skipped", "HTTP/1.1 100 Continue\r\n\r\n" + sseResponse(tokenEvent, "[DONE]"), true, gannethook.Served, false, 1},
 		{"closed without a word", "CUT", true, gannethook.Broken, false, 0},
 		{"closed in the head", "HTTP/1.1 200 OK\r\nA: CUT", true, gannethook.Broken, false, 0},
 		{"not HTTP", "hello\r\n\r\n", true, gannethook.Failed, false, 0},
 		{"a head too large", "HTTP/1.1 200 OK\r\nA: " + strings.Repeat("a", 9000) + "\r\n\r\n", true, gannethook.Failed, false, 0},
-		{"a half answer", stream(tokenEvent, tokenEvent, "CUT"), true, gannethook.Broken, false, 2},
-		{"an answer that ends without its mark", stream(tokenEvent), true, gannethook.Broken, false, 1},
-		{"a stream that stalls", stream(tokenEvent, "HANG"), true, gannethook.Broken, false, 1},
-		{"an error in the stream", stream(tokenEvent, `{"error":{"message":"x"}}`), true, gannethook.Failed, false, 1},
-		{"an event that is no JSON", stream(`{"choices":`), true, gannethook.Failed, false, 0},
+		{"a half answer", sseResponse(tokenEvent, tokenEvent, "CUT"), true, gannethook.Broken, false, 2},
+		{"an answer that ends without its mark", sseResponse(tokenEvent), true, gannethook.Broken, false, 1},
+		{"a stream that stalls", sseResponse(tokenEvent, "HANG"), true, gannethook.Broken, false, 1},
+		{"an error in the stream", sseResponse(tokenEvent, `{"error":{"message":"x"}}`), true, gannethook.Failed, false, 1},
+		{"an event that is no JSON", sseResponse(`{"choices":`), true, gannethook.Failed, false, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			p, cl := startScripted(t, c.answer), newClient(t)
-			call := &attempt.Call{Addr: p.addr, Key: "k", Prompt: "p", MaxTokens: 5, Idempotency: "i", Class: "c"}
+			server, client := startScripted(t, c.answer), newClient(t)
+			call := &attempt.Call{Addr: server.addr, Key: "k", Prompt: "p", MaxTokens: 5, Idempotency: "i", Class: "c"}
 			var r attempt.Result
 			n := 0
 			if c.write {
-				r = cl.Write(context.Background(), call, func() bool { return true }, func(text []byte) bool {
+				r = client.Write(context.Background(), call, func() bool { return true }, func(text []byte) bool {
 					n++
 					return string(text) == `" a"`
 				})
 			} else {
-				r = cl.Read(context.Background(), call)
+				r = client.Read(context.Background(), call)
 			}
 			if r.Outcome != c.want || r.NoState != c.noState || n != c.tokens || r.Tokens != c.tokens {
 				t.Errorf("%+v with %d tokens, want %v, %v, %d", r, n, c.want, c.noState, c.tokens)
@@ -175,7 +175,7 @@
 			if c.want == gannethook.Served && (!r.Reported || r.Memory != 0.25) {
 				t.Errorf("report %v, %v", r.Memory, r.Reported)
 			}
-			if h := p.heads[0].Header; h.Get("X-Request-Id") != "k" || h.Get("Idempotency-Key") != "i" || h.Get("X-Request-Class") != "c" {
+			if h := server.requests[0].Header; h.Get("X-Request-Id") != "k" || h.Get("Idempotency-Key") != "i" || h.Get("X-Request-Class") != "c" {
 				t.Errorf("head %v", h)
 			}
 		})
@@ -192,11 +192,11 @@
 	}
 }
 
-// A cancel ends an attempt at once, wherever it is, and its connection with it.
+// Cancelling the context ends an attempt at once, before the head and within the stream.
 func TestCancel(t *testing.T) {
-	for name, text := range map[string]string{"before the head": "HANG", "in the stream": stream(tokenEvent, "HANG")} {
+	for name, text := range map[string]string{"before the head": "HANG", "in the stream": sseResponse(tokenEvent, "HANG")} {
 		p := startScripted(t, text)
-		lim := limits()
+		lim := testLimits()
 		lim.StreamIdle = time.Minute
 		c := NewClient(lim)
 		ctx, cancel := context.WithCancel(context.Background())
@@ -208,11 +208,11 @@
 	}
 }
 
-// A first token that may not pass ends the attempt.
-func TestNotStarted(t *testing.T) {
-	p, c := startScripted(t, stream(tokenEvent, "[DONE]")), newClient(t)
+// If started returns false, the attempt is cancelled and no token is passed on.
+func TestFirstTokenRejected(t *testing.T) {
+	p, c := startScripted(t, sseResponse(tokenEvent, "[DONE]")), newClient(t)
 	r := c.Write(context.Background(), &attempt.Call{Addr: p.addr}, func() bool { return false }, func([]byte) bool {
-		t.Error("a token passed")
+		t.Error("a token was passed on")
 		return true
 	})
 	if r.Outcome != gannethook.Cancelled {
@@ -220,15 +220,14 @@
 	}
 }
 
-// Whole exchanges share a connection; a broken one is not used again, and one
-// that the engine has closed meanwhile is not written to: what goes into it
-// would count as what may have run.
-func TestConnections(t *testing.T) {
-	done := stream(tokenEvent, "[DONE]")
+// Complete exchanges share a connection. Guards against writing to a pooled connection that the engine has closed
+// meanwhile: such a request would count as one that may have run.
+func TestConnectionReuse(t *testing.T) {
+	done := sseResponse(tokenEvent, "[DONE]")
 	write := func(c *Client, p *scriptedEngine) gannethook.Outcome {
 		return c.Write(context.Background(), &attempt.Call{Addr: p.addr}, func() bool { return true }, func([]byte) bool { return true }).Outcome
 	}
-	p, shuts := startScripted(t, done), startScripted(t, done+"CUT", done)
+	p, closing := startScripted(t, done), startScripted(t, done+"CUT", done)
 	c := newClient(t)
 	for range 5 {
 		if o := write(c, p); o != gannethook.Served {
@@ -236,11 +235,11 @@
 		}
 	}
 	if n := p.conns.Load(); n != 1 {
-		t.Errorf("five answers took %d connections", n)
+		t.Errorf("five answers used %d connections", n)
 	}
-	p = shuts
+	p = closing
 	write(c, p)
-	for i := 0; !closedByPeer(c, p.addr) && i < 1000; i++ {
+	for i := 0; !noneIdle(c, p.addr) && i < 1000; i++ {
 		time.Sleep(time.Millisecond)
 	}
 	if o := write(c, p); o != gannethook.Served || p.conns.Load() != 2 {
@@ -248,10 +247,10 @@
 	}
 }
 
-// Spare connections are opened ahead, kept at their number, and used.
-func TestSpare(t *testing.T) {
-	p := startScripted(t, stream(tokenEvent, "[DONE]"))
-	lim := limits()
+// Spare connections are opened in advance, used, and replaced.
+func TestSpareConnections(t *testing.T) {
+	p := startScripted(t, sseResponse(tokenEvent, "[DONE]"))
+	lim := testLimits()
 	lim.Spare = 2
 	c := NewClient(lim)
 	defer c.Close()
@@ -265,28 +264,28 @@
 				return
 			}
 			if time.Now().After(end) {
-				t.Fatalf("%d connections wait, want %d", n, want)
+				t.Fatalf("%d idle connections, want %d", n, want)
 			}
 		}
 	}
 	c.Warm(p.addr)
 	idle(2)
-	var took *connpool.Conn
+	var conn *connpool.Conn
 	for range 3 {
 		cn, err := c.pool.get(context.Background(), p.addr, false)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if took != nil {
-			took.Close()
+		if conn != nil {
+			conn.Close()
 		}
-		took = cn
+		conn = cn
 		idle(2)
 	}
-	took.Close()
+	conn.Close()
 }
 
-func closedByPeer(c *Client, addr string) bool {
+func noneIdle(c *Client, addr string) bool {
 	cn := c.pool.idle.Take(addr)
 	if cn != nil {
 		c.pool.idle.Put(addr, cn)
@@ -294,29 +293,29 @@
 	return cn == nil
 }
 
-// A release finds the connection that the place came by, while streams hold all others.
-func TestControlApart(t *testing.T) {
-	p, c := startScripted(t, answer("201 Created", "", "")), newClient(t)
+// A release uses the connection on which the place was granted, which attempts must not take.
+func TestControlConnections(t *testing.T) {
+	p, c := startScripted(t, response("201 Created", "", "")), newClient(t)
 	call := &attempt.Call{Addr: p.addr, Key: "k", PromptSize: 10, MaxTokens: 5}
 	if got := c.Hold(context.Background(), call, "reader:1"); got != attempt.Granted {
 		t.Fatal("no place")
 	}
 	if cn := c.pool.idle.Take(p.addr); cn != nil {
-		t.Fatal("an attempt could take the connection")
+		t.Fatal("the control connection is available to attempts")
 	}
 	if err := c.deleteState(context.Background(), attempt.Held{Addr: p.addr, Key: "k"}); err != nil || p.conns.Load() != 1 {
 		t.Errorf("release: %v on %d connections", err, p.conns.Load())
 	}
-	if want := `{"request_id":"k","reader":"reader:1","tokens":15,"idle_ms":500}`; p.body[0] != want {
-		t.Errorf("asked for %s", p.body[0])
+	if want := `{"request_id":"k","reader":"reader:1","tokens":15,"idle_ms":500}`; p.bodies[0] != want {
+		t.Errorf("place requested with %s", p.bodies[0])
 	}
-	if p.heads[1].Method != "DELETE" || p.heads[1].Target != StatesPath+"k" {
-		t.Errorf("released by %s %s", p.heads[1].Method, p.heads[1].Target)
+	if p.requests[1].Method != "DELETE" || p.requests[1].Target != StatesPath+"k" {
+		t.Errorf("released with %s %s", p.requests[1].Method, p.requests[1].Target)
 	}
 }
 
-// A write whose dial fails goes by the connection that its place came by.
-func TestWriteByThePlacesConnection(t *testing.T) {
+// A write whose dial fails uses the connection on which its place was granted.
+func TestWriteFallsBackToControlConnection(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -326,7 +325,7 @@
 		defer close(served)
 		nc, err := ln.Accept()
 		if ln.Close(); err == nil { // no dial succeeds from now on
-			p.serve(nc, []string{answer("201 Created", "", ""), stream(tokenEvent, "[DONE]")})
+			p.serve(nc, []string{response("201 Created", "", ""), sseResponse(tokenEvent, "[DONE]")})
 		}
 	}()
 	c := newClient(t)
@@ -350,7 +349,7 @@
 func TestHoldTimesOut(t *testing.T) {
 	p, c := startScripted(t, "HANG"), newClient(t)
 	if got := c.Hold(context.Background(), &attempt.Call{Addr: p.addr, Key: "k"}, "r"); got != attempt.NoAnswer {
-		t.Errorf("a place that nobody answered: %v", got)
+		t.Errorf("a place request without an answer: %v", got)
 	}
 	if err := c.deleteState(context.Background(), attempt.Held{Addr: p.addr, Key: "k"}); err == nil || errors.Is(err, context.Canceled) {
 		t.Errorf("release: %v", err)
--- a/internal/engine/release_test.go
+++ b/internal/engine/release_test.go
@@ -10,8 +10,9 @@
 	"gannethook/internal/attempt"
 )
 
-// A release goes on while the engine takes no connections for a moment: tries that fail at once are made apart.
-func TestReleaseOutlastsRefusals(t *testing.T) {
+// Guards against a release whose attempts all fail at once while an engine refuses connections for a moment: the
+// attempts are spaced by releaseBackoff.
+func TestReleaseRetriesFailedDials(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -36,6 +37,6 @@
 	}))
 	<-done
 	if len(released) != 1 {
-		t.Errorf("%d releases came", len(released))
+		t.Errorf("%d releases arrived, want 1", len(released))
 	}
 }
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -265,9 +265,9 @@
 type Sight struct {
 	ID    string
 	Since time.Time
-	Open  int // responses that are open
-	Made  int // responses requested so far
-	Going bool
+	Open  int  // responses that are open
+	Made  int  // responses requested so far
+	Going bool // draining: it closes once no response is open
 }
 
 // Sights lists up to limit sessions, in no order.
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -82,8 +82,8 @@
 	}
 }
 
-// What the standard library writes in chunks reads the same here.
-func TestChunksOfPeer(t *testing.T) {
+// Chunked bodies are compatible with net/http in both directions.
+func TestChunksOfStandardLibrary(t *testing.T) {
 	want := strings.Repeat("some text; ", 1000)
 	var wire bytes.Buffer
 	res := &http.Response{StatusCode: 200, ProtoMajor: 1, ProtoMinor: 1, ContentLength: -1,
@@ -105,12 +105,12 @@
 	WriteHead(w, "HTTP/1.1 200 OK", Header{{"Transfer-Encoding", "chunked"}})
 	WriteChunk(w, []byte(want))
 	WriteChunk(w, nil)
-	peer, err := http.ReadResponse(bufio.NewReader(&out), nil)
+	std, err := http.ReadResponse(bufio.NewReader(&out), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, err := io.ReadAll(peer.Body); err != nil || string(got) != want {
-		t.Fatalf("the peer reads %d bytes, %v", len(got), err)
+	if got, err := io.ReadAll(std.Body); err != nil || string(got) != want {
+		t.Fatalf("net/http reads %d bytes, %v", len(got), err)
 	}
 }
 
@@ -147,7 +147,7 @@
 	}
 }
 
-// A head that is read and written again reads the same.
+// A head that is parsed, written and parsed again stays the same.
 func FuzzRequest(f *testing.F) {
 	f.Add("GET / HTTP/1.1\r\nHost: x\r\n\r\n")
 	f.Fuzz(func(t *testing.T, in string) {
@@ -159,14 +159,14 @@
 		w := bufio.NewWriter(&out)
 		WriteHead(w, fmt.Sprintf("%s %s HTTP/1.%d", req.Method, req.Target, req.Minor), req.Header)
 		w.Flush()
-		again, err := ReadRequest(bufio.NewReader(&out))
-		if err != nil || fmt.Sprint(again) != fmt.Sprint(req) {
-			t.Fatalf("%v became %v, %v", req, again, err)
+		reread, err := ReadRequest(bufio.NewReader(&out))
+		if err != nil || fmt.Sprint(reread) != fmt.Sprint(req) {
+			t.Fatalf("%v became %v, %v", req, reread, err)
 		}
 	})
 }
 
-// Chunked bodies read as the standard library reads them, or are refused.
+// A chunked body is read as net/http reads it, or refused.
 func FuzzChunks(f *testing.F) {
 	f.Add("3\r\nabc\r\n0\r\n\r\n")
 	f.Fuzz(func(t *testing.T, in string) {
@@ -183,7 +183,7 @@
 			t.Fatal(err)
 		}
 		if want, err := io.ReadAll(req.Body); err == nil && !bytes.Equal(got, want) {
-			t.Fatalf("%q, the peer reads %q", got, want)
+			t.Fatalf("%q, net/http reads %q", got, want)
 		}
 	})
 }
@@ -215,17 +215,17 @@
 
 type repeatingReader struct {
 	text string
-	at   int
+	pos  int
 }
 
 func (e *repeatingReader) Read(p []byte) (int, error) {
-	n := copy(p, e.text[e.at:])
-	e.at = (e.at + n) % len(e.text)
+	n := copy(p, e.text[e.pos:])
+	e.pos = (e.pos + n) % len(e.text)
 	return n, nil
 }
 
-// FuzzRawEvents reads a chunked body in both ways: what goes through by events is the same bytes, whole where the body
-// is whole, and a beginning of them otherwise.
+// FuzzRawEvents reads a chunked body directly and through RawEvents: the events are the same bytes if the body is
+// complete, otherwise a prefix of them.
 func FuzzRawEvents(f *testing.F) {
 	f.Add("9\r\ndata: a\n\n\r\n0\r\n\r\n")
 	f.Add("A;x=y\r\ndata: a\r\n\r\nb\r\n\r\ndata: b\r\n\r\n0\r\nT: v\r\n\r\n")
@@ -242,17 +242,17 @@
 		}
 		whole, err := io.ReadAll(body())
 		var got []byte
-		var end error
-		for ev := NewRawEvents(body()); end == nil; {
+		var eventErr error
+		for ev := NewRawEvents(body()); eventErr == nil; {
 			var part []byte
-			part, end = ev.Next()
-			if end == nil && !bytes.HasSuffix(part, []byte("\n")) {
-				t.Fatalf("%q is no whole event", part)
+			part, eventErr = ev.Next()
+			if eventErr == nil && !bytes.HasSuffix(part, []byte("\n")) {
+				t.Fatalf("%q is not a whole event", part)
 			}
 			got = append(got, part...)
 		}
-		if (err == nil) != (end == io.EOF) {
-			t.Fatalf("read: %v, by events: %v", err, end)
+		if (err == nil) != (eventErr == io.EOF) {
+			t.Fatalf("read: %v, by events: %v", err, eventErr)
 		}
 		if !bytes.HasPrefix(whole, got) || err == nil && len(got) != len(whole) && strings.Contains(string(whole), "data:") && len(got) > 0 {
 			t.Fatalf("%q and %q", whole, got)
@@ -260,30 +260,30 @@
 	})
 }
 
-// chunkedReader is read a piece at a time.
-type chunkedReader struct {
-	parts    []string
-	consumed int
+// partsReader returns at most one part per Read.
+type partsReader struct {
+	parts []string
+	next  int
 }
 
-func (p *chunkedReader) Read(b []byte) (int, error) {
-	if p.consumed == len(p.parts) {
+func (p *partsReader) Read(b []byte) (int, error) {
+	if p.next == len(p.parts) {
 		return 0, io.EOF
 	}
-	n := copy(b, p.parts[p.consumed])
-	if p.parts[p.consumed] = p.parts[p.consumed][n:]; p.parts[p.consumed] == "" {
-		p.consumed++
+	n := copy(b, p.parts[p.next])
+	if p.parts[p.next] = p.parts[p.next][n:]; p.parts[p.next] == "" {
+		p.next++
 	}
 	return n, nil
 }
 
-// Events pass as soon as they are whole, whatever the chunks are; a part of one does not, and a chunk that is said to
-// be huge is not waited for.
+// An event is returned as soon as it is complete, wherever chunks end, and not before. A chunk whose size exceeds the
+// limit fails before its data arrives.
 func TestRawEvents(t *testing.T) {
-	in := &chunkedReader{parts: []string{
-		"12\r\n: none\n\ndata: abc", // a comment is no answer, half an event neither
+	in := &partsReader{parts: []string{
+		"12\r\n: none\n\ndata: abc", // a comment and half an event: nothing is returned yet
 		"\n\r\n1\r\n",
-		"\n", // its chunk's end has not come
+		"\n", // completes the event; the end of its chunk is missing
 		"\r\n1d\r\ndata: b\n\ndata: c\n\ndata", ": d\r\n\r\n\r\n4\r\nrest\r\n", "b2d05e00\r\n", "x"}}
 	body, err := ResponseBody(bufio.NewReader(in), &Response{Status: 200, Header: Header{{"Transfer-Encoding", "chunked"}}})
 	if err != nil {
@@ -293,19 +293,20 @@
 	ev := NewRawEvents(body)
 	for _, c := range []struct {
 		want string
-		read int // pieces, by then
+		read int // parts read by then
 	}{{": none\n\ndata: abc\n\n", 3}, {"data: b\n\ndata: c\n\n", 4}, {"data: d\r\n\r\n", 5}} {
 		got, err := ev.Next()
-		if err != nil || string(got) != c.want || in.consumed != c.read {
-			t.Fatalf("%q after %d pieces, %v; %q expected after %d", got, in.consumed, err, c.want, c.read)
+		if err != nil || string(got) != c.want || in.next != c.read {
+			t.Fatalf("%q after %d parts, %v; %q expected after %d", got, in.next, err, c.want, c.read)
 		}
 	}
-	if got, err := ev.Next(); !errors.Is(err, ErrTooLarge) || in.consumed != 6 {
-		t.Errorf("%q, %v after %d pieces", got, err, in.consumed)
+	if got, err := ev.Next(); !errors.Is(err, ErrTooLarge) || in.next != 6 {
+		t.Errorf("%q, %v after %d parts", got, err, in.next)
 	}
 }
 
-// Bodies are held to their own bound and to one for all, and a length that a peer only tells takes no memory.
+// A body is limited by its own limit and by the one for all bodies together, and an announced length alone allocates no
+// memory.
 func TestReadWhole(t *testing.T) {
 	chunked := Header{{"Transfer-Encoding", "chunked"}}
 	length := func(n int) Header { return Header{{"Content-Length", fmt.Sprint(n)}} }
@@ -333,14 +334,14 @@
 		var held int64
 		before := allocated()
 		text, held, err = b.ReadWhole(c.most, c.all, &budget)
-		if more := allocated() - before; more > 1<<20 {
-			t.Errorf("%s: took %d bytes of memory", c.name, more)
+		if grown := allocated() - before; grown > 1<<20 {
+			t.Errorf("%s: allocated %d bytes", c.name, grown)
 		}
 		if !errors.Is(err, c.want) || held != c.held || err == nil && string(text) != "0123456789" {
 			t.Errorf("%s: %q, %d held, %v", c.name, text, held, err)
 		}
 		if budget.Give(held); budget.used.Load() != 0 {
-			t.Errorf("%s: %d bytes are left in the budget", c.name, budget.used.Load())
+			t.Errorf("%s: %d bytes still counted in the budget", c.name, budget.used.Load())
 		}
 	}
 }
--- a/internal/httpapi/embeddings.go
+++ b/internal/httpapi/embeddings.go
@@ -11,7 +11,7 @@
 // MaxInputs is the largest number of inputs of one request, as in OpenAI's API.
 const MaxInputs = 2048
 
-const maxDimensions = 1 << 16
+const maxDimensions = 1 << 16 // upper limit of the dimensions field
 
 // Input is one input of the request: a text or a list of tokens.
 type Input struct {
--- a/internal/httpapi/httpapi_test.go
+++ b/internal/httpapi/httpapi_test.go
@@ -14,7 +14,7 @@
 
 func TestMain(m *testing.M) { rapidseed.Main(m) }
 
-// Every bad request has an error that names the place.
+// An invalid request gets an error that names the field.
 func TestBadRequests(t *testing.T) {
 	embed := func(b []byte) (any, *Error) { return ParseEmbeddings(b, 4) }
 	rank := func(b []byte) (any, *Error) { return ParseRerank(b, 4) }
@@ -64,7 +64,7 @@
 	}
 }
 
-// However a batch of texts is cut, joined answers are those of the whole.
+// However a request is split into parts, the joined answer equals the answer to the unsplit request.
 func TestSplitAndJoin(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 40).Draw(t, "texts")
@@ -87,10 +87,10 @@
 			vectors = append(vectors, engineVectors(t, e.EngineBody(from, to, 1)))
 			ranks = append(ranks, engineRanks(t, r.EngineBody(from, to, 1)))
 			if e.Check(vectors[len(vectors)-1], to-from) != nil || r.Check(ranks[len(ranks)-1], to-from) != nil {
-				t.Fatal("a right answer is not taken")
+				t.Fatal("a valid answer is rejected")
 			}
 			if e.Check(vectors[len(vectors)-1], to-from+1) == nil {
-				t.Fatal("an answer that lacks one is taken")
+				t.Fatal("an answer with one result too few is accepted")
 			}
 			from = to
 		}
@@ -109,13 +109,13 @@
 			delete(x, "usage")
 			delete(y, "usage")
 			if !reflect.DeepEqual(x, y) {
-				t.Fatalf("%s\nis not\n%s", a, b)
+				t.Fatalf("joined answer\n%s\ndiffers from the unsplit answer\n%s", a, b)
 			}
 		}
 	})
 }
 
-// engineVectors answers as an engine does: the last first, as it may.
+// engineVectors is an engine's answer to an embeddings request, in reverse order, which the API permits.
 func engineVectors(t *rapid.T, req []byte) []byte {
 	var in struct{ Input []string }
 	if err := json.Unmarshal(req, &in); err != nil {
@@ -141,7 +141,7 @@
 	for i, d := range in.Documents {
 		var n int
 		fmt.Sscanf(d, "text %d", &n)
-		list = append(list, result{Index: i, Score: float64(n * 7919 % 13)}) // some are equal
+		list = append(list, result{Index: i, Score: float64(n * 7919 % 13)}) // with equal scores among them
 	}
 	r := Rerank{Documents: in.Documents, TopN: in.TopN}
 	all, _ := json.Marshal(map[string]any{"results": list, "usage": Usage{}})
@@ -152,8 +152,8 @@
 	return out
 }
 
-// Wrong answers of engines are told from right ones.
-func TestWrongAnswers(t *testing.T) {
+// Check rejects invalid answers of engines.
+func TestInvalidEngineAnswers(t *testing.T) {
 	e := &Embeddings{}
 	for name, body := range map[string]string{
 		"not JSON":  `{`,
@@ -180,7 +180,7 @@
 	}
 }
 
-// Whatever comes, a parser gives a request within its bounds or an error whose body is JSON.
+// For any input a parser returns a request within its limits, or an error whose body is JSON.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(`{"model":"m","input":["a",[1,2]],"documents":["a",{"text":"b"}],"query":"q","top_n":1,"messages":[{"role":"user","content":[{"type":"text","text":"x"}]}]}`))
 	f.Add([]byte(`{"model":"m","input":[[1,2],[3]],"encoding_format":"base64","dimensions":3}`))
--- a/internal/jsonscan/scan.go
+++ b/internal/jsonscan/scan.go
@@ -10,7 +10,7 @@
 // ErrInvalid is returned for text that is not valid JSON, is not UTF-8 or is nested too deeply.
 var ErrInvalid = errors.New("json: invalid text")
 
-const maxDepth = 64
+const maxDepth = 64 // of nested objects and arrays; bounds the recursion
 
 // Find returns the raw value at a path of object keys; "0" as an element of the path selects the first element of an
 // array. found is false if there is no value at the path. The whole text is checked.
--- a/internal/jsonscan/scan_test.go
+++ b/internal/jsonscan/scan_test.go
@@ -35,21 +35,21 @@
 	}
 }
 
-// The same texts are JSON here and in the standard library, but for the depth
-// bound and for text that is not UTF-8, which can't be passed on.
+// Find accepts the same texts as encoding/json, apart from deep nesting and text that is not UTF-8, which can't be passed
+// on.
 func FuzzFind(f *testing.F) {
 	f.Add([]byte(`{"choices":[{"text":"é\n"}]}`))
 	f.Add([]byte(`[[[[{"a":[1,2,{"b":null}]}]]]]`))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		raw, found, err := Find(in, "choices", "0", "text")
 		if err == nil && !json.Valid(in) {
-			t.Fatalf("%q is no JSON", in)
+			t.Fatalf("accepted %q, which is not JSON", in)
 		}
 		if err != nil && json.Valid(in) && utf8.Valid(in) && len(in) < maxDepth {
-			t.Fatalf("%q is JSON", in)
+			t.Fatalf("rejected %q, which is JSON", in)
 		}
 		if found && !json.Valid(raw) {
-			t.Fatalf("%q holds %q", in, raw)
+			t.Fatalf("%q: found %q, which is not JSON", in, raw)
 		}
 	})
 }
--- a/internal/realtime/events_test.go
+++ b/internal/realtime/events_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// What a client sends is an event with a type or an error with a code; a limit is never below 0.
+// Any message from a client parses to an event with a type or an error with a code; a limit is never negative.
 func FuzzClient(f *testing.F) {
 	f.Add([]byte(`{"type":"response.create","response":{"max_output_tokens":"inf","metadata":{"class":"q"}}}`))
 	f.Add([]byte(`{"type":"conversation.item.create","item":{"type":"message","content":[{"type":"input_text","text":"a"}]}}`))
@@ -25,7 +25,7 @@
 	})
 }
 
-// A delta is the published event, whatever its text.
+// AppendDelta writes the event of the published API for any text.
 func TestAppendDelta(t *testing.T) {
 	for _, text := range []string{"", " a", "\"\\\n", "\u00e9\u4e16"} {
 		raw, _ := json.Marshal(text)
--- a/internal/ws/ws_test.go
+++ b/internal/ws/ws_test.go
@@ -23,7 +23,7 @@
 
 var testMask = [4]byte{0x12, 0x34, 0x56, 0x78}
 
-// frame builds a client's frame byte by byte, right or wrong.
+// frame builds a masked frame with any first byte, valid or not.
 func frame(first byte, payload []byte) []byte {
 	return appendPayload(appendFrameHeader(nil, first, len(payload), &testMask), payload, &testMask)
 }
@@ -34,7 +34,7 @@
 
 func concat(parts ...[]byte) []byte { return bytes.Join(parts, nil) }
 
-// tcpPair is a connected pair of TCP ends; closed when the test ends.
+// tcpPair returns both ends of a TCP connection, which are closed when the test ends.
 func tcpPair(t testing.TB) (client, server net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -58,7 +58,7 @@
 	return l
 }
 
-// echo serves one connection: each message goes back.
+// echo serves one connection and sends each message back.
 func echo(nc net.Conn, lim Limits) error {
 	c := New(nc, bufio.NewReaderSize(nc, 1024), false, lim)
 	for {
@@ -77,7 +77,7 @@
 	}
 }
 
-// received is what came back: messages, pongs, and the code of the close.
+// received is what the client received: messages, pongs and the close code.
 type received struct {
 	text, pongs []string
 	code        int // 0: the connection ended without a close frame
@@ -121,8 +121,7 @@
 	return n, nil
 }
 
-// The cases that every serious server is tried with: framing, fragmentation,
-// control frames, UTF-8, closing, limits.
+// The usual conformance cases for a server: framing, fragmentation, control frames, UTF-8, closing, limits.
 func TestConformance(t *testing.T) {
 	long := strings.Repeat("x", 70000)
 	normal := closeFrame(1000, "")
@@ -212,7 +211,7 @@
 	}
 }
 
-// Chops must not matter: every frame arrives byte by byte.
+// Frames are parsed correctly if they arrive byte by byte.
 func TestByteByByte(t *testing.T) {
 	client, server := tcpPair(t)
 	done := make(chan error, 1)
@@ -226,18 +225,18 @@
 	}
 }
 
-// A client that never reads must not hold its sender up: it is cut at the bound.
-func TestSlowReaderIsCut(t *testing.T) {
+// A client that never reads must not block the sender: it is disconnected when the send queue is full.
+func TestSlowReaderIsDisconnected(t *testing.T) {
 	_, server := tcpPair(t)
 	lim := testLimits()
 	lim.Pending, lim.Message = 64<<10, 64<<10
 	c := New(server, bufio.NewReader(server), false, lim)
 	msg := make([]byte, 16<<10)
 	for n := 0; ; n++ {
-		from := time.Now()
+		start := time.Now()
 		err := c.Send(msg)
-		if took := time.Since(from); took > time.Second {
-			t.Fatalf("Send waited %v", took)
+		if elapsed := time.Since(start); elapsed > time.Second {
+			t.Fatalf("Send blocked for %v", elapsed)
 		}
 		if errors.Is(err, ErrSlowPeer) {
 			break
@@ -247,19 +246,19 @@
 		}
 	}
 	if err := c.Send(msg); err == nil {
-		t.Fatal("a cut connection still takes messages")
+		t.Fatal("a closed connection still accepts messages")
 	}
 	waitFlushed(c)
 }
 
-// Nothing follows a close frame, whoever sends.
+// No frame follows a close frame.
 func TestNothingAfterClose(t *testing.T) {
 	client, server := tcpPair(t)
 	c := New(server, bufio.NewReader(server), false, testLimits())
 	c.Send([]byte("before"))
 	c.Close(CloseGoingAway, "stop")
 	if err := c.Send([]byte("after")); err == nil {
-		t.Error("a message is taken after the close")
+		t.Error("a message is accepted after the close frame")
 	}
 	client.Write(closeFrame(CloseGoingAway, ""))
 	go c.Read()
@@ -276,7 +275,7 @@
 	c.mu.Unlock()
 }
 
-// A quiet peer is pinged, and let go when it stays quiet; one that answers stays.
+// An idle peer is pinged and stays connected while it answers; one that doesn't answer is disconnected.
 func TestIdle(t *testing.T) {
 	client, server := tcpPair(t)
 	lim := testLimits()
@@ -298,8 +297,8 @@
 	}
 }
 
-// A frame that drips may not hold the connection for good.
-func TestDrippingFrame(t *testing.T) {
+// A peer that doesn't finish a frame is disconnected after Limits.Frame.
+func TestFrameTimeout(t *testing.T) {
 	client, server := tcpPair(t)
 	lim := testLimits()
 	lim.Frame = 30 * time.Millisecond
@@ -307,14 +306,14 @@
 	go func() { done <- echo(server, lim) }()
 	client.Write([]byte{0x81, 0xfe})
 	if err := <-done; err == nil {
-		t.Fatal("it read a frame that never came")
+		t.Fatal("Read returned a message from an incomplete frame")
 	}
 }
 
-func request(change func(h map[string]string)) *http1.Request {
+func upgradeRequest(modify func(h map[string]string)) *http1.Request {
 	h := map[string]string{"Host": "x", "Upgrade": "websocket", "Connection": "keep-alive, Upgrade",
 		"Sec-WebSocket-Version": "13", "Sec-WebSocket-Key": "dGhlIHNhbXBsZSBub25jZQ=="}
-	change(h)
+	modify(h)
 	req := &http1.Request{Method: "GET", Target: "/", Minor: 1}
 	for k, v := range h {
 		if k == "Method" {
@@ -341,14 +340,14 @@
 		{"a POST", "405", func(h map[string]string) { h["Method"] = "POST" }},
 	} {
 		var out bytes.Buffer
-		Upgrade(bufio.NewWriter(&out), request(c.change), "realtime")
+		Upgrade(bufio.NewWriter(&out), upgradeRequest(c.change), "realtime")
 		if !strings.Contains(out.String(), c.want) || strings.Contains(out.String(), "Extensions") {
 			t.Errorf("%s: answered %q, want %q in it", c.name, out.String(), c.want)
 		}
 	}
 }
 
-// serveEcho is a server on a port of the kernel's choice.
+// serveEcho starts an echo server on a free port and returns its address.
 func serveEcho(t *testing.T) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -373,8 +372,8 @@
 	return ln.Addr().String()
 }
 
-// Two well-known clients as peers of our server.
-func TestPeersAsClients(t *testing.T) {
+// The server works with two widely used client libraries.
+func TestInteropClients(t *testing.T) {
 	addr := serveEcho(t)
 	big := strings.Repeat("κόσμε ", 5000)
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
@@ -410,8 +409,8 @@
 	}
 }
 
-// Our client against a well-known server.
-func TestPeerAsServer(t *testing.T) {
+// The client works with a widely used server library.
+func TestInteropServer(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -448,7 +447,7 @@
 	}
 }
 
-// Whatever comes, Read ends, and what it gives fits the bounds.
+// For any input Read returns, and no message exceeds the limit.
 func FuzzRead(f *testing.F) {
 	f.Add(concat(frame(0x01, []byte("a")), frame(0x80, []byte("b")), closeFrame(1000, "x")))
 	f.Add([]byte{0x81, 0xff, 0, 0, 0, 0, 0x40, 0, 0, 0})
