--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -53,7 +53,7 @@
 
 // Open connects to a router and waits for session.created.
 func Open(ctx context.Context, addr, model string) (*Session, error) {
-	path := front.Path
+	path := front.SessionPath
 	if model != "" {
 		path += "?model=" + model
 	}
--- a/internal/front/httpconn.go
+++ b/internal/front/httpconn.go
@@ -76,7 +76,7 @@
 		return c.api(req, work)
 	case path == LivePath, path == ReadyPath && !c.srv.isDraining():
 		c.replyEmpty("200 OK")
-	case path != Path && path != ReadyPath:
+	case path != SessionPath && path != ReadyPath:
 		c.replyEmpty("404 Not Found")
 	case c.srv.isDraining() && !c.srv.acceptedBeforeDrain(c.raw):
 		c.replyEmpty("503 Service Unavailable")
--- a/internal/front/response.go
+++ b/internal/front/response.go
@@ -193,18 +193,18 @@
 }
 
 // statusOf maps an answer to the status and details of the Realtime API.
-func statusOf(a driver.Answer) (status string, d *realtime.Details) {
+func statusOf(a driver.Answer) (status string, d *realtime.StatusDetails) {
 	switch a.Outcome {
 	case driver.Served:
 		return "completed", nil
 	case driver.Cancelled:
-		return "cancelled", &realtime.Details{Type: "cancelled", Reason: "client_cancelled"}
+		return "cancelled", &realtime.StatusDetails{Type: "cancelled", Reason: "client_cancelled"}
 	case driver.Refused:
 		ms := a.RetryAfter.Milliseconds()
-		return "failed", &realtime.Details{Type: "failed", Error: &realtime.Reason{Type: "server_overloaded",
+		return "failed", &realtime.StatusDetails{Type: "failed", Error: &realtime.ResponseError{Type: "server_overloaded",
 			Code: realtime.CodeRefused, Message: a.Reason, RetryAfterMS: &ms}}
 	}
-	return "failed", &realtime.Details{Type: "failed", Error: &realtime.Reason{Type: "server_error",
+	return "failed", &realtime.StatusDetails{Type: "failed", Error: &realtime.ResponseError{Type: "server_error",
 		Code: realtime.CodeFailed, Message: a.Reason}}
 }
 
@@ -349,11 +349,11 @@
 	if job.Prompt != "" {
 		job.PromptSize = tokenCount(job.Prompt, s.cfg.Load().Sessions.TokenBytes)
 	}
-	giveUp := 0.0
+	timeoutMS := 0.0
 	for _, f := range []struct {
 		name string
 		to   *float64
-	}{{realtime.MetaPromptSize, &job.PromptSize}, {realtime.MetaPrefixSize, &job.PrefixTokens}, {realtime.MetaGiveUp, &giveUp}} {
+	}{{realtime.MetaPromptSize, &job.PromptSize}, {realtime.MetaPrefixSize, &job.PrefixTokens}, {realtime.MetaTimeout, &timeoutMS}} {
 		text, ok := meta(f.name)
 		if !ok {
 			continue
@@ -365,7 +365,7 @@
 		*f.to = x
 	}
 	job.PrefixTokens = min(job.PrefixTokens, job.PromptSize)
-	if d := time.Duration(giveUp * 1e6); d > 0 {
+	if d := time.Duration(timeoutMS * 1e6); d > 0 {
 		job.Timeout = min(job.Timeout, d)
 	}
 	return nil
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -19,12 +19,12 @@
 	"gannethook/internal/settings"
 )
 
-// Path opens sessions. The other two are health checks: LivePath answers 200 as long as the process serves, ReadyPath
+// SessionPath opens sessions. The other two are health checks: LivePath answers 200 as long as the process serves, ReadyPath
 // only while it accepts new sessions.
 const (
-	Path      = "/v1/realtime"
-	LivePath  = "/livez"
-	ReadyPath = "/readyz"
+	SessionPath = "/v1/realtime"
+	LivePath    = "/livez"
+	ReadyPath   = "/readyz"
 )
 
 // Server accepts client connections and serves HTTP requests and sessions on them.
--- a/internal/realtime/events.go
+++ b/internal/realtime/events.go
@@ -37,7 +37,8 @@
 	ErrorType       = "error"
 )
 
-// Client is a client event; its type says which fields are used.
+// Client is a client event; its type says which fields are used. The names of this type and of those of its fields are
+// part of the messages of invalid_json errors, as encoding/json words them.
 type Client struct {
 	Type       string   `json:"type"`
 	EventID    string   `json:"event_id"`
@@ -134,7 +135,7 @@
 	MetaIdempotency = "idempotency_key"
 	MetaRetry       = "retry" // "true": repeats a request whose outcome the client doesn't know
 	MetaTry         = "try"   // number of the attempt, from 1; above 1 it is a retry, whatever the outcome of the first
-	MetaGiveUp      = "give_up_ms"
+	MetaTimeout     = "give_up_ms"
 )
 
 // Limits of metadata as in OpenAI's API: entries, bytes of a key, bytes of a value.
@@ -149,30 +150,30 @@
 	Object       string            `json:"object"`
 	ID           string            `json:"id"`
 	Status       string            `json:"status"`
-	Details      *Details          `json:"status_details"`
+	Details      *StatusDetails    `json:"status_details"`
 	Output       []Item            `json:"output"`
 	Conversation string            `json:"conversation_id,omitempty"`
 	Metadata     map[string]string `json:"metadata,omitempty"`
 	Usage        *Usage            `json:"usage,omitempty"`
 }
 
-// Details says why a response was not completed.
-type Details struct {
-	Type   string  `json:"type"`
-	Reason string  `json:"reason,omitempty"`
-	Error  *Reason `json:"error,omitempty"`
+// StatusDetails says why a response was not completed.
+type StatusDetails struct {
+	Type   string         `json:"type"`
+	Reason string         `json:"reason,omitempty"`
+	Error  *ResponseError `json:"error,omitempty"`
 }
 
-// Reason is the error of a failed response. The code "refused" guarantees that a retry is harmless, best after
+// ResponseError is the error of a failed response. The code "refused" guarantees that a retry is harmless, best after
 // RetryAfterMS; any other code guarantees nothing.
-type Reason struct {
+type ResponseError struct {
 	Type         string `json:"type"`
 	Code         string `json:"code"`
 	Message      string `json:"message,omitempty"`
 	RetryAfterMS *int64 `json:"retry_after_ms,omitempty"`
 }
 
-// Values of Reason.Code.
+// Values of ResponseError.Code.
 const (
 	CodeRefused = "refused"
 	CodeFailed  = "failed"
--- a/internal/ws/conn.go
+++ b/internal/ws/conn.go
@@ -223,7 +223,7 @@
 }
 
 // SendBinary queues a binary message.
-func (c *Conn) SendBinary(msg []byte) error { return c.enqueue(OpBin, msg) }
+func (c *Conn) SendBinary(msg []byte) error { return c.enqueue(OpBinary, msg) }
 
 func (c *Conn) sendControl(op byte, payload []byte) error { return c.enqueue(op, payload) }
 
--- a/internal/ws/frame.go
+++ b/internal/ws/frame.go
@@ -14,7 +14,7 @@
 const (
 	opContinuation = 0x0
 	OpText         = 0x1
-	OpBin          = 0x2
+	OpBinary       = 0x2
 	opClose        = 0x8
 	opPing         = 0x9
 	opPong         = 0xA
@@ -71,7 +71,7 @@
 	switch {
 	case b[0]&0x70 != 0:
 		return h, newCloseError(CloseProtocol, "reserved bits without an extension")
-	case h.op > OpBin && h.op < opClose || h.op > opPong:
+	case h.op > OpBinary && h.op < opClose || h.op > opPong:
 		return h, newCloseError(CloseProtocol, "unknown opcode")
 	case h.isControl() && (!h.fin || h.length > maxControlPayload):
 		return h, newCloseError(CloseProtocol, "control frame too long or fragmented")
--- a/internal/ws/ws_test.go
+++ b/internal/ws/ws_test.go
@@ -98,7 +98,7 @@
 			t.Fatalf("payload: %v", err)
 		}
 		switch h.op {
-		case OpText, OpBin:
+		case OpText, OpBinary:
 			r.text = append(r.text, string(p))
 		case opPong:
 			r.pongs = append(r.pongs, string(p))
