--- a/internal/httpapi/httpapi_test.go
+++ b/internal/httpapi/httpapi_test.go
@@ -14,7 +14,7 @@
 
 func TestMain(m *testing.M) { rapidseed.Main(m) }
 
-// Every bad request has an error that names the place.
+// An invalid request gets an error that names the field.
 func TestBadRequests(t *testing.T) {
 	embed := func(b []byte) (any, *Error) { return ParseEmbeddings(b, 4) }
 	rank := func(b []byte) (any, *Error) { return ParseRerank(b, 4) }
@@ -64,7 +64,7 @@
 	}
 }
 
-// However a batch of texts is cut, joined answers are those of the whole.
+// However a request is split into parts, the joined answer equals the answer to the unsplit request.
 func TestSplitAndJoin(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 40).Draw(t, "texts")
@@ -74,32 +74,32 @@
 		}
 		in, _ := json.Marshal(map[string]any{"model": "m", "input": texts, "documents": texts, "query": "q",
 			"top_n": rapid.IntRange(1, 50).Draw(t, "top")})
-		e, bad := ParseEmbeddings(in, 4)
-		r, bad2 := ParseRerank(in, 4)
-		if bad != nil || bad2 != nil {
-			t.Fatal(bad, bad2)
+		e, embedErr := ParseEmbeddings(in, 4)
+		r, rerankErr := ParseRerank(in, 4)
+		if embedErr != nil || rerankErr != nil {
+			t.Fatal(embedErr, rerankErr)
 		}
 		var counts []int
-		var vectors, ranks, wholeV, wholeR [][]byte
+		var vectors, ranks, unsplitVectors, unsplitRanks [][]byte
 		for from := 0; from < n; {
 			to := min(from+rapid.IntRange(1, 10).Draw(t, "part"), n)
 			counts = append(counts, to-from)
-			vectors = append(vectors, engineVectors(t, e.Engine(from, to, 1)))
-			ranks = append(ranks, engineRanks(t, r.Engine(from, to, 1)))
+			vectors = append(vectors, engineVectors(t, e.EngineBody(from, to, 1)))
+			ranks = append(ranks, engineRanks(t, r.EngineBody(from, to, 1)))
 			if e.Check(vectors[len(vectors)-1], to-from) != nil || r.Check(ranks[len(ranks)-1], to-from) != nil {
-				t.Fatal("a right answer is not taken")
+				t.Fatal("a valid answer is rejected")
 			}
 			if e.Check(vectors[len(vectors)-1], to-from+1) == nil {
-				t.Fatal("an answer that lacks one is taken")
+				t.Fatal("an answer with one result too few is accepted")
 			}
 			from = to
 		}
-		wholeV = [][]byte{engineVectors(t, e.Engine(0, n, 1))}
-		wholeR = [][]byte{engineRanks(t, r.Engine(0, n, 1))}
+		unsplitVectors = [][]byte{engineVectors(t, e.EngineBody(0, n, 1))}
+		unsplitRanks = [][]byte{engineRanks(t, r.EngineBody(0, n, 1))}
 		for _, c := range []struct {
 			join         func([][]byte, []int) ([]byte, error)
 			parts, whole [][]byte
-		}{{e.Join, vectors, wholeV}, {r.Join, ranks, wholeR}} {
+		}{{e.Join, vectors, unsplitVectors}, {r.Join, ranks, unsplitRanks}} {
 			a, err := c.join(c.parts, counts)
 			b, err2 := c.join(c.whole, []int{n})
 			var x, y map[string]any
@@ -109,16 +109,16 @@
 			delete(x, "usage")
 			delete(y, "usage")
 			if !reflect.DeepEqual(x, y) {
-				t.Fatalf("%s\nis not\n%s", a, b)
+				t.Fatalf("joined answer\n%s\ndiffers from the unsplit answer\n%s", a, b)
 			}
 		}
 	})
 }
 
-// engineVectors answers as an engine does: the last first, as it may.
-func engineVectors(t *rapid.T, ask []byte) []byte {
+// engineVectors is an engine's answer to an embeddings request, in reverse order, which the API permits.
+func engineVectors(t *rapid.T, req []byte) []byte {
 	var in struct{ Input []string }
-	if err := json.Unmarshal(ask, &in); err != nil {
+	if err := json.Unmarshal(req, &in); err != nil {
 		t.Fatal(err)
 	}
 	var data []any
@@ -129,19 +129,19 @@
 	return b
 }
 
-func engineRanks(t *rapid.T, ask []byte) []byte {
+func engineRanks(t *rapid.T, req []byte) []byte {
 	var in struct {
 		Documents []string
 		TopN      int `json:"top_n"`
 	}
-	if err := json.Unmarshal(ask, &in); err != nil {
+	if err := json.Unmarshal(req, &in); err != nil {
 		t.Fatal(err)
 	}
 	var list []result
 	for i, d := range in.Documents {
 		var n int
 		fmt.Sscanf(d, "text %d", &n)
-		list = append(list, result{Index: i, Score: float64(n * 7919 % 13)}) // some are equal
+		list = append(list, result{Index: i, Score: float64(n * 7919 % 13)}) // with equal scores among them
 	}
 	r := Rerank{Documents: in.Documents, TopN: in.TopN}
 	all, _ := json.Marshal(map[string]any{"results": list, "usage": Usage{}})
@@ -152,8 +152,8 @@
 	return out
 }
 
-// Wrong answers of engines are told from right ones.
-func TestWrongAnswers(t *testing.T) {
+// Check rejects invalid answers of engines.
+func TestInvalidEngineAnswers(t *testing.T) {
 	e := &Embeddings{}
 	for name, body := range map[string]string{
 		"not JSON":  `{`,
@@ -180,7 +180,7 @@
 	}
 }
 
-// Whatever comes, a parser gives a request within its bounds or an error whose body is JSON.
+// For any input a parser returns a request within its limits, or an error whose body is JSON.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(`{"model":"m","input":["a",[1,2]],"documents":["a",{"text":"b"}],"query":"q","top_n":1,"messages":[{"role":"user","content":[{"type":"text","text":"x"}]}]}`))
 	f.Add([]byte(`{"model":"m","input":[[1,2],[3]],"encoding_format":"base64","dimensions":3}`))
@@ -190,27 +190,27 @@
 				t.Fatalf("%s", e.Body())
 			}
 		}
-		if e, bad := ParseEmbeddings(in, 4); bad == nil {
-			if len(e.Inputs) < 1 || len(e.Inputs) > MaxInputs || !json.Valid(e.Engine(0, len(e.Inputs), 1)) {
+		if e, apiErr := ParseEmbeddings(in, 4); apiErr == nil {
+			if len(e.Inputs) < 1 || len(e.Inputs) > MaxInputs || !json.Valid(e.EngineBody(0, len(e.Inputs), 1)) {
 				t.Fatalf("%+v", e)
 			}
 		} else {
-			check(bad)
+			check(apiErr)
 		}
-		if r, bad := ParseRerank(in, 4); bad == nil {
-			if len(r.Documents) < 1 || len(r.Documents) != len(r.Sizes()) || !json.Valid(r.Engine(0, len(r.Documents), 1)) {
+		if r, apiErr := ParseRerank(in, 4); apiErr == nil {
+			if len(r.Documents) < 1 || len(r.Documents) != len(r.TokenCounts()) || !json.Valid(r.EngineBody(0, len(r.Documents), 1)) {
 				t.Fatalf("%+v", r)
 			}
 		} else {
-			check(bad)
+			check(apiErr)
 		}
-		if c, bad := ParseChat(in); bad == nil {
+		if c, apiErr := ParseChat(in); apiErr == nil {
 			k := Completion{ID: "x", Model: c.Model}
-			if len(c.Messages) == 0 || !json.Valid(k.Whole(nil, 1, "stop")) {
+			if len(c.Messages) == 0 || !json.Valid(k.Response(nil, 1, "stop")) {
 				t.Fatalf("%+v", c)
 			}
 		} else {
-			check(bad)
+			check(apiErr)
 		}
 	})
 }
