--- a/internal/platform/wallclock_test.go
+++ b/internal/platform/wallclock_test.go
@@ -36,10 +36,10 @@
 		}
 	}
 	want := []string{
-		"server.go: var expired = time.Unix(1, 0)", // a deadline that has passed, whatever the clock
+		"server.go: var pastDeadline = time.Unix(1, 0)", // a deadline that has passed, whatever the clock
 		"driver.go: wall := faults.WallClock()",
-		"driver.go: start: now, startMS: float64(wall.UnixMicro()) / 1000,",
-		`driver.go: boot: cfg.Name + "-" + strconv.FormatInt(wall.UnixNano(), 36), set: &cfg.Settings, names: cfg.Names,`,
+		"driver.go: start: now, startWallMS: float64(wall.UnixMicro()) / 1000,",
+		`driver.go: incarnation: cfg.Name + "-" + strconv.FormatInt(wall.UnixNano(), 36), settings: &cfg.Settings, names: cfg.Names,`,
 	}
 	if !slices.Equal(found, want) {
 		t.Errorf("the wall clock is read in\n%s", strings.Join(found, "\n"))
