--- a/cmd/gannethook/day.go
+++ b/cmd/gannethook/day.go
@@ -14,13 +14,13 @@
 	"gannethook/internal/scenario"
 )
 
-// errRules makes the exit status tell that a rule broke.
-var errRules = errors.New("a rule broke; see breaks.txt in the day's folder")
+// errRuleBroken makes the exit status tell that a rule broke.
+var errRuleBroken = errors.New("a rule broke; see breaks.txt in the day's folder")
 
 func dayCommand() *cobra.Command {
-	var dir, policies, chart, ops string
+	var dir, policies, chart, operationsChart string
 	var seeds []uint
-	var short float64
+	var stretch float64
 	cmd := &cobra.Command{
 		Use:   "day [SCRIPT]",
 		Short: "Play a scripted bad day through router processes and judge the five rules",
@@ -29,9 +29,9 @@
 			"the exit status is not 0 if one broke.",
 		Args: cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			script := func() (*scenario.Script, error) { return scenario.Parse("bad.gann", scenario.Bad) }
+			load := func() (*scenario.Script, error) { return scenario.Parse("bad.gann", scenario.Bad) }
 			if len(args) > 0 {
-				script = func() (*scenario.Script, error) { return scenario.Load(args[0]) }
+				load = func() (*scenario.Script, error) { return scenario.Load(args[0]) }
 			}
 			if dir == "" {
 				var err error
@@ -39,23 +39,23 @@
 					return err
 				}
 			}
-			return days(cmd, script, strings.Split(policies, ","), seeds, short, dir, chart, ops)
+			return playScenarios(cmd, load, strings.Split(policies, ","), seeds, stretch, dir, chart, operationsChart)
 		},
 	}
 	f := cmd.Flags()
 	f.StringVar(&dir, "dir", "", "folder for settings, logs and records; a new one if not given")
 	f.StringVar(&policies, "policy", "module", "module, random or round-robin; several with commas play one after the other")
 	f.StringVar(&chart, "chart", "", "draw the share served in time over the day into this file (svg, png or pdf)")
-	f.StringVar(&ops, "operations", "", "draw what drains and restarts took into this file; of the last day")
+	f.StringVar(&operationsChart, "operations", "", "draw what drains and restarts took into this file; of the last day")
 	f.UintSliceVar(&seeds, "seed", nil, "seeds to play; the script's if not given")
-	f.Float64Var(&short, "times", 1, "stretch all times of the script by this")
+	f.Float64Var(&stretch, "times", 1, "stretch all times of the script by this")
 	return cmd
 }
 
-// days plays a script with each policy and seed.
-func days(cmd *cobra.Command, load func() (*scenario.Script, error), policies []string, seeds []uint, times float64, dir, chart, ops string) error {
-	var list []*scenario.Result
-	ok := true
+// playScenarios plays a script with each policy and seed.
+func playScenarios(cmd *cobra.Command, load func() (*scenario.Script, error), policies []string, seeds []uint, stretch float64, dir, chart, operationsChart string) error {
+	var results []*scenario.Result
+	allKept := true
 	first, err := load()
 	if err != nil {
 		return err
@@ -70,50 +70,50 @@
 				return err
 			}
 			s.Seed = uint64(seed)
-			s.Stretch(times)
-			at := filepath.Join(dir, fmt.Sprintf("%s-%d", policy, seed))
-			if err := os.MkdirAll(at, 0o755); err != nil {
+			s.Stretch(stretch)
+			runDir := filepath.Join(dir, fmt.Sprintf("%s-%d", policy, seed))
+			if err := os.MkdirAll(runDir, 0o755); err != nil {
 				return err
 			}
-			r, err := scenario.Run(cmd.Context(), s, policy, at, command)
+			r, err := scenario.Run(cmd.Context(), s, policy, runDir, selfCommand)
 			if err != nil {
 				return err
 			}
 			r.Write(cmd.OutOrStdout())
-			fmt.Fprintf(cmd.OutOrStdout(), "records in %s\n\n", at)
-			ok = ok && (r.OK() || policy != "module")
-			list = append(list, r)
+			fmt.Fprintf(cmd.OutOrStdout(), "records in %s\n\n", runDir)
+			allKept = allKept && (r.OK() || policy != "module")
+			results = append(results, r)
 		}
 	}
-	if len(list) > 1 {
-		scenario.Compare(cmd.OutOrStdout(), list)
+	if len(results) > 1 {
+		scenario.Compare(cmd.OutOrStdout(), results)
 	}
-	if ops != "" {
-		if err := list[len(list)-1].ChartOperations(ops); err != nil {
+	if operationsChart != "" {
+		if err := results[len(results)-1].ChartOperations(operationsChart); err != nil {
 			return err
 		}
 	}
 	if chart != "" {
-		if err := scenario.Chart(chart, list); err != nil {
+		if err := scenario.Chart(chart, results); err != nil {
 			return err
 		}
 	}
-	if !ok {
-		return errRules
+	if !allKept {
+		return errRuleBroken
 	}
 	return nil
 }
 
-// beRouter makes a test's binary serve; the real one needs nothing.
-const beRouter = "GANNETHOOK_BE_ROUTER"
+// runProgramEnv makes a test's binary serve; the real one needs nothing.
+const runProgramEnv = "GANNETHOOK_BE_ROUTER"
 
-// command runs this very program.
-func command(args ...string) *exec.Cmd {
+// selfCommand runs this very program.
+func selfCommand(args ...string) *exec.Cmd {
 	self, err := os.Executable()
 	if err != nil {
 		self = os.Args[0]
 	}
 	cmd := exec.CommandContext(context.Background(), self, args...)
-	cmd.Env = append(os.Environ(), beRouter+"=1")
+	cmd.Env = append(os.Environ(), runProgramEnv+"=1")
 	return cmd
 }
--- a/cmd/gannethook/demo.go
+++ b/cmd/gannethook/demo.go
@@ -17,8 +17,8 @@
 	"gannethook/internal/standin"
 )
 
-// demoTime is far more than the demo takes.
-const demoTime = 30 * time.Second
+// demoTimeout is far more than the demo takes.
+const demoTimeout = 30 * time.Second
 
 func demoCommand() *cobra.Command {
 	var level string
@@ -27,11 +27,11 @@
 		Short: "One router, stand-in engines and roster on loopback; a few prompts, then it ends",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			log, _, err := logger(level)
+			log, _, err := newLogger(level)
 			if err != nil {
 				return err
 			}
-			ctx, cancel := context.WithTimeout(cmd.Context(), demoTime)
+			ctx, cancel := context.WithTimeout(cmd.Context(), demoTimeout)
 			defer cancel()
 			return demo(ctx, cmd.OutOrStdout(), log)
 		},
@@ -40,8 +40,8 @@
 	return cmd
 }
 
-// demoEngine is a stand-in's size.
-func demoEngine(writes bool) standin.Config {
+// demoEngineConfig is a stand-in's size.
+func demoEngineConfig(writes bool) standin.Config {
 	return standin.Config{Addr: "127.0.0.1:0", Writes: writes, Slots: 8, Queue: 32, Memory: 160000, ReadRate: 15000,
 		FetchRate: 200000, TokenGap: 15 * time.Millisecond, Early: 0.7, ColdFrom: 0.3, WarmAfter: 10 * time.Second,
 		Keep: 5 * time.Second, Extended: true, Seed: 7}
@@ -50,7 +50,7 @@
 func demo(ctx context.Context, out io.Writer, log *zap.Logger) error {
 	roster := standin.NewRoster("engines", nil)
 	for i := range 4 {
-		e := standin.NewEngine(demoEngine(i >= 2), nil, nil)
+		e := standin.NewEngine(demoEngineConfig(i >= 2), nil, nil)
 		if err := e.Start(false); err != nil {
 			return err
 		}
@@ -80,26 +80,26 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	return demoTalk(ctx, out, d.Addr())
+	return demoSession(ctx, out, d.Addr())
 }
 
-func demoTalk(ctx context.Context, out io.Writer, addr string) error {
+func demoSession(ctx context.Context, out io.Writer, addr string) error {
 	s, err := client.Open(ctx, addr, "demo")
 	if err != nil {
 		return err
 	}
 	defer s.Close()
 	defer context.AfterFunc(ctx, s.Cut)()
-	for i, ask := range []struct{ class, text string }{
+	for i, prompt := range []struct{ class, text string }{
 		{"question", "Why is my share of Friday's pool forty dollars short?"},
 		{"question", "And how were Saturday's hours counted?"},
 		{"adjustment", "Move two hours of Friday's closing shift to the kitchen pool."},
 	} {
-		fmt.Fprintf(out, "%s> %s\n", ask.class, ask.text)
-		if err := s.Say(ask.text); err != nil {
+		fmt.Fprintf(out, "%s> %s\n", prompt.class, prompt.text)
+		if err := s.Say(prompt.text); err != nil {
 			return err
 		}
-		if err := s.Request(map[string]string{"class": ask.class, "idempotency_key": fmt.Sprintf("demo-%d", i)}, 24); err != nil {
+		if err := s.Request(map[string]string{"class": prompt.class, "idempotency_key": fmt.Sprintf("demo-%d", i)}, 24); err != nil {
 			return err
 		}
 		a, err := s.Wait(func(text string) { fmt.Fprint(out, text) })
@@ -117,7 +117,7 @@
 
 func chatCommand() *cobra.Command {
 	var addr, model, class string
-	var most int
+	var maxTokens int
 	cmd := &cobra.Command{
 		Use:   "chat --router HOST:PORT",
 		Short: "Ask a router: a prompt a line in, tokens out",
@@ -129,20 +129,20 @@
 			}
 			defer s.Close()
 			defer context.AfterFunc(cmd.Context(), s.Cut)()
-			return chat(cmd.InOrStdin(), cmd.OutOrStdout(), s, class, most)
+			return chat(cmd.InOrStdin(), cmd.OutOrStdout(), s, class, maxTokens)
 		},
 	}
 	f := cmd.Flags()
 	f.StringVarP(&addr, "router", "r", "", "the router's host:port")
 	f.StringVar(&model, "model", "", "model to ask for")
 	f.StringVar(&class, "class", "", "class of the requests; the settings' first if not given")
-	f.IntVar(&most, "max-tokens", 0, "most tokens of an answer")
+	f.IntVar(&maxTokens, "max-tokens", 0, "most tokens of an answer")
 	cmd.MarkFlagRequired("router")
 	return cmd
 }
 
 // chat asks line by line; an answer that is not served ends it with an error.
-func chat(in io.Reader, out io.Writer, s *client.Session, class string, most int) error {
+func chat(in io.Reader, out io.Writer, s *client.Session, class string, maxTokens int) error {
 	lines := bufio.NewScanner(in)
 	for lines.Scan() {
 		if lines.Text() == "" {
@@ -151,11 +151,11 @@
 		if err := s.Say(lines.Text()); err != nil {
 			return err
 		}
-		meta := map[string]string{"idempotency_key": fmt.Sprintf("chat-%d-%d", os.Getpid(), time.Now().UnixNano())}
+		metadata := map[string]string{"idempotency_key": fmt.Sprintf("chat-%d-%d", os.Getpid(), time.Now().UnixNano())}
 		if class != "" {
-			meta["class"] = class
+			metadata["class"] = class
 		}
-		if err := s.Request(meta, most); err != nil {
+		if err := s.Request(metadata, maxTokens); err != nil {
 			return err
 		}
 		a, err := s.Wait(func(text string) { fmt.Fprint(out, text) })
--- a/cmd/gannethook/fleet.go
+++ b/cmd/gannethook/fleet.go
@@ -49,13 +49,13 @@
 	cmd.PersistentFlags().StringVarP(&f.file, "fleet", "f", os.Getenv("GANNETHOOK_FLEET"), "fleet file; by default $GANNETHOOK_FLEET")
 	cmd.PersistentFlags().BoolVar(&f.json, "json", false, "print JSON")
 	cmd.PersistentFlags().BoolVarP(&f.quiet, "quiet", "q", false, "no progress")
-	cmd.AddCommand(f.list(), f.looks("status", "Show how routers are", fleet.WriteStatus),
-		f.looks("limits", "Show what waits, what is in hand, and what was turned away and why", fleet.WriteLimits),
-		f.order("drain", "Let routers end what is open and take nothing new", pb.Command_DRAIN),
-		f.order("resume", "Have drained routers take sessions again", pb.Command_RESUME),
-		f.order("reload", "Have routers read their settings again", pb.Command_RELOAD),
-		f.order("restart", "Replace routers by successors that take their ports over", pb.Command_RESTART),
-		f.order("stop", "Drain routers and end them", pb.Command_STOP),
+	cmd.AddCommand(f.list(), f.statusCommand("status", "Show how routers are", fleet.WriteStatus),
+		f.statusCommand("limits", "Show what waits, what is in hand, and what was turned away and why", fleet.WriteLimits),
+		f.operationCommand("drain", "Let routers end what is open and take nothing new", pb.Command_DRAIN),
+		f.operationCommand("resume", "Have drained routers take sessions again", pb.Command_RESUME),
+		f.operationCommand("reload", "Have routers read their settings again", pb.Command_RELOAD),
+		f.operationCommand("restart", "Replace routers by successors that take their ports over", pb.Command_RESTART),
+		f.operationCommand("stop", "Drain routers and end them", pb.Command_STOP),
 		f.rollout(), f.watch(), f.top(), f.engines(), f.sessions(), f.diff(), f.logLevel(), f.rehearse())
 	return cmd
 }
@@ -76,39 +76,39 @@
 	return &fleet.Tool{File: file, Certs: certs, Err: cmd.ErrOrStderr(), Quiet: f.quiet || f.json}, nil
 }
 
-// pick finds the routers of a command line; with none given, all.
-func (f *fleetFlags) pick(cmd *cobra.Command, words []string) (*fleet.Tool, []fleet.Router, error) {
+// selectRouters finds the routers of a command line; with none given, all.
+func (f *fleetFlags) selectRouters(cmd *cobra.Command, selectors []string) (*fleet.Tool, []fleet.Router, error) {
 	t, err := f.tool(cmd)
 	if err != nil {
 		return nil, nil, err
 	}
-	if len(words) == 0 {
-		words = []string{"all"}
+	if len(selectors) == 0 {
+		selectors = []string{"all"}
 	}
-	list, err := t.File.Pick(words)
+	list, err := t.File.Pick(selectors)
 	return t, list, err
 }
 
-// complete offers names, centres and labels.
-func (f *fleetFlags) complete(*cobra.Command, []string, string) ([]string, cobra.ShellCompDirective) {
+// completeSelectors offers names, centres and labels.
+func (f *fleetFlags) completeSelectors(*cobra.Command, []string, string) ([]string, cobra.ShellCompDirective) {
 	file, err := fleet.Load(f.file)
 	if err != nil {
 		return nil, cobra.ShellCompDirectiveNoFileComp
 	}
 	seen := map[string]bool{"all": true}
-	words := []string{"all"}
+	selectors := []string{"all"}
 	for _, r := range file.Routers {
-		for _, w := range append([]string{r.Name, "centre=" + r.Centre}, prefixed("label=", r.Labels)...) {
-			if !seen[w] {
-				seen[w] = true
-				words = append(words, w)
+		for _, selector := range append([]string{r.Name, "centre=" + r.Centre}, addPrefix("label=", r.Labels)...) {
+			if !seen[selector] {
+				seen[selector] = true
+				selectors = append(selectors, selector)
 			}
 		}
 	}
-	return words, cobra.ShellCompDirectiveNoFileComp
+	return selectors, cobra.ShellCompDirectiveNoFileComp
 }
 
-func prefixed(prefix string, list []string) (out []string) {
+func addPrefix(prefix string, list []string) (out []string) {
 	for _, s := range list {
 		out = append(out, prefix+s)
 	}
@@ -116,9 +116,9 @@
 }
 
 func (f *fleetFlags) list() *cobra.Command {
-	return &cobra.Command{Use: "list [ROUTER...]", Short: "List routers as the fleet file has them", ValidArgsFunction: f.complete,
-		RunE: func(cmd *cobra.Command, words []string) error {
-			_, list, err := f.pick(cmd, words)
+	return &cobra.Command{Use: "list [ROUTER...]", Short: "List routers as the fleet file has them", ValidArgsFunction: f.completeSelectors,
+		RunE: func(cmd *cobra.Command, selectors []string) error {
+			_, list, err := f.selectRouters(cmd, selectors)
 			if err != nil {
 				return err
 			}
@@ -130,8 +130,8 @@
 		}}
 }
 
-// lookAt prints statuses as a table; routers that can't be reached are an exit code.
-func (f *fleetFlags) lookAt(cmd *cobra.Command, t *fleet.Tool, list []fleet.Router, table func(io.Writer, []fleet.Line)) error {
+// showStatus prints statuses as a table; routers that can't be reached are an exit code.
+func (f *fleetFlags) showStatus(cmd *cobra.Command, t *fleet.Tool, list []fleet.Router, table func(io.Writer, []fleet.Line)) error {
 	lines := t.Look(cmd.Context(), list)
 	if f.json {
 		if err := fleet.WriteJSON(cmd.OutOrStdout(), fleet.StatusJSON(lines)); err != nil {
@@ -151,20 +151,20 @@
 	return fleet.Judge(reports)
 }
 
-// looks makes a command that shows statuses as a table.
-func (f *fleetFlags) looks(name, short string, table func(io.Writer, []fleet.Line)) *cobra.Command {
-	return &cobra.Command{Use: name + " [ROUTER...]", Short: short, ValidArgsFunction: f.complete,
-		RunE: func(cmd *cobra.Command, words []string) error {
-			t, list, err := f.pick(cmd, words)
+// statusCommand makes a command that shows statuses as a table.
+func (f *fleetFlags) statusCommand(name, short string, table func(io.Writer, []fleet.Line)) *cobra.Command {
+	return &cobra.Command{Use: name + " [ROUTER...]", Short: short, ValidArgsFunction: f.completeSelectors,
+		RunE: func(cmd *cobra.Command, selectors []string) error {
+			t, list, err := f.selectRouters(cmd, selectors)
 			if err != nil {
 				return err
 			}
-			return f.lookAt(cmd, t, list, table)
+			return f.showStatus(cmd, t, list, table)
 		}}
 }
 
 // confirm asks before a command that is wide: of more than one router.
-func (f *fleetFlags) confirm(cmd *cobra.Command, what string, list []fleet.Router) error {
+func (f *fleetFlags) confirm(cmd *cobra.Command, action string, list []fleet.Router) error {
 	if f.yes || len(list) < 2 {
 		return nil
 	}
@@ -172,7 +172,7 @@
 	for _, r := range list {
 		names = append(names, r.Name)
 	}
-	fmt.Fprintf(cmd.ErrOrStderr(), "%s %d routers: %s\nGo on? [y/N] ", what, len(list), strings.Join(names, " "))
+	fmt.Fprintf(cmd.ErrOrStderr(), "%s %d routers: %s\nGo on? [y/N] ", action, len(list), strings.Join(names, " "))
 	answer, _ := bufio.NewReader(cmd.InOrStdin()).ReadString('\n')
 	if a := strings.ToLower(strings.TrimSpace(answer)); a != "y" && a != "yes" {
 		return errors.New("not confirmed; nothing was sent (--yes confirms beforehand)")
@@ -180,20 +180,20 @@
 	return nil
 }
 
-func (f *fleetFlags) order(name, short string, op pb.Command_Op) *cobra.Command {
-	o := fleet.Order{Op: op}
-	var atOnce int
-	var goOn bool
-	cmd := &cobra.Command{Use: name + " ROUTER...", Short: short, Args: cobra.MinimumNArgs(1), ValidArgsFunction: f.complete,
-		RunE: func(cmd *cobra.Command, words []string) error {
-			t, list, err := f.pick(cmd, words)
+func (f *fleetFlags) operationCommand(name, short string, op pb.Command_Op) *cobra.Command {
+	order := fleet.Order{Op: op}
+	var parallel int
+	var continueOnFailure bool
+	cmd := &cobra.Command{Use: name + " ROUTER...", Short: short, Args: cobra.MinimumNArgs(1), ValidArgsFunction: f.completeSelectors,
+		RunE: func(cmd *cobra.Command, selectors []string) error {
+			t, list, err := f.selectRouters(cmd, selectors)
 			if err != nil {
 				return err
 			}
 			if err := f.confirm(cmd, name, list); err != nil {
 				return err
 			}
-			reports := t.Do(cmd.Context(), list, o, atOnce, !goOn)
+			reports := t.Do(cmd.Context(), list, order, parallel, !continueOnFailure)
 			if f.json {
 				if err := fleet.WriteJSON(cmd.OutOrStdout(), reports); err != nil {
 					return err
@@ -204,40 +204,40 @@
 			return fleet.Judge(reports)
 		}}
 	cmd.Flags().BoolVarP(&f.yes, "yes", "y", false, "do not ask before a command to several routers")
-	cmd.Flags().IntVar(&atOnce, "at-once", 1, "so many routers at a time")
-	cmd.Flags().BoolVar(&goOn, "go-on", false, "go on after a router that did not do it")
+	cmd.Flags().IntVar(&parallel, "at-once", 1, "so many routers at a time")
+	cmd.Flags().BoolVar(&continueOnFailure, "go-on", false, "go on after a router that did not do it")
 	if op != pb.Command_RESUME && op != pb.Command_RELOAD {
-		cmd.Flags().DurationVar(&o.Limit, "limit", 0, "what is open then is failed; by default (times (drain ...)) of the fleet file")
+		cmd.Flags().DurationVar(&order.Limit, "limit", 0, "what is open then is failed; by default (times (drain ...)) of the fleet file")
 	}
 	if op == pb.Command_RESTART {
-		cmd.Flags().StringVar(&o.Release, "release", "", "release that the successor runs; by default the same program")
-		cmd.Flags().BoolVar(&o.NoWait, "no-wait", false, "do not wait for the predecessor to end")
+		cmd.Flags().StringVar(&order.Release, "release", "", "release that the successor runs; by default the same program")
+		cmd.Flags().BoolVar(&order.NoWait, "no-wait", false, "do not wait for the predecessor to end")
 	}
 	return cmd
 }
 
 func (f *fleetFlags) rollout() *cobra.Command {
 	var release, journal string
-	var plan bool
-	cmd := &cobra.Command{Use: "rollout [ROUTER...]", Short: "Restart many routers under the fleet file's constraints", ValidArgsFunction: f.complete,
+	var planOnly bool
+	cmd := &cobra.Command{Use: "rollout [ROUTER...]", Short: "Restart many routers under the fleet file's constraints", ValidArgsFunction: f.completeSelectors,
 		Long: `Restart many routers under the constraints of the fleet file's (rollout ...).
 
 Decisions are kept in a journal on disk: a rollout whose tool died goes on when
 the same command is given again.`,
-		RunE: func(cmd *cobra.Command, words []string) error {
-			t, list, err := f.pick(cmd, words)
+		RunE: func(cmd *cobra.Command, selectors []string) error {
+			t, list, err := f.selectRouters(cmd, selectors)
 			if err != nil {
 				return err
 			}
 			if err := t.File.Possible(list); err != nil {
 				return err
 			}
-			if plan {
-				s := t.Plan(list)
+			if planOnly {
+				plan := t.Plan(list)
 				if f.json {
-					return fleet.WriteJSON(cmd.OutOrStdout(), s)
+					return fleet.WriteJSON(cmd.OutOrStdout(), plan)
 				}
-				fleet.WritePlan(cmd.OutOrStdout(), s)
+				fleet.WritePlan(cmd.OutOrStdout(), plan)
 				return nil
 			}
 			if err := f.confirm(cmd, "roll out over", list); err != nil {
@@ -246,22 +246,22 @@
 			if journal == "" {
 				journal = filepath.Join(filepath.Dir(f.file), t.File.Name+".rollout")
 			}
-			return f.roll(cmd, t, list, release, journal)
+			return f.runRollout(cmd, t, list, release, journal)
 		}}
 	cmd.Flags().BoolVarP(&f.yes, "yes", "y", false, "do not ask")
 	cmd.Flags().StringVar(&release, "release", "", "release that the successors run; by default the same program")
 	cmd.Flags().StringVar(&journal, "journal", "", "journal's file; by default beside the fleet file")
-	cmd.Flags().BoolVar(&plan, "plan", false, "print the plan and do nothing")
+	cmd.Flags().BoolVar(&planOnly, "plan", false, "print the plan and do nothing")
 	return cmd
 }
 
-func (f *fleetFlags) roll(cmd *cobra.Command, t *fleet.Tool, list []fleet.Router, release, journal string) error {
+func (f *fleetFlags) runRollout(cmd *cobra.Command, t *fleet.Tool, list []fleet.Router, release, journal string) error {
 	j, err := fleet.OpenJournal(journal)
 	if err != nil {
 		return err
 	}
 	defer j.Close()
-	end, err := t.Roll(cmd.Context(), list, release, j, func(at time.Duration, kind, router, text string) {
+	outcome, err := t.Roll(cmd.Context(), list, release, j, func(at time.Duration, kind, router, text string) {
 		switch {
 		case f.json:
 			fleet.WriteJSON(cmd.OutOrStdout(), map[string]any{"at_ms": at.Milliseconds(), "kind": kind, "router": router, "text": text})
@@ -274,8 +274,8 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintln(cmd.OutOrStdout(), end)
-	switch end {
+	fmt.Fprintln(cmd.OutOrStdout(), outcome)
+	switch outcome {
 	case rollout.AllDone:
 		return nil
 	case rollout.RolledBack:
@@ -286,9 +286,9 @@
 
 func (f *fleetFlags) watch() *cobra.Command {
 	var once bool
-	cmd := &cobra.Command{Use: "watch [ROUTER...]", Short: "Follow what routers report", ValidArgsFunction: f.complete,
-		RunE: func(cmd *cobra.Command, words []string) error {
-			t, list, err := f.pick(cmd, words)
+	cmd := &cobra.Command{Use: "watch [ROUTER...]", Short: "Follow what routers report", ValidArgsFunction: f.completeSelectors,
+		RunE: func(cmd *cobra.Command, selectors []string) error {
+			t, list, err := f.selectRouters(cmd, selectors)
 			if err != nil {
 				return err
 			}
@@ -321,21 +321,21 @@
 }
 
 func (f *fleetFlags) top() *cobra.Command {
-	var every time.Duration
-	var times int
-	cmd := &cobra.Command{Use: "top [ROUTER...]", Short: "Show how routers are, again and again", ValidArgsFunction: f.complete,
-		RunE: func(cmd *cobra.Command, words []string) error {
-			t, list, err := f.pick(cmd, words)
+	var interval time.Duration
+	var refreshes int
+	cmd := &cobra.Command{Use: "top [ROUTER...]", Short: "Show how routers are, again and again", ValidArgsFunction: f.completeSelectors,
+		RunE: func(cmd *cobra.Command, selectors []string) error {
+			t, list, err := f.selectRouters(cmd, selectors)
 			if err != nil {
 				return err
 			}
-			tick := time.NewTicker(max(every, 100*time.Millisecond))
+			tick := time.NewTicker(max(interval, 100*time.Millisecond))
 			defer tick.Stop()
 			for n := 1; ; n++ {
-				if times != 1 {
+				if refreshes != 1 {
 					fmt.Fprint(cmd.OutOrStdout(), "\x1b[H\x1b[2J")
 				}
-				if err = f.lookAt(cmd, t, list, fleet.WriteStatus); n == times {
+				if err = f.showStatus(cmd, t, list, fleet.WriteStatus); n == refreshes {
 					return err
 				}
 				select {
@@ -345,16 +345,16 @@
 				}
 			}
 		}}
-	cmd.Flags().DurationVar(&every, "every", 2*time.Second, "between two looks")
-	cmd.Flags().IntVar(&times, "times", 0, "so many looks; 0 goes on until interrupted")
+	cmd.Flags().DurationVar(&interval, "every", 2*time.Second, "between two looks")
+	cmd.Flags().IntVar(&refreshes, "times", 0, "so many looks; 0 goes on until interrupted")
 	return cmd
 }
 
-// one makes a command that asks each router something.
-func (f *fleetFlags) one(use, short string, do func(ctx context.Context, cmd *cobra.Command, l *fleet.Link) error) *cobra.Command {
-	return &cobra.Command{Use: use + " ROUTER...", Short: short, Args: cobra.MinimumNArgs(1), ValidArgsFunction: f.complete,
-		RunE: func(cmd *cobra.Command, words []string) error {
-			t, list, err := f.pick(cmd, words)
+// perRouterCommand makes a command that asks each router something.
+func (f *fleetFlags) perRouterCommand(use, short string, do func(ctx context.Context, cmd *cobra.Command, l *fleet.Link) error) *cobra.Command {
+	return &cobra.Command{Use: use + " ROUTER...", Short: short, Args: cobra.MinimumNArgs(1), ValidArgsFunction: f.completeSelectors,
+		RunE: func(cmd *cobra.Command, selectors []string) error {
+			t, list, err := f.selectRouters(cmd, selectors)
 			if err != nil {
 				return err
 			}
@@ -375,29 +375,29 @@
 }
 
 func (f *fleetFlags) engines() *cobra.Command {
-	return f.one("engines", "Show the engines as routers see them", func(ctx context.Context, cmd *cobra.Command, l *fleet.Link) error {
+	return f.perRouterCommand("engines", "Show the engines as routers see them", func(ctx context.Context, cmd *cobra.Command, l *fleet.Link) error {
 		return l.Engines(ctx, cmd.OutOrStdout())
 	})
 }
 
 func (f *fleetFlags) sessions() *cobra.Command {
-	var most int
-	cmd := f.one("sessions", "Show open sessions", func(ctx context.Context, cmd *cobra.Command, l *fleet.Link) error {
-		return l.Sessions(ctx, cmd.OutOrStdout(), most)
+	var limit int
+	cmd := f.perRouterCommand("sessions", "Show open sessions", func(ctx context.Context, cmd *cobra.Command, l *fleet.Link) error {
+		return l.Sessions(ctx, cmd.OutOrStdout(), limit)
 	})
-	cmd.Flags().IntVar(&most, "most", 100, "show so many at the most")
+	cmd.Flags().IntVar(&limit, "most", 100, "show so many at the most")
 	return cmd
 }
 
 func (f *fleetFlags) diff() *cobra.Command {
-	return f.one("diff", "Compare the settings that run with their files", func(ctx context.Context, cmd *cobra.Command, l *fleet.Link) error {
+	return f.perRouterCommand("diff", "Compare the settings that run with their files", func(ctx context.Context, cmd *cobra.Command, l *fleet.Link) error {
 		return l.Diff(ctx, cmd.OutOrStdout())
 	})
 }
 
 func (f *fleetFlags) logLevel() *cobra.Command {
 	var level string
-	cmd := f.one("log-level", "Show or set the log's level", func(ctx context.Context, cmd *cobra.Command, l *fleet.Link) error {
+	cmd := f.perRouterCommand("log-level", "Show or set the log's level", func(ctx context.Context, cmd *cobra.Command, l *fleet.Link) error {
 		got, err := l.LogLevel(ctx, level)
 		if err == nil {
 			fmt.Fprintf(cmd.OutOrStdout(), "%s: %s\n", l.Name, got)
@@ -410,16 +410,16 @@
 
 func (f *fleetFlags) rehearse() *cobra.Command {
 	r := rollout.Rehearsal{Target: "new"}
-	var seeds, madeUp int
-	cmd := &cobra.Command{Use: "rehearse [ROUTER...]", Short: "Play a rollout against simulated routers, in simulated time", ValidArgsFunction: f.complete,
-		RunE: func(cmd *cobra.Command, words []string) error {
-			t, list, err := f.pick(cmd, words)
+	var seeds, synthetic int
+	cmd := &cobra.Command{Use: "rehearse [ROUTER...]", Short: "Play a rollout against simulated routers, in simulated time", ValidArgsFunction: f.completeSelectors,
+		RunE: func(cmd *cobra.Command, selectors []string) error {
+			t, list, err := f.selectRouters(cmd, selectors)
 			if err != nil {
 				return err
 			}
 			r.All, r.Todo, r.Lim = t.File.Members(t.File.Routers), t.File.Members(list), t.File.Limits()
-			if madeUp > 0 {
-				r.All = rollout.MadeUp(madeUp, 2, t.File.Rollout.Expect, 1)
+			if synthetic > 0 {
+				r.All = rollout.MadeUp(synthetic, 2, t.File.Rollout.Expect, 1)
 				r.Todo = r.All
 			} else if err := t.File.Possible(list); err != nil {
 				return err
@@ -430,14 +430,14 @@
 			fmt.Fprintf(cmd.OutOrStdout(), "plan %v, no order is shorter than %v (simulated)\n", plan.Length.Round(time.Second), plan.Bound.Round(time.Second))
 			for seed := range seeds {
 				r.Seed = uint64(seed) + 1
-				p := r.Play()
+				result := r.Play()
 				fmt.Fprintf(cmd.OutOrStdout(), "seed %d: %v after %v, %.2f times the bound; %d restarts; at the least %.0f%% up, at the most %d down in a centre; limits broken %d times\n",
-					r.Seed, p.How, p.Took.Round(time.Second), p.Took.Seconds()/max(plan.Bound.Seconds(), 1), p.Restarts, 100*p.LeastUp, p.MostDown, len(p.Broken))
+					r.Seed, result.How, result.Took.Round(time.Second), result.Took.Seconds()/max(plan.Bound.Seconds(), 1), result.Restarts, 100*result.LeastUp, result.MostDown, len(result.Broken))
 			}
 			return nil
 		}}
 	cmd.Flags().IntVar(&seeds, "seeds", 3, "play it so many times")
-	cmd.Flags().IntVar(&madeUp, "made-up", 0, "so many made-up routers in two centres, in place of the fleet file's")
+	cmd.Flags().IntVar(&synthetic, "made-up", 0, "so many made-up routers in two centres, in place of the fleet file's")
 	cmd.Flags().Float64Var(&r.Spread, "spread", 0.2, "restarts take this part more or less than expected")
 	cmd.Flags().IntVar(&r.Lose, "lose", 0, "so many routers die in the middle of their restart")
 	cmd.Flags().DurationVar(&r.Back, "back", time.Minute, "and are back after so long")
--- a/cmd/gannethook/fleet_test.go
+++ b/cmd/gannethook/fleet_test.go
@@ -23,8 +23,8 @@
 	"gannethook/internal/standin"
 )
 
-// rig is a few routers as processes, before stand-ins in this one.
-type rig struct {
+// testFleet is a few routers as processes, before stand-ins in this one.
+type testFleet struct {
 	t     *testing.T
 	dir   string
 	file  string
@@ -33,10 +33,10 @@
 	start map[string]func()
 }
 
-// newRig starts routers; extra goes into each one's (control ...), rollout into the fleet file.
-func newRig(t *testing.T, n int, extra, rollout string) *rig {
+// newTestFleet starts routers; extra goes into each one's (control ...), rollout into the fleet file.
+func newTestFleet(t *testing.T, n int, extra, rollout string) *testFleet {
 	t.Helper()
-	r := &rig{t: t, dir: t.TempDir(), addrs: map[string]string{}, start: map[string]func(){}}
+	r := &testFleet{t: t, dir: t.TempDir(), addrs: map[string]string{}, start: map[string]func(){}}
 	roster := standin.NewRoster("engines", nil)
 	for i, kind := range []string{"prompt", "answer"} {
 		e := standin.NewEngine(standin.Config{Addr: "127.0.0.1:0", Writes: i == 1, Slots: 64, Queue: 64, Memory: 1e6, ReadRate: 1e6,
@@ -58,14 +58,14 @@
 		r.names = append(r.names, name)
 		text += fmt.Sprintf("(router %s (at %q) (centre %s))\n", name, "unix:"+filepath.Join(r.dir, name, "control.sock"), []string{"north", "south"}[i%2])
 		r.config(name, api, extra)
-		r.start[name] = func() { r.run(name) }
-		r.run(name)
+		r.start[name] = func() { r.startRouter(name) }
+		r.startRouter(name)
 	}
 	r.file = filepath.Join(r.dir, "fleet.gann")
 	if err := os.WriteFile(r.file, []byte(text), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	r.ready()
+	r.waitReady()
 	return r
 }
 
@@ -80,9 +80,9 @@
 	return addr
 }
 
-func (r *rig) path(name string) string { return filepath.Join(r.dir, name+".gann") }
+func (r *testFleet) path(name string) string { return filepath.Join(r.dir, name+".gann") }
 
-func (r *rig) config(name, api, extra string) {
+func (r *testFleet) config(name, api, extra string) {
 	r.addrs[name] = freeAddr(r.t)
 	text := strings.Replace(settings.Default, "(name demo)", "(name "+name+")", 1)
 	text = strings.Replace(text, `(listen "127.0.0.1:0")`, `(listen "`+r.addrs[name]+`")`, 1)
@@ -93,14 +93,14 @@
 	}
 }
 
-// run starts a router in a process group of its own, which ends with the test.
-func (r *rig) run(name string) {
+// startRouter starts a router in a process group of its own, which ends with the test.
+func (r *testFleet) startRouter(name string) {
 	r.t.Helper()
 	cmd := exec.Command(os.Args[0], "serve", "--config", r.path(name), "--log", "error")
 	if b := filepath.Join(r.dir, "releases", "v1", "gannethook"); unix.Access(b, unix.X_OK) == nil {
 		cmd.Path, cmd.Args[0] = b, b
 	}
-	cmd.Env = append(os.Environ(), beRouter+"=1")
+	cmd.Env = append(os.Environ(), runProgramEnv+"=1")
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	cmd.Stderr = os.Stderr
 	if err := cmd.Start(); err != nil {
@@ -112,8 +112,8 @@
 	})
 }
 
-// ready waits until every router is.
-func (r *rig) ready() {
+// waitReady waits until every router is.
+func (r *testFleet) waitReady() {
 	r.t.Helper()
 	for end := time.Now().Add(10 * time.Second); ; time.Sleep(10 * time.Millisecond) {
 		if _, code := r.fleet("status"); code == 0 {
@@ -127,7 +127,7 @@
 }
 
 // fleet runs the tool and returns what it prints and its exit status.
-func (r *rig) fleet(args ...string) (string, int) {
+func (r *testFleet) fleet(args ...string) (string, int) {
 	r.t.Helper()
 	out, err := run(r.t, append([]string{"fleet", "--fleet", r.file}, args...)...)
 	if err != nil {
@@ -137,7 +137,7 @@
 }
 
 // expect runs the tool and checks its exit status and a part of what it prints.
-func (r *rig) expect(code int, part string, args ...string) string {
+func (r *testFleet) expect(code int, part string, args ...string) string {
 	r.t.Helper()
 	out, got := r.fleet(args...)
 	if got != code || !strings.Contains(out, part) {
@@ -146,7 +146,7 @@
 	return out
 }
 
-func (r *rig) pid(name string) int {
+func (r *testFleet) pid(name string) int {
 	r.t.Helper()
 	text, err := os.ReadFile(filepath.Join(r.dir, name, "pid"))
 	if err != nil {
@@ -158,7 +158,7 @@
 }
 
 // status is one router's, as JSON has it.
-func (r *rig) status(name string) map[string]any {
+func (r *testFleet) status(name string) map[string]any {
 	r.t.Helper()
 	out, _ := r.fleet("--json", "status", name)
 	var list []struct{ Status map[string]any }
@@ -168,8 +168,8 @@
 	return list[0].Status
 }
 
-// answer asks a router for tokens in a session of its own; the answer comes later.
-func (r *rig) answer(name string, tokens int) <-chan *client.Answer {
+// startAnswer asks a router for tokens in a session of its own; the answer comes later.
+func (r *testFleet) startAnswer(name string, tokens int) <-chan *client.Answer {
 	r.t.Helper()
 	s, err := client.Open(context.Background(), r.addrs[name], "m")
 	if err != nil {
@@ -194,14 +194,14 @@
 // A restart hands the ports over: the answer under way ends at the old process,
 // new sessions open at the new one, and a second restart works as the first.
 func TestRestart(t *testing.T) {
-	r := newRig(t, 1, "", "")
+	r := newTestFleet(t, 1, "", "")
 	for range 2 {
-		before, a := r.pid("r0"), r.answer("r0", 60)
+		before, a := r.pid("r0"), r.startAnswer("r0", 60)
 		r.expect(0, "done", "restart", "r0")
 		if !served(<-a) {
 			t.Error("the answer under way was not served")
 		}
-		if r.pid("r0") == before || !served(<-r.answer("r0", 3)) {
+		if r.pid("r0") == before || !served(<-r.startAnswer("r0", 3)) {
 			t.Error("no new life, or it serves nothing")
 		}
 	}
@@ -213,8 +213,8 @@
 // An adjustment is in flight when its router drains: it is served. What does
 // not end by the deadline is failed, and the tool says so.
 func TestDrain(t *testing.T) {
-	r := newRig(t, 1, "", "")
-	a := r.answer("r0", 40)
+	r := newTestFleet(t, 1, "", "")
+	a := r.startAnswer("r0", 40)
 	out := make(chan int, 2)
 	for range 2 { // two operators
 		go func() {
@@ -239,13 +239,13 @@
 	text, _ := os.ReadFile(r.path("r0")) // for the stop by a signal, below
 	os.WriteFile(r.path("r0"), []byte(strings.Replace(string(text), "(drain 8s)", "(drain 300ms)", 1)), 0o644)
 	r.expect(0, "done", "reload", "r0")
-	a = r.answer("r0", 190)
+	a = r.startAnswer("r0", 190)
 	r.expect(0, "some answers failed at the deadline", "drain", "r0", "--limit", "300ms")
 	if end := <-a; end == nil || end.Status == "completed" {
 		t.Errorf("%+v: an answer beyond the deadline", end)
 	}
 	r.expect(0, "done", "resume", "r0")
-	a = r.answer("r0", 190) // takes 3.8 s
+	a = r.startAnswer("r0", 190) // takes 3.8 s
 	from := time.Now()
 	syscall.Kill(r.pid("r0"), syscall.SIGTERM)
 	if end := <-a; end == nil || end.Status == "completed" || time.Since(from) > 3*time.Second {
@@ -255,7 +255,7 @@
 
 // Broken settings change nothing: not by a reload, and not by a restart.
 func TestBrokenSettings(t *testing.T) {
-	r := newRig(t, 1, "(start 1s)", "")
+	r := newTestFleet(t, 1, "(start 1s)", "")
 	before := r.pid("r0")
 	good, _ := os.ReadFile(r.path("r0"))
 	os.WriteFile(r.path("r0"), append(good, "(lissen x)"...), 0o644)
@@ -267,7 +267,7 @@
 	os.WriteFile(r.path("r0"), []byte(noRoster), 0o644)
 	r.expect(fleet.ExitRefused, "the roster was not heard in time", "restart", "r0")
 	r.expect(0, "ready", "status", "r0") // its socket and pid are where they were
-	if r.pid("r0") != before || !served(<-r.answer("r0", 3)) {
+	if r.pid("r0") != before || !served(<-r.startAnswer("r0", 3)) {
 		t.Error("the router did not go on")
 	}
 	text := strings.Replace(string(good), "(aim 1500ms)", "(aim 1200ms)", 1)
@@ -282,14 +282,14 @@
 	if out := r.expect(0, "by a restart", "diff", "r0"); strings.Contains(out, "aim") {
 		t.Error(out)
 	}
-	if !served(<-r.answer("r0", 3)) {
+	if !served(<-r.startAnswer("r0", 3)) {
 		t.Error("nothing is served after the reload")
 	}
 }
 
 func TestViews(t *testing.T) {
-	r := newRig(t, 2, "", "")
-	a := r.answer("r0", 60)
+	r := newTestFleet(t, 2, "", "")
+	a := r.startAnswer("r0", 60)
 	r.expect(0, "r1", "list")
 	r.expect(0, "1 of 1 sessions", "sessions", "r0")
 	r.expect(0, "writer", "engines", "r0")
@@ -307,8 +307,8 @@
 	}
 }
 
-// releases makes folders of releases: two that work, and one that does not come up.
-func releases(t *testing.T) string {
+// makeReleases makes folders of releases: two that work, and one that does not come up.
+func makeReleases(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
 	for _, name := range []string{"v1", "v2", "bad"} {
@@ -327,9 +327,9 @@
 	return dir
 }
 
-const quickly = "(rollout (share 0.5) (centre-share 0) (down 1) (canaries 1) (watch 300ms) (settle 200ms) (look 100ms) (silence 500ms) (expect 2s) (patience 20s) (service 0))"
+const fastRollout = "(rollout (share 0.5) (centre-share 0) (down 1) (canaries 1) (watch 300ms) (settle 200ms) (look 100ms) (silence 500ms) (expect 2s) (patience 20s) (service 0))"
 
-func (r *rig) onRelease(want string) {
+func (r *testFleet) expectRelease(want string) {
 	r.t.Helper()
 	for _, name := range r.names {
 		if got := r.status(name)["release"]; got != want {
@@ -341,11 +341,11 @@
 // A rollout over real routers: to a release that works, with the tool killed
 // half way, and to one that does not come up.
 func TestRollout(t *testing.T) {
-	dir := releases(t)
-	r := newRig(t, 4, fmt.Sprintf("(releases %q)", dir), quickly)
+	dir := makeReleases(t)
+	r := newTestFleet(t, 4, fmt.Sprintf("(releases %q)", dir), fastRollout)
 	r.expect(0, "4 restarts", "rollout", "--plan")
 	r.expect(0, "all done after", "rehearse", "--seeds", "1")
-	tool := command("fleet", "--fleet", r.file, "rollout", "--yes", "--release", "v1")
+	tool := selfCommand("fleet", "--fleet", r.file, "rollout", "--yes", "--release", "v1")
 	var out bytes.Buffer
 	pipe, err := tool.StdoutPipe()
 	if err != nil {
@@ -366,11 +366,11 @@
 	if out := r.expect(0, "going on with rollout", "rollout", "--yes", "--release", "v1"); strings.Count(out, ": to release") > 4 {
 		t.Error(out)
 	}
-	r.onRelease("v1")
+	r.expectRelease("v1")
 	r.expect(fleet.ExitRolledBack, "rolled back", "rollout", "--yes", "--release", "bad")
-	r.onRelease("v1")
+	r.expectRelease("v1")
 	r.expect(fleet.ExitRefused, "a name without / is due", "restart", "r0", "--release", "../v1")
-	if !served(<-r.answer("r3", 3)) {
+	if !served(<-r.startAnswer("r3", 3)) {
 		t.Error("not served after the rollouts")
 	}
 }
@@ -390,26 +390,26 @@
 	cert("operator", "ann", "--out", dir)
 	cert("read-only", "bob", "--out", dir)
 	port := freeAddr(t)
-	r := newRig(t, 1, fmt.Sprintf("(listen %q) (domain fleet.test) (cert %q) (key %q) (authority %q)", port, at("r0.pem"), at("r0.key"),
+	r := newTestFleet(t, 1, fmt.Sprintf("(listen %q) (domain fleet.test) (cert %q) (key %q) (authority %q)", port, at("r0.pem"), at("r0.key"),
 		at("authority/authority.pem")), "")
-	as := func(who, router string) {
+	writeFleetFile := func(operator, router string) {
 		text := fmt.Sprintf("(fleet f) (domain fleet.test) (cert %q) (key %q) (authority %q) (times (call 1s) (start 8s)) %s\n(router %s (at %q) (centre n))",
-			at(who+".pem"), at(who+".key"), at("authority/authority.pem"), strings.Replace(quickly, "0.5", "0", 1), router, port)
+			at(operator+".pem"), at(operator+".key"), at("authority/authority.pem"), strings.Replace(fastRollout, "0.5", "0", 1), router, port)
 		os.WriteFile(r.file, []byte(text), 0o644)
 	}
-	as("bob", "r0")
+	writeFleetFile("bob", "r0")
 	r.expect(0, "ready", "status")
 	r.expect(fleet.ExitRefused, "PermissionDenied", "drain", "r0")
-	as("ann", "r0")
+	writeFleetFile("ann", "r0")
 	r.expect(0, "done", "restart", "r0")
-	as("ann", "r1") // another router answers there than the file says
+	writeFleetFile("ann", "r1") // another router answers there than the file says
 	r.expect(fleet.ExitUnreachable, "", "status")
-	as("r0", "r0") // a router's certificate is no operator's
+	writeFleetFile("r0", "r0") // a router's certificate is no operator's
 	r.expect(fleet.ExitUnreachable, "PermissionDenied", "status")
 
 	// The operator's certificate ends before the rollout and is renewed in the middle of it.
 	cert("operator", "eve", "--out", dir, "--valid", "-1s")
-	as("eve", "r0")
+	writeFleetFile("eve", "r0")
 	r.expect(fleet.ExitUnreachable, "", "status")
 	done := make(chan string, 1)
 	go func() {
@@ -425,8 +425,8 @@
 
 // A router that died is taken up by its next life; a second process is kept out.
 func TestLock(t *testing.T) {
-	r := newRig(t, 1, "", "")
-	second := command("serve", "--config", r.path("r0"), "--log", "error")
+	r := newTestFleet(t, 1, "", "")
+	second := selfCommand("serve", "--config", r.path("r0"), "--log", "error")
 	out, err := second.CombinedOutput()
 	var ee *exec.ExitError
 	if !errors.As(err, &ee) || !strings.Contains(string(out), fmt.Sprintf("is held by process %d", r.pid("r0"))) {
@@ -437,21 +437,21 @@
 		_, code = r.fleet("status")
 	}
 	r.start["r0"]()
-	r.ready()
-	if !served(<-r.answer("r0", 3)) {
+	r.waitReady()
+	if !served(<-r.startAnswer("r0", 3)) {
 		t.Error("not served after a death")
 	}
 }
 
 // As systemd has it: the socket is handed in, readiness and the new main process are told.
 func TestSystemd(t *testing.T) {
-	r := newRig(t, 1, "", "")
+	r := newTestFleet(t, 1, "", "")
 	r.expect(0, "done", "stop", "r0")
-	told, err := net.ListenUnixgram("unixgram", &net.UnixAddr{Net: "unixgram", Name: filepath.Join(r.dir, "notify")})
+	notifySocket, err := net.ListenUnixgram("unixgram", &net.UnixAddr{Net: "unixgram", Name: filepath.Join(r.dir, "notify")})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer told.Close()
+	defer notifySocket.Close()
 	ln, err := net.Listen("tcp", "127.0.0.1:0") // not the settings' port: only the one handed in can answer here
 	if err != nil {
 		t.Fatal(err)
@@ -464,18 +464,18 @@
 	defer file.Close()
 	r.addrs["r0"] = ln.Addr().String()
 	cmd := exec.Command("/bin/sh", "-c", `LISTEN_PID=$$ exec "$0" serve --config "$1" --log error`, os.Args[0], r.path("r0"))
-	cmd.Env = append(os.Environ(), beRouter+"=1", "LISTEN_FDS=1", "LISTEN_FDNAMES=listen", "NOTIFY_SOCKET="+told.LocalAddr().String())
+	cmd.Env = append(os.Environ(), runProgramEnv+"=1", "LISTEN_FDS=1", "LISTEN_FDNAMES=listen", "NOTIFY_SOCKET="+notifySocket.LocalAddr().String())
 	cmd.ExtraFiles, cmd.Stderr = []*os.File{file}, os.Stderr
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
 	defer func() { syscall.Kill(-cmd.Process.Pid, syscall.SIGKILL); cmd.Wait() }()
-	hear := func(part string) {
+	expectNotification := func(part string) {
 		t.Helper()
-		told.SetReadDeadline(time.Now().Add(10 * time.Second))
+		notifySocket.SetReadDeadline(time.Now().Add(10 * time.Second))
 		for buf := make([]byte, 4096); ; {
-			n, err := told.Read(buf)
+			n, err := notifySocket.Read(buf)
 			if err != nil {
 				t.Fatalf("%q was not told: %v", part, err)
 			}
@@ -484,26 +484,26 @@
 			}
 		}
 	}
-	hear(fmt.Sprintf("READY=1\nMAINPID=%d", cmd.Process.Pid))
-	r.ready()
-	if !served(<-r.answer("r0", 3)) {
+	expectNotification(fmt.Sprintf("READY=1\nMAINPID=%d", cmd.Process.Pid))
+	r.waitReady()
+	if !served(<-r.startAnswer("r0", 3)) {
 		t.Error("the socket that was handed in serves nothing")
 	}
 	syscall.Kill(cmd.Process.Pid, syscall.SIGHUP)
-	hear("RELOADING=1\nMONOTONIC_USEC=")
-	hear("READY=1")
+	expectNotification("RELOADING=1\nMONOTONIC_USEC=")
+	expectNotification("READY=1")
 	syscall.Kill(cmd.Process.Pid, syscall.SIGUSR2)
-	hear("READY=1\nMAINPID=")
+	expectNotification("READY=1\nMAINPID=")
 	for end := time.Now().Add(5 * time.Second); r.status("r0")["predecessor"] != nil && time.Now().Before(end); {
 	}
-	if pid := r.pid("r0"); pid == cmd.Process.Pid || !served(<-r.answer("r0", 3)) {
+	if pid := r.pid("r0"); pid == cmd.Process.Pid || !served(<-r.startAnswer("r0", 3)) {
 		t.Errorf("process %d after SIGUSR2, or it serves nothing", pid)
 	}
 	// A second signal cuts a stop short.
-	a := r.answer("r0", 190)
+	a := r.startAnswer("r0", 190)
 	pid := r.pid("r0")
 	syscall.Kill(pid, syscall.SIGTERM)
-	hear("STOPPING=1")
+	expectNotification("STOPPING=1")
 	syscall.Kill(pid, syscall.SIGTERM)
 	if end := <-a; end == nil || end.Status == "completed" {
 		t.Errorf("%+v after two signals", end)
--- a/cmd/gannethook/idle.go
+++ b/cmd/gannethook/idle.go
@@ -22,8 +22,8 @@
 		Short: "Open idle sessions at a router and tell what they cost it",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			before := resident(pid)
-			from := time.Now()
+			before := residentKiB(pid)
+			started := time.Now()
 			for i := range count {
 				s, err := client.Open(cmd.Context(), addr, "")
 				if err != nil {
@@ -32,11 +32,11 @@
 				defer s.Cut()
 			}
 			out := cmd.OutOrStdout()
-			fmt.Fprintf(out, "%d sessions open after %v\n", count, time.Since(from).Round(time.Millisecond))
+			fmt.Fprintf(out, "%d sessions open after %v\n", count, time.Since(started).Round(time.Millisecond))
 			ctx, cancel := context.WithTimeout(cmd.Context(), keep)
 			defer cancel()
 			<-ctx.Done()
-			if after := resident(pid); pid != 0 && count > 0 {
+			if after := residentKiB(pid); pid != 0 && count > 0 {
 				fmt.Fprintf(out, "resident memory of %d: %d KiB before, %d KiB after, %.1f KiB a session\n", pid, before, after,
 					float64(after-before)/float64(count))
 			}
@@ -52,8 +52,8 @@
 	return cmd
 }
 
-// resident is a process's memory in KiB, as Linux tells it; 0 where it does not.
-func resident(pid int) int {
+// residentKiB is a process's memory in KiB, as Linux tells it; 0 where it does not.
+func residentKiB(pid int) int {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		return 0
--- a/cmd/gannethook/key.go
+++ b/cmd/gannethook/key.go
@@ -13,21 +13,21 @@
 	var tenant string
 	var valid time.Duration
 	cmd := &cobra.Command{Use: "key", Short: "Make API keys for tenants"}
-	make := &cobra.Command{Use: "new --tenant NAME", Short: "Make a key: its text for the tenant, its line for the file of keys",
+	newKey := &cobra.Command{Use: "new --tenant NAME", Short: "Make a key: its text for the tenant, its line for the file of keys",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			var until time.Time
+			var expires time.Time
 			if valid > 0 {
-				until = time.Now().Add(valid)
+				expires = time.Now().Add(valid)
 			}
-			text, line := apikeys.New(tenant, until)
+			text, line := apikeys.New(tenant, expires)
 			fmt.Fprintf(cmd.ErrOrStderr(), "%s\n", text) // told once, and apart from the line
 			fmt.Fprintln(cmd.OutOrStdout(), line)
 			return nil
 		}}
-	make.Flags().StringVar(&tenant, "tenant", "", "the tenant, as the settings name it")
-	make.Flags().DurationVar(&valid, "valid", 0, "for so long; 0: until it is taken back")
-	make.MarkFlagRequired("tenant")
-	cmd.AddCommand(make)
+	newKey.Flags().StringVar(&tenant, "tenant", "", "the tenant, as the settings name it")
+	newKey.Flags().DurationVar(&valid, "valid", 0, "for so long; 0: until it is taken back")
+	newKey.MarkFlagRequired("tenant")
+	cmd.AddCommand(newKey)
 	return cmd
 }
--- a/cmd/gannethook/load.go
+++ b/cmd/gannethook/load.go
@@ -12,8 +12,8 @@
 
 func loadCommand() *cobra.Command {
 	var dir, chart, without, policy string
-	var loads []float64
-	var off bool
+	var multiples []float64
+	var alsoUnlimited bool
 	cmd := &cobra.Command{
 		Use:   "load [SCRIPT]",
 		Short: "Play a day at several loads, with the limits on and off, and compare",
@@ -22,9 +22,9 @@
 			"the embedded day of overload.",
 		Args: cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			script := func() (*scenario.Script, error) { return scenario.Parse("overload.gann", scenario.OverloadDay) }
+			load := func() (*scenario.Script, error) { return scenario.Parse("overload.gann", scenario.OverloadDay) }
 			if len(args) > 0 {
-				script = func() (*scenario.Script, error) { return scenario.Load(args[0]) }
+				load = func() (*scenario.Script, error) { return scenario.Load(args[0]) }
 			}
 			if dir == "" {
 				var err error
@@ -33,53 +33,53 @@
 				}
 			}
 			limits := []bool{true}
-			if off {
+			if alsoUnlimited {
 				limits = append(limits, false)
 			}
-			var list []*scenario.Result
-			play := func(times float64, on bool, without string) error {
-				s, err := script()
+			var results []*scenario.Result
+			play := func(multiple float64, limited bool, without string) error {
+				s, err := load()
 				if err != nil {
 					return err
 				}
-				s.Rate *= times
-				s.Settings.Limits = on
+				s.Rate *= multiple
+				s.Settings.Limits = limited
 				s.Without(without)
-				at := filepath.Join(dir, fmt.Sprintf("%g-%v%s", times, on, without))
-				if err := os.MkdirAll(at, 0o755); err != nil {
+				runDir := filepath.Join(dir, fmt.Sprintf("%g-%v%s", multiple, limited, without))
+				if err := os.MkdirAll(runDir, 0o755); err != nil {
 					return err
 				}
-				r, err := scenario.Run(cmd.Context(), s, policy, at, command)
+				r, err := scenario.Run(cmd.Context(), s, policy, runDir, selfCommand)
 				if err != nil {
 					return err
 				}
-				r.Times = times
+				r.Times = multiple
 				r.Write(cmd.OutOrStdout())
 				fmt.Fprintln(cmd.OutOrStdout())
-				list = append(list, r)
+				results = append(results, r)
 				return nil
 			}
-			for _, on := range limits {
-				for _, times := range loads {
-					if err := play(times, on, ""); err != nil {
+			for _, limited := range limits {
+				for _, multiple := range multiples {
+					if err := play(multiple, limited, ""); err != nil {
 						return err
 					}
 				}
 			}
 			if without != "" {
-				if err := play(loads[0], true, without); err != nil {
+				if err := play(multiples[0], true, without); err != nil {
 					return err
 				}
 			}
-			scenario.CompareLoads(cmd.OutOrStdout(), list)
+			scenario.CompareLoads(cmd.OutOrStdout(), results)
 			if chart != "" {
-				if err := scenario.ChartLoads(chart, list); err != nil {
+				if err := scenario.ChartLoads(chart, results); err != nil {
 					return err
 				}
 			}
-			for _, r := range list {
+			for _, r := range results {
 				if !r.OK() {
-					return errRules
+					return errRuleBroken
 				}
 			}
 			return nil
@@ -87,8 +87,8 @@
 	}
 	f := cmd.Flags()
 	f.StringVar(&dir, "dir", "", "folder for settings, logs and records; a new one if not given")
-	f.Float64SliceVar(&loads, "times", []float64{1, 2, 5, 10}, "multiples of the script's rate")
-	f.BoolVar(&off, "off", true, "play each with the limits off as well")
+	f.Float64SliceVar(&multiples, "times", []float64{1, 2, 5, 10}, "multiples of the script's rate")
+	f.BoolVar(&alsoUnlimited, "off", true, "play each with the limits off as well")
 	f.StringVar(&policy, "policy", "module", "module, random or round-robin")
 	f.StringVar(&without, "without", "", "play the first load once more without this tenant: what the others get alone")
 	f.StringVar(&chart, "chart", "", "draw goodput over load into this file (svg, png or pdf)")
--- a/cmd/gannethook/main.go
+++ b/cmd/gannethook/main.go
@@ -46,18 +46,18 @@
 	return cmd
 }
 
-// logger writes JSON lines to standard error, or nowhere for level "off".
+// newLogger writes JSON lines to standard error, or nowhere for level "off".
 // Its level may change while it runs.
-func logger(level string) (*zap.Logger, *zap.AtomicLevel, error) {
+func newLogger(level string) (*zap.Logger, *zap.AtomicLevel, error) {
 	if level == "off" {
 		return zap.NewNop(), nil, nil
 	}
-	at, err := zapcore.ParseLevel(level)
+	parsed, err := zapcore.ParseLevel(level)
 	if err != nil {
 		return nil, nil, fmt.Errorf("--log: %w", err)
 	}
 	cfg := zap.NewProductionConfig()
-	cfg.Level = zap.NewAtomicLevelAt(at)
+	cfg.Level = zap.NewAtomicLevelAt(parsed)
 	cfg.Sampling = nil // every request has its line
 	cfg.EncoderConfig.EncodeTime = zapcore.RFC3339NanoTimeEncoder
 	cfg.EncoderConfig.EncodeDuration = zapcore.MillisDurationEncoder
--- a/cmd/gannethook/main_test.go
+++ b/cmd/gannethook/main_test.go
@@ -22,7 +22,7 @@
 
 // TestMain lets the test's binary be the routers that a day starts.
 func TestMain(m *testing.M) {
-	if os.Getenv(beRouter) != "" {
+	if os.Getenv(runProgramEnv) != "" {
 		main()
 		return
 	}
@@ -65,28 +65,28 @@
 
 // The embedded bad day, shortened: routers as processes, half of them killed.
 // Every rule is kept and no adjustment has its effect twice.
-func TestShortBadDay(t *testing.T) {
+func TestBadScenarioShortened(t *testing.T) {
 	if testing.Short() {
 		t.Skip("takes half a minute")
 	}
-	shortDay(t, func() (*scenario.Script, error) { return scenario.Parse("bad.gann", scenario.Bad) }, 0.25)
+	playShortened(t, func() (*scenario.Script, error) { return scenario.Parse("bad.gann", scenario.Bad) }, 0.25)
 }
 
 // The day of all troubles, shortened.
-func TestShortAllDay(t *testing.T) {
+func TestAllFaultsScenarioShortened(t *testing.T) {
 	if testing.Short() {
 		t.Skip("takes half a minute")
 	}
-	shortDay(t, func() (*scenario.Script, error) { return scenario.Load("../../internal/scenario/all.gann") }, 0.25)
+	playShortened(t, func() (*scenario.Script, error) { return scenario.Load("../../internal/scenario/all.gann") }, 0.25)
 }
 
 // Three fronts before one fleet, shortened: sessions, chat over HTTP, batches;
 // one tenant bursts, clients stop reading, half the routers die.
-func TestShortFronts(t *testing.T) {
+func TestFrontsScenarioShortened(t *testing.T) {
 	if testing.Short() {
 		t.Skip("takes a quarter of a minute")
 	}
-	r := shortDay(t, func() (*scenario.Script, error) { return scenario.Load("../../internal/scenario/fronts.gann") }, 0.25)
+	r := playShortened(t, func() (*scenario.Script, error) { return scenario.Load("../../internal/scenario/fronts.gann") }, 0.25)
 	for i, c := range r.Script.Classes {
 		if r.Class[i].Served == 0 {
 			t.Errorf("nothing of class %s was served", c.Name)
@@ -97,24 +97,24 @@
 // Ops restarts and drains ten routers in turn under load, shortened; three are
 // killed in the middle of a command, one hangs. No answer is lost, nobody is
 // shut out of a ready router, and every exit status is what happened.
-func TestShortRoll(t *testing.T) {
+func TestRollScenarioShortened(t *testing.T) {
 	if testing.Short() {
 		t.Skip("takes most of a minute")
 	}
-	r := shortDay(t, func() (*scenario.Script, error) { return scenario.Load("../../internal/scenario/roll.gann") }, 0.2)
+	r := playShortened(t, func() (*scenario.Script, error) { return scenario.Load("../../internal/scenario/roll.gann") }, 0.2)
 	if r.Ops.Runs < 30 || r.Ops.Codes[fleet.ExitUnknown] < 3 {
 		t.Errorf("%d runs of the tool, by exit status %v: three kills and a hang are due", r.Ops.Runs, r.Ops.Codes)
 	}
 }
 
-func shortDay(t *testing.T, load func() (*scenario.Script, error), times float64) *scenario.Result {
+func playShortened(t *testing.T, load func() (*scenario.Script, error), stretch float64) *scenario.Result {
 	t.Helper()
 	s, err := load()
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Stretch(times)
-	r, err := scenario.Run(context.Background(), s, "module", t.TempDir(), command)
+	s.Stretch(stretch)
+	r, err := scenario.Run(context.Background(), s, "module", t.TempDir(), selfCommand)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -130,12 +130,12 @@
 	return r
 }
 
-// start runs this program as a process of its own and returns the first line
+// startProcess runs this program as a process of its own and returns the first line
 // that it prints; it is stopped by a signal when the test ends, and exits with 0.
-func start(t *testing.T, args ...string) string {
+func startProcess(t *testing.T, args ...string) string {
 	t.Helper()
 	cmd := exec.Command(os.Args[0], args...)
-	cmd.Env = append(os.Environ(), beRouter+"=1")
+	cmd.Env = append(os.Environ(), runProgramEnv+"=1")
 	out, err := cmd.StdoutPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -159,9 +159,9 @@
 // The stand-ins as processes of their own, a router that serves before them,
 // and a chat: what the README's commands do together.
 func TestProcesses(t *testing.T) {
-	reader := start(t, "engine", "--role", "reader")
-	writer := start(t, "engine", "--role", "writer", "--token-gap", "1ms")
-	roster := start(t, "roster", "--reader", reader, "--writer", writer)
+	reader := startProcess(t, "engine", "--role", "reader")
+	writer := startProcess(t, "engine", "--role", "writer", "--token-gap", "1ms")
+	roster := startProcess(t, "roster", "--reader", reader, "--writer", writer)
 	addr := freeAddr(t)
 	config := filepath.Join(t.TempDir(), "router.gann")
 	text := strings.Replace(settings.Default, `(listen "127.0.0.1:0")`, `(listen "`+addr+`")`, 1)
@@ -170,7 +170,7 @@
 		t.Fatal(err)
 	}
 	serve := exec.Command(os.Args[0], "serve", "--config", config, "--log", "error")
-	serve.Env = append(os.Environ(), beRouter+"=1")
+	serve.Env = append(os.Environ(), runProgramEnv+"=1")
 	if err := serve.Start(); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/gannethook/platform.go
+++ b/cmd/gannethook/platform.go
@@ -22,13 +22,13 @@
 SIGTERM answers all that was taken and stops. SIGHUP reads the configuration again.`,
 		Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			signals, end := platform.Notify() // from the first moment on
-			defer end()
+			signals, stopNotify := platform.Notify() // from the first moment on
+			defer stopNotify()
 			cfg, err := config.LoadAtStart(os.Getenv)
 			if err != nil {
 				return err
 			}
-			log, _, err := logger(level)
+			log, _, err := newLogger(level)
 			if err != nil {
 				return err
 			}
--- a/cmd/gannethook/platform_test.go
+++ b/cmd/gannethook/platform_test.go
@@ -40,7 +40,7 @@
 	}
 	p.cmd = exec.Command(os.Args[0], "platform")
 	p.cmd.Dir = "/"
-	p.cmd.Env = []string{beRouter + "=1", "EDGE_CONFIG=" + p.file, "EDGE_NAME=n0", "EDGE_LISTEN=" + p.addr, "EDGE_DISCOVERY=" + f.Addr()}
+	p.cmd.Env = []string{runProgramEnv + "=1", "EDGE_CONFIG=" + p.file, "EDGE_NAME=n0", "EDGE_LISTEN=" + p.addr, "EDGE_DISCOVERY=" + f.Addr()}
 	p.cmd.Stdout, p.cmd.Stderr = &p.log, &p.log
 	if err := p.cmd.Start(); err != nil {
 		t.Fatal(err)
@@ -76,9 +76,9 @@
 	return post(&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}, p.addr, id)
 }
 
-// first asks until the router is up.
-func (p *platformRouter) first(t testing.TB, id string) (status int, text string) {
-	for from := time.Now(); time.Since(from) < 10*time.Second; time.Sleep(20 * time.Millisecond) {
+// firstAnswer asks until the router is up.
+func (p *platformRouter) firstAnswer(t testing.TB, id string) (status int, text string) {
+	for started := time.Now(); time.Since(started) < 10*time.Second; time.Sleep(20 * time.Millisecond) {
 		var err error
 		if status, text, err = p.ask(id); err == nil {
 			return status, text
@@ -88,24 +88,24 @@
 	return
 }
 
-// listens counts the sockets that the process listens on.
-func (p *platformRouter) listens(t *testing.T) int {
-	own := map[string]bool{}
+// listeningSockets counts the sockets that the process listens on.
+func (p *platformRouter) listeningSockets(t *testing.T) int {
+	inodes := map[string]bool{}
 	dir := fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid)
 	fds, err := os.ReadDir(dir)
 	if err != nil {
 		t.Skip("no /proc here")
 	}
 	for _, fd := range fds {
-		if to, err := os.Readlink(filepath.Join(dir, fd.Name())); err == nil && strings.HasPrefix(to, "socket:[") {
-			own[strings.Trim(to, "socket:[]")] = true
+		if target, err := os.Readlink(filepath.Join(dir, fd.Name())); err == nil && strings.HasPrefix(target, "socket:[") {
+			inodes[strings.Trim(target, "socket:[]")] = true
 		}
 	}
 	n := 0
 	for _, table := range []string{"tcp", "tcp6"} {
 		text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/net/%s", p.cmd.Process.Pid, table))
 		for line := range strings.SplitSeq(string(text), "\n") {
-			if f := strings.Fields(line); len(f) > 9 && f[3] == "0A" && own[f[9]] {
+			if f := strings.Fields(line); len(f) > 9 && f[3] == "0A" && inodes[f[9]] {
 				n++
 			}
 		}
@@ -121,11 +121,11 @@
 	f.Add(standin.Prompt, nil)
 	f.Add(standin.Answer, nil)
 	p := startOnPlatform(t, f, nil)
-	status, text := p.first(t, "a")
+	status, text := p.firstAnswer(t, "a")
 	if want := standin.Event("a", 0) + standin.Event("a", 1) + standin.Event("a", 2); status != 200 || text != want {
 		t.Fatalf("%d %q\n%s", status, text, p.log.String())
 	}
-	if n := p.listens(t); n != 1 {
+	if n := p.listeningSockets(t); n != 1 {
 		t.Errorf("listens on %d sockets", n)
 	}
 	if err := os.WriteFile(p.file, []byte("{"), 0o600); err != nil {
@@ -148,7 +148,7 @@
 }
 
 // A stop behind many signals for new configurations, which take a while to be taken up, is obeyed.
-func TestStopBehindManyReloads(t *testing.T) {
+func TestStopAfterManyReloads(t *testing.T) {
 	const reloads = 40
 	f := standin.New()
 	defer f.Close()
@@ -157,7 +157,7 @@
 	p := startOnPlatform(t, f, func(c map[string]any) {
 		c["unused"] = strings.Repeat("x", 16<<20) // a large file takes long to read
 	})
-	if status, text := p.first(t, "a"); status != 200 {
+	if status, text := p.firstAnswer(t, "a"); status != 200 {
 		t.Fatalf("%d %q\n%s", status, text, p.log.String())
 	}
 	for range reloads {
@@ -200,34 +200,34 @@
 	defer f.Close()
 	reader, writer := f.Add(standin.Prompt, nil), f.Add(standin.Answer, nil)
 	p := startOnPlatform(b, f, nil)
-	p.first(b, "up")
+	p.firstAnswer(b, "up")
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
 	timed := func(addr, id string) time.Duration {
-		from := time.Now()
+		started := time.Now()
 		if _, _, err := post(client, addr, id); err != nil {
 			b.Fatal(err)
 		}
-		return time.Since(from)
+		return time.Since(started)
 	}
-	var straight, through time.Duration
+	var direct, routed time.Duration
 	for i := range b.N {
 		id := fmt.Sprint("s", i)
-		straight += timed(reader.Addr(), id) + timed(writer.Addr(), id)
-		through += timed(p.addr, fmt.Sprint("t", i))
+		direct += timed(reader.Addr(), id) + timed(writer.Addr(), id)
+		routed += timed(p.addr, fmt.Sprint("t", i))
 	}
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	p.cmd.Wait()
 	used := p.cmd.ProcessState.UserTime() + p.cmd.ProcessState.SystemTime()
-	for unit, v := range map[string]time.Duration{"us-straight": straight, "us-through": through, "us-cpu": used} {
+	for unit, v := range map[string]time.Duration{"us-straight": direct, "us-through": routed, "us-cpu": used} {
 		b.ReportMetric(float64(v.Microseconds())/float64(b.N), unit)
 	}
-	b.ReportMetric(float64(through)/float64(straight), "times")
+	b.ReportMetric(float64(routed)/float64(direct), "times")
 }
 
-// BenchmarkLongDay has new clients with new ids, some of whom keep their connection, and workers replaced by new
+// BenchmarkMemoryOverTime has new clients with new ids, some of whom keep their connection, and workers replaced by new
 // ones, and tells the router's memory and descriptors by quarters.
-func BenchmarkLongDay(b *testing.B) {
+func BenchmarkMemoryOverTime(b *testing.B) {
 	f := standin.New()
 	defer f.Close()
 	var old [2]*standin.Worker
@@ -242,7 +242,7 @@
 	}
 	replace()
 	p := startOnPlatform(b, f, nil)
-	p.first(b, "up")
+	p.firstAnswer(b, "up")
 	served := 0
 	for i := range b.N {
 		if i%500 == 499 {
@@ -255,7 +255,7 @@
 		}
 		if quarter := (i + 1) * 4 / b.N; quarter > i*4/b.N {
 			fds, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
-			b.ReportMetric(float64(resident(p.cmd.Process.Pid))/1024, fmt.Sprintf("MB-q%d", quarter))
+			b.ReportMetric(float64(residentKiB(p.cmd.Process.Pid))/1024, fmt.Sprintf("MB-q%d", quarter))
 			b.ReportMetric(float64(len(fds)), fmt.Sprintf("fds-q%d", quarter))
 		}
 	}
--- a/cmd/gannethook/serve.go
+++ b/cmd/gannethook/serve.go
@@ -31,11 +31,11 @@
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			// From the first moment on: a stop during the start is kept, however many others come.
-			stops, signals := make(chan os.Signal, 2), make(chan os.Signal, 2)
-			signal.Notify(stops, syscall.SIGTERM, os.Interrupt)
-			signal.Notify(signals, syscall.SIGHUP, syscall.SIGUSR2)
-			defer signal.Stop(stops)
-			defer signal.Stop(signals)
+			stopSignals, commandSignals := make(chan os.Signal, 2), make(chan os.Signal, 2)
+			signal.Notify(stopSignals, syscall.SIGTERM, os.Interrupt)
+			signal.Notify(commandSignals, syscall.SIGHUP, syscall.SIGUSR2)
+			defer signal.Stop(stopSignals)
+			defer signal.Stop(commandSignals)
 			link, err := handover.Take()
 			if err != nil {
 				return err
@@ -47,7 +47,7 @@
 				}
 				return err
 			}
-			obey(d, stops, signals)
+			handleSignals(d, stopSignals, commandSignals)
 			d.Stop(context.Background())
 			if d.Code() != 0 {
 				return errors.New("the router failed")
@@ -68,15 +68,15 @@
 	if err != nil {
 		return nil, err
 	}
-	log, at, err := logger(level)
+	log, atomicLevel, err := newLogger(level)
 	if err != nil {
 		return nil, err
 	}
-	held, err := activation.ListenersWithNames()
+	listeners, err := activation.ListenersWithNames()
 	if err != nil {
 		return nil, fmt.Errorf("socket activation: %w", err)
 	}
-	argv, err := self()
+	argv, err := selfArgv()
 	if err != nil {
 		return nil, err
 	}
@@ -84,12 +84,12 @@
 		release = releaseOf(argv[0], cfg.Control.Releases)
 	}
 	return daemon.StartWith(cfg, daemon.Options{Policy: policy, Config: config, Release: release, Argv: argv, Link: link,
-		Held: held, Level: at}, log)
+		Held: listeners, Level: atomicLevel}, log)
 }
 
-// self is this program's path and arguments. The path is as it was called: a
+// selfArgv is this program's path and arguments. The path is as it was called: a
 // link that a deployment moves leads a restart to the new program.
-func self() ([]string, error) {
+func selfArgv() ([]string, error) {
 	path, err := exec.LookPath(os.Args[0])
 	if err == nil {
 		path, err = filepath.Abs(path)
@@ -109,14 +109,14 @@
 	return filepath.Base(dir)
 }
 
-// obey turns signals into commands until the router's life has ended.
-func obey(d *daemon.Daemon, stops, signals <-chan os.Signal) {
+// handleSignals turns signals into commands until the router's life has ended.
+func handleSignals(d *daemon.Daemon, stopSignals, commandSignals <-chan os.Signal) {
 	for n := 1; ; n++ {
 		c := lifecycle.Command{ID: fmt.Sprintf("signal %d of process %d", n, os.Getpid())}
 		select {
-		case <-stops:
+		case <-stopSignals:
 			c.Op = lifecycle.Stop
-		case s := <-signals:
+		case s := <-commandSignals:
 			c.Op = lifecycle.Reload
 			if s == syscall.SIGUSR2 {
 				c.Op = lifecycle.Restart
@@ -134,18 +134,18 @@
 		Short: "Check settings files",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, files []string) error {
-			bad := 0
+			invalid := 0
 			for _, path := range files {
 				f, err := settings.Load(path)
 				if err != nil {
 					fmt.Fprintln(cmd.ErrOrStderr(), err)
-					bad++
+					invalid++
 					continue
 				}
 				fmt.Fprintf(cmd.OutOrStdout(), "%s: router %s, %d classes, %d kinds\n", path, f.Name, len(f.Classes), len(f.Kinds))
 			}
-			if bad > 0 {
-				return fmt.Errorf("%d of %d files are wrong", bad, len(files))
+			if invalid > 0 {
+				return fmt.Errorf("%d of %d files are wrong", invalid, len(files))
 			}
 			return nil
 		},
--- a/cmd/gannethook/soak.go
+++ b/cmd/gannethook/soak.go
@@ -21,13 +21,13 @@
 
 // soakFlags are the flags of the soak.
 type soakFlags struct {
-	seed  uint64
-	seeds string
-	only  []string
-	jobs  int
-	keep  string
-	busy  bool // runs whose times can't be judged are no failure
-	cfg   soak.Config
+	seed         uint64
+	seeds        string
+	only         []string
+	jobs         int
+	keepDir      string
+	allowStarved bool // runs whose times can't be judged are no failure
+	cfg          soak.Config
 }
 
 func soakCommand() *cobra.Command {
@@ -58,8 +58,8 @@
 	flags.IntVar(&f.cfg.Clients, "clients", 5, "clients for each router")
 	flags.StringSliceVar(&f.only, "only", nil, "kinds of trouble to draw from")
 	flags.IntVar(&f.jobs, "jobs", 1, "seeds to play side by side")
-	flags.BoolVar(&f.busy, "allow-starved", false, "a seed that found the machine too busy each time fails only by what needs no clock")
-	flags.StringVar(&f.keep, "keep", "", "folder to keep logs of seeds that failed in")
+	flags.BoolVar(&f.allowStarved, "allow-starved", false, "a seed that found the machine too busy each time fails only by what needs no clock")
+	flags.StringVar(&f.keepDir, "keep", "", "folder to keep logs of seeds that failed in")
 	flags.StringVar(&f.cfg.Program, "program", "", "another build of the router to play; this one if empty")
 	flags.StringVar(&f.cfg.Break, "break", "", "guard that the routers leave out, to try the checks; only with the build tag")
 	flags.BoolVar(&f.cfg.Strict, "strict", false, "judge also what is excused as a known failure (KNOWN-RED.txt)")
@@ -69,11 +69,11 @@
 var errSoakFailed = errors.New("a promise was not kept")
 
 func (f *soakFlags) run(ctx context.Context, out io.Writer) error {
-	first, last, err := f.span()
+	first, last, err := f.seedRange()
 	if err != nil {
 		return err
 	}
-	if f.cfg.Only, err = kinds(f.only); err != nil {
+	if f.cfg.Only, err = parseKinds(f.only); err != nil {
 		return err
 	}
 	if f.cfg.Program == "" {
@@ -87,14 +87,14 @@
 		}
 		fmt.Fprintln(out, "this build injects no faults of system calls, files and the clock: build it with -tags faults")
 	}
-	dir := f.keep
+	dir := f.keepDir
 	if dir == "" {
 		if dir, err = os.MkdirTemp("", "gannethook-soak-"); err != nil {
 			return err
 		}
 		defer os.RemoveAll(dir)
 	}
-	t := &soakTable{out: out, pairs: map[string]*pairCount{}}
+	t := &soakSummary{out: out, pairs: map[string]*pairCount{}}
 	queue := make(chan uint64)
 	var jobs sync.WaitGroup
 	for range max(f.jobs, 1) {
@@ -116,7 +116,7 @@
 	return ctx.Err()
 }
 
-func (f *soakFlags) span() (first, last uint64, err error) {
+func (f *soakFlags) seedRange() (first, last uint64, err error) {
 	if f.seeds == "" {
 		return f.seed, f.seed, nil
 	}
@@ -130,7 +130,7 @@
 	return first, last, nil
 }
 
-func kinds(names []string) ([]soak.Kind, error) {
+func parseKinds(names []string) ([]soak.Kind, error) {
 	var list []soak.Kind
 	for _, name := range names {
 		if !slices.Contains(soak.Kinds, soak.Kind(name)) {
@@ -141,15 +141,15 @@
 	return list, nil
 }
 
-// starvedTries is how often a seed is played whose machine was too busy to judge by.
-const starvedTries = 3
+// maxStarvedRuns is how often a seed is played whose machine was too busy to judge by.
+const maxStarvedRuns = 3
 
 // seedResult is a seed's last play.
 type seedResult struct {
 	soak.Result
-	err   error
-	tries int
-	again string // the command that plays it again
+	err          error
+	runs         int
+	rerunCommand string // the command that plays it again
 
 	untimed bool // judged only by what needs no clock
 }
@@ -157,15 +157,15 @@
 func (f *soakFlags) play(ctx context.Context, dir string, seed uint64) seedResult {
 	cfg := f.cfg
 	cfg.Dir = soak.DirOf(dir, seed)
-	r := seedResult{again: f.command(seed)}
-	for r.tries < starvedTries && ctx.Err() == nil {
-		r.tries++
+	r := seedResult{rerunCommand: f.rerunCommand(seed)}
+	for r.runs < maxStarvedRuns && ctx.Err() == nil {
+		r.runs++
 		os.RemoveAll(cfg.Dir)
 		if r.Result, r.err = soak.Run(ctx, cfg, seed); r.err != nil || !r.Starved {
 			break
 		}
 	}
-	if r.Starved && f.busy {
+	if r.Starved && f.allowStarved {
 		r.Breaks = slices.DeleteFunc(r.Breaks, func(b soak.Break) bool { return !slices.Contains(soak.Untimed, b.Invariant) })
 		r.untimed = true
 	}
@@ -177,7 +177,7 @@
 	return r
 }
 
-func (f *soakFlags) command(seed uint64) string {
+func (f *soakFlags) rerunCommand(seed uint64) string {
 	c := fmt.Sprintf("gannethook soak --seed %d --for %v --routers %d --workers %d --clients %d", seed, f.cfg.Length, f.cfg.Routers, f.cfg.Workers, f.cfg.Clients)
 	if len(f.only) > 0 {
 		c += " --only " + strings.Join(f.only, ",")
@@ -207,8 +207,8 @@
 // pairCount counts the runs in which a pair of troubles overlapped.
 type pairCount struct{ seeds, failed int }
 
-// soakTable sums up the seeds.
-type soakTable struct {
+// soakSummary sums up the seeds.
+type soakSummary struct {
 	out io.Writer
 
 	mu             sync.Mutex
@@ -218,7 +218,7 @@
 	releases       int // calls that let go of what is held
 }
 
-func (t *soakTable) add(r seedResult) {
+func (t *soakSummary) add(r seedResult) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.played++
@@ -236,10 +236,10 @@
 		verdict = fmt.Sprintf("FAILED %d: %s: %.300s", len(r.Breaks), r.Breaks[0].Invariant, r.Breaks[0].Detail)
 	}
 	fmt.Fprintf(t.out, "seed %d: %s; %s: %d requests, %d served, %d refused, %d releases, %d connections turned away, %d went on behind a lost close, %d keyed begun late and run again, late %v, tries %d: %s\n", r.Plan.Seed, r.Plan.String(), r.Terms, r.Requests, r.Served,
-		r.Refused, r.Releases, r.Turned, r.WentOn, r.LateRuns, r.Latest.Round(time.Millisecond), r.tries, verdict)
+		r.Refused, r.Releases, r.Turned, r.WentOn, r.LateRuns, r.Latest.Round(time.Millisecond), r.runs, verdict)
 	if !r.ok() {
 		t.failed++
-		fmt.Fprintln(t.out, "  again:", r.again)
+		fmt.Fprintln(t.out, "  again:", r.rerunCommand)
 	}
 	for _, pair := range r.Plan.Pairs() {
 		n := t.pairs[pair]
@@ -255,7 +255,7 @@
 }
 
 // print lists the pairs of troubles that met, and names those that no seed played.
-func (t *soakTable) print() {
+func (t *soakSummary) print() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	fmt.Fprintf(t.out, "%d seeds, %d failed, %d requests, %d releases\n", t.played, t.failed, t.requests, t.releases)
--- a/internal/certs/certs_test.go
+++ b/internal/certs/certs_test.go
@@ -33,7 +33,7 @@
 	}
 	now := time.Now()
 	look := func() time.Duration { // as if a second had passed
-		f.looked = time.Time{}
+		f.lastCheck = time.Time{}
 		return f.Left(now).Round(time.Minute)
 	}
 	if got := look(); got != time.Minute {
--- a/internal/certs/files.go
+++ b/internal/certs/files.go
@@ -18,19 +18,19 @@
 // It is a go-spiffe source: handshakes use what the files hold then. Files that
 // can't be read leave what was read last.
 type Files struct {
-	domain          spiffeid.TrustDomain
-	cert, key, auth string
+	domain               spiffeid.TrustDomain
+	cert, key, authority string
 
-	mu     sync.Mutex
-	looked time.Time
-	stamp  string
-	svid   *x509svid.SVID
-	bundle *x509bundle.Bundle
-	err    error // of the last look
+	mu          sync.Mutex
+	lastCheck   time.Time
+	fingerprint string
+	svid        *x509svid.SVID
+	bundle      *x509bundle.Bundle
+	err         error // of the last look
 }
 
-// lookEvery bounds how often the files' times are asked for.
-const lookEvery = time.Second
+// checkInterval bounds how often the files' times are asked for.
+const checkInterval = time.Second
 
 // Open reads the files.
 func Open(domain, cert, key, authority string) (*Files, error) {
@@ -38,18 +38,18 @@
 	if err != nil {
 		return nil, fmt.Errorf("certs: %w", err)
 	}
-	f := &Files{domain: td, cert: cert, key: key, auth: authority}
-	f.look(time.Now())
+	f := &Files{domain: td, cert: cert, key: key, authority: authority}
+	f.reloadIfChanged(time.Now())
 	if f.svid == nil {
 		return nil, f.err
 	}
 	return f, nil
 }
 
-// stampOf tells two states of the files apart.
-func (f *Files) stampOf() (string, error) {
+// currentFingerprint tells two states of the files apart.
+func (f *Files) currentFingerprint() (string, error) {
 	s := ""
-	for _, path := range []string{f.cert, f.key, f.auth} {
+	for _, path := range []string{f.cert, f.key, f.authority} {
 		info, err := os.Stat(path)
 		if err != nil {
 			return "", fmt.Errorf("certs: %w", err)
@@ -59,13 +59,13 @@
 	return s, nil
 }
 
-func (f *Files) look(now time.Time) {
-	if now.Sub(f.looked) < lookEvery {
+func (f *Files) reloadIfChanged(now time.Time) {
+	if now.Sub(f.lastCheck) < checkInterval {
 		return
 	}
-	f.looked = now
-	stamp, err := f.stampOf()
-	if err != nil || stamp == f.stamp {
+	f.lastCheck = now
+	fingerprint, err := f.currentFingerprint()
+	if err != nil || fingerprint == f.fingerprint {
 		f.err = err
 		return
 	}
@@ -74,7 +74,7 @@
 		f.err = fmt.Errorf("certs: %w", err)
 		return
 	}
-	bundle, err := x509bundle.Load(f.domain, f.auth)
+	bundle, err := x509bundle.Load(f.domain, f.authority)
 	if err == nil && svid.ID.TrustDomain() != f.domain {
 		err = fmt.Errorf("%s: the certificate is of %s, not of %s", f.cert, svid.ID.TrustDomain(), f.domain)
 	}
@@ -82,14 +82,14 @@
 		f.err = fmt.Errorf("certs: %w", err)
 		return
 	}
-	f.stamp, f.svid, f.bundle, f.err = stamp, svid, bundle, nil
+	f.fingerprint, f.svid, f.bundle, f.err = fingerprint, svid, bundle, nil
 }
 
 // GetX509SVID is the certificate as of now.
 func (f *Files) GetX509SVID() (*x509svid.SVID, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.look(time.Now())
+	f.reloadIfChanged(time.Now())
 	return f.svid, nil
 }
 
@@ -97,7 +97,7 @@
 func (f *Files) GetX509BundleForTrustDomain(td spiffeid.TrustDomain) (*x509bundle.Bundle, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.look(time.Now())
+	f.reloadIfChanged(time.Now())
 	if td != f.domain {
 		return nil, fmt.Errorf("certs: %s is not trusted here", td)
 	}
@@ -114,7 +114,7 @@
 func (f *Files) Check(now time.Time) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.look(now)
+	f.reloadIfChanged(now)
 	if f.err != nil {
 		return f.err
 	}
--- a/internal/certs/make.go
+++ b/internal/certs/make.go
@@ -17,9 +17,9 @@
 	"github.com/spiffe/go-spiffe/v2/spiffeid"
 )
 
-// skew is by how much a certificate is valid before it is made: clocks of two
+// clockSkew is by how much a certificate is valid before it is made: clocks of two
 // data centres may differ.
-const skew = 10 * time.Minute
+const clockSkew = 10 * time.Minute
 
 // Authority signs a fleet's certificates. It is for a first installation and
 // for tests; an organisation's own issuer takes its place.
@@ -35,7 +35,9 @@
 	AuthorityKey  = "authority.key"
 )
 
-func serial() (*big.Int, error) { return rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 127)) }
+func newSerial() (*big.Int, error) {
+	return rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 127))
+}
 
 // NewAuthority makes an authority and writes it to a folder, where none may be yet.
 func NewAuthority(dir, domain string, valid time.Duration, now time.Time) (*Authority, error) {
@@ -47,14 +49,14 @@
 	if err != nil {
 		return nil, fmt.Errorf("certs: %w", err)
 	}
-	n, err := serial()
+	serial, err := newSerial()
 	if err != nil {
 		return nil, fmt.Errorf("certs: %w", err)
 	}
-	t := &x509.Certificate{SerialNumber: n, Subject: pkix.Name{CommonName: "gannethook authority of " + domain},
-		NotBefore: now.Add(-skew), NotAfter: now.Add(valid), IsCA: true, BasicConstraintsValid: true, MaxPathLenZero: true,
+	template := &x509.Certificate{SerialNumber: serial, Subject: pkix.Name{CommonName: "gannethook authority of " + domain},
+		NotBefore: now.Add(-clockSkew), NotAfter: now.Add(valid), IsCA: true, BasicConstraintsValid: true, MaxPathLenZero: true,
 		KeyUsage: x509.KeyUsageCertSign | x509.KeyUsageCRLSign, URIs: []*url.URL{td.ID().URL()}}
-	der, err := x509.CreateCertificate(rand.Reader, t, t, &key.PublicKey, key)
+	der, err := x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key)
 	if err != nil {
 		return nil, fmt.Errorf("certs: %w", err)
 	}
@@ -121,14 +123,14 @@
 	if err != nil {
 		return fmt.Errorf("certs: %w", err)
 	}
-	n, err := serial()
+	serial, err := newSerial()
 	if err != nil {
 		return fmt.Errorf("certs: %w", err)
 	}
-	t := &x509.Certificate{SerialNumber: n, Subject: pkix.Name{CommonName: name}, NotBefore: now.Add(-skew),
+	template := &x509.Certificate{SerialNumber: serial, Subject: pkix.Name{CommonName: name}, NotBefore: now.Add(-clockSkew),
 		NotAfter: now.Add(valid), KeyUsage: x509.KeyUsageDigitalSignature, BasicConstraintsValid: true,
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}, URIs: []*url.URL{id.URL()}}
-	der, err := x509.CreateCertificate(rand.Reader, t, a.cert, &key.PublicKey, a.key)
+	der, err := x509.CreateCertificate(rand.Reader, template, a.cert, &key.PublicKey, a.key)
 	if err != nil {
 		return fmt.Errorf("certs: %w", err)
 	}
--- a/internal/settings/admit.go
+++ b/internal/settings/admit.go
@@ -54,29 +54,29 @@
 	return nil
 }
 
-func (f *File) checkDoors() error {
+func (f *File) checkFrontEnd() error {
 	a, h, t := &f.Admit, &f.HTTP, &f.TLS
 	switch {
-	case a.Waiting < 1 || a.Least < 1 || a.Start < a.Least || a.Most < a.Start || a.Clients < 1:
+	case a.MaxWaiting < 1 || a.MinInFlight < 1 || a.StartInFlight < a.MinInFlight || a.MaxInFlight < a.StartInFlight || a.MaxClients < 1:
 		return sexp.Errorf(a.At, "waiting, clients and in-hand-least are 1 at the least; in-hand-start and in-hand-most no less than that")
 	case a.WaitPart <= 0 || a.WaitPart > 1:
 		return sexp.Errorf(a.At, "wait-part is above 0 and 1 at the most")
-	case h.Body < 1024 || h.Bodies < h.Body || h.Answer < 1024 || h.Part < 1 || h.PartItems < 1 || h.PartsOut < 1 || h.PartTries < 1:
+	case h.Body < 1024 || h.Bodies < h.Body || h.Answer < 1024 || h.PartTokens < 1 || h.PartItems < 1 || h.PartsInFlight < 1 || h.PartAttempts < 1:
 		return sexp.Errorf(f.At, "http: body and answer are 1KiB at the least, bodies no less than body; part, part-items, parts-out and part-tries 1")
 	case f.Keys.File != "" && f.Keys.Every <= 0:
 		return sexp.Errorf(f.At, "(every ...) of the keys is above 0")
 	}
-	set := 0
+	given := 0
 	for _, s := range []string{t.Domain, t.Cert, t.Key, t.Authority} {
 		if s != "" {
-			set++
+			given++
 		}
 	}
-	if set != 0 && set != 4 || t.Clients && set == 0 {
+	if given != 0 && given != 4 || t.Clients && given == 0 {
 		return sexp.Errorf(t.At, "tls needs (domain ...), (cert ...), (key ...) and (authority ...)")
 	}
 	for i := range f.Tenants {
-		if len(f.Tenants[i].Identity) > 0 && set == 0 {
+		if len(f.Tenants[i].Identity) > 0 && given == 0 {
 			return sexp.Errorf(f.Tenants[i].At, "(identity ...) needs (tls ...)")
 		}
 	}
@@ -106,8 +106,8 @@
 // Limiter is what package limits is told.
 func (f *File) Limiter() limits.Settings {
 	a := &f.Admit
-	s := limits.Settings{Routers: f.Routers, MaxWaiting: a.Waiting, WaitPart: a.WaitPart, MinInFlight: a.Least, StartInFlight: a.Start,
-		MaxInFlight: a.Most, Retries: a.Retries, MaxClients: a.Clients, Shed: a.Shed, MinRetryAfter: a.Back, MaxRetryAfter: a.BackMost, Seed: f.Seed}
+	s := limits.Settings{Routers: f.Routers, MaxWaiting: a.MaxWaiting, WaitPart: a.WaitPart, MinInFlight: a.MinInFlight, StartInFlight: a.StartInFlight,
+		MaxInFlight: a.MaxInFlight, Retries: a.Retries, MaxClients: a.MaxClients, Shed: a.Shed, MinRetryAfter: a.MinRetryAfter, MaxRetryAfter: a.MaxRetryAfter, Seed: f.Seed}
 	if !a.On {
 		s.MinInFlight, s.StartInFlight, s.MaxInFlight, s.Shed, s.Retries = math.MaxInt32, math.MaxInt32, math.MaxInt32, false, 0
 	}
@@ -133,6 +133,6 @@
 // Batch sizes the parts of batches.
 func (f *File) Batch() batch.Limits {
 	h := &f.HTTP
-	return batch.Limits{Tokens: float64(h.Part), Items: h.PartItems, Out: h.PartsOut, Tries: h.PartTries,
+	return batch.Limits{Tokens: float64(h.PartTokens), Items: h.PartItems, Out: h.PartsInFlight, Tries: h.PartAttempts,
 		Margin: f.Limits.RetryAfter}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -98,44 +98,44 @@
 
 // Limits bound the router's own work.
 type Limits struct {
-	Attempts   int           `gann:"attempts"`
-	Repeats    float64       `gann:"repeats"` // that an engine gets for each first attempt; 0: not limited
-	RetryAfter time.Duration `gann:"retry-after"`
-	Quantum    time.Duration `gann:"quantum"`
-	Open       int           `gann:"open"`
-	Inbox      int           `gann:"inbox"`
-	Remember   time.Duration `gann:"remember-keys"`
-	Keys       int           `gann:"keys"`
+	MaxAttempts int           `gann:"attempts"`
+	RetryShare  float64       `gann:"repeats"` // that an engine gets for each first attempt; 0: not limited
+	RetryAfter  time.Duration `gann:"retry-after"`
+	Quantum     time.Duration `gann:"quantum"`
+	Open        int           `gann:"open"`
+	Inbox       int           `gann:"inbox"`
+	Remember    time.Duration `gann:"remember-keys"`
+	Keys        int           `gann:"keys"`
 }
 
 // Admit tells what is handed to the module, and in which order.
 type Admit struct {
-	At       sexp.Pos
-	On       bool          `gann:"on"` // no: budgets hold, all else passes
-	Waiting  int           `gann:"waiting"`
-	WaitPart float64       `gann:"wait-part"`
-	Least    int           `gann:"in-hand-least"`
-	Start    int           `gann:"in-hand-start"`
-	Most     int           `gann:"in-hand-most"`
-	Retries  float64       `gann:"retries"`
-	Clients  int           `gann:"clients"`
-	Shed     bool          `gann:"shed"`
-	Back     time.Duration `gann:"back"`
-	BackMost time.Duration `gann:"back-most"`
+	At            sexp.Pos
+	On            bool          `gann:"on"` // no: budgets hold, all else passes
+	MaxWaiting    int           `gann:"waiting"`
+	WaitPart      float64       `gann:"wait-part"`
+	MinInFlight   int           `gann:"in-hand-least"`
+	StartInFlight int           `gann:"in-hand-start"`
+	MaxInFlight   int           `gann:"in-hand-most"`
+	Retries       float64       `gann:"retries"`
+	MaxClients    int           `gann:"clients"`
+	Shed          bool          `gann:"shed"`
+	MinRetryAfter time.Duration `gann:"back"`
+	MaxRetryAfter time.Duration `gann:"back-most"`
 }
 
 // HTTP bounds the HTTP APIs.
 type HTTP struct {
-	Body      sexp.Bytes    `gann:"body"`
-	Bodies    sexp.Bytes    `gann:"bodies"` // of all requests under way
-	Answer    sexp.Bytes    `gann:"answer"`
-	Read      time.Duration `gann:"read"`  // a request's body is whole by then
-	Idle      time.Duration `gann:"idle"`  // an unused connection closes
-	Write     time.Duration `gann:"write"` // a write that takes longer cuts the connection
-	Part      sexp.Tokens   `gann:"part"`
-	PartItems int           `gann:"part-items"`
-	PartsOut  int           `gann:"parts-out"`
-	PartTries int           `gann:"part-tries"`
+	Body          sexp.Bytes    `gann:"body"`
+	Bodies        sexp.Bytes    `gann:"bodies"` // of all requests under way
+	Answer        sexp.Bytes    `gann:"answer"`
+	Read          time.Duration `gann:"read"`  // a request's body is whole by then
+	Idle          time.Duration `gann:"idle"`  // an unused connection closes
+	Write         time.Duration `gann:"write"` // a write that takes longer cuts the connection
+	PartTokens    sexp.Tokens   `gann:"part"`
+	PartItems     int           `gann:"part-items"`
+	PartsInFlight int           `gann:"parts-out"`
+	PartAttempts  int           `gann:"part-tries"`
 }
 
 // Keys tells where the tenants' API keys are listed; without a file, clients name their tenant themselves.
@@ -253,10 +253,10 @@
 
 func (w Work) String() string { return nameOf(works, int(w)+1) }
 
-func oneOf[T ~int](v *T, text []byte, what string, names []string) error {
+func oneOf[T ~int](v *T, text []byte, description string, names []string) error {
 	i := slices.Index(names, string(text))
 	if i < 0 {
-		return fmt.Errorf("%q is not %s; known are %q", text, what, names)
+		return fmt.Errorf("%q is not %s; known are %q", text, description, names)
 	}
 	*v = T(i + 1)
 	return nil
@@ -300,15 +300,15 @@
 	return &File{
 		Routers: 1, Seed: 1,
 		Rules: Rules{ColdFrom: 0.25, WarmAfter: 10 * time.Second, Overload: 3, PinLimit: 500 * time.Millisecond},
-		Limits: Limits{Attempts: 4, RetryAfter: 500 * time.Millisecond, Quantum: 10 * time.Millisecond, Open: 30000,
+		Limits: Limits{MaxAttempts: 4, RetryAfter: 500 * time.Millisecond, Quantum: 10 * time.Millisecond, Open: 30000,
 			Inbox: 4096, Remember: 10 * time.Minute, Keys: 200000},
 		Sessions: Sessions{Most: 20000, Responses: 16, Message: sexp.Bytes(w.Message), Conversation: 4 << 20,
 			Pending: sexp.Bytes(w.Pending), Idle: w.Idle, Handshake: 5 * time.Second, TokenBytes: 4,
 			Drain: 30 * time.Second},
-		Admit: Admit{On: true, Waiting: 2000, WaitPart: 0.5, Least: 4, Start: 64, Most: 8192, Retries: 0.2, Clients: 100000,
-			Shed: true, Back: 250 * time.Millisecond, BackMost: 10 * time.Second},
+		Admit: Admit{On: true, MaxWaiting: 2000, WaitPart: 0.5, MinInFlight: 4, StartInFlight: 64, MaxInFlight: 8192, Retries: 0.2, MaxClients: 100000,
+			Shed: true, MinRetryAfter: 250 * time.Millisecond, MaxRetryAfter: 10 * time.Second},
 		HTTP: HTTP{Body: 16 << 20, Bodies: 1 << 30, Answer: 128 << 20, Read: 30 * time.Second, Idle: 75 * time.Second, Write: 10 * time.Second,
-			Part: 1000, PartItems: 64, PartsOut: 8, PartTries: 8},
+			PartTokens: 1000, PartItems: 64, PartsInFlight: 8, PartAttempts: 8},
 		Keys: Keys{Every: time.Second},
 		Engines: Engines{Holds: true, Cancel: true, Dial: e.Dial, Idle: e.Idle, IdleConns: e.IdleConns, Spare: e.Spare,
 			StreamIdle: e.StreamIdle, Extension: e.Extension},
@@ -340,7 +340,7 @@
 	if err := f.checkTenants(); err != nil {
 		return err
 	}
-	if err := f.checkDoors(); err != nil {
+	if err := f.checkFrontEnd(); err != nil {
 		return err
 	}
 	seen := map[string]bool{}
@@ -405,20 +405,20 @@
 	return nil
 }
 
-func millis(d time.Duration) gannethook.Millis { return gannethook.Millis(d.Seconds() * 1000) }
+func toMillis(d time.Duration) gannethook.Millis { return gannethook.Millis(d.Seconds() * 1000) }
 
 // Module is what the decision module is told.
 func (f *File) Module() gannethook.Settings {
 	s := gannethook.Settings{
-		Routers: f.Routers, ColdFrom: f.Rules.ColdFrom, WarmAfter: millis(f.Rules.WarmAfter),
-		OverloadFactor: f.Rules.Overload, PinLimit: millis(f.Rules.PinLimit), ConnIdle: millis(f.Engines.Idle),
-		MaxAttempts: f.Limits.Attempts, RepeatPart: f.Limits.Repeats, MaxRetryAfter: millis(f.Limits.RetryAfter), Quantum: millis(f.Limits.Quantum),
+		Routers: f.Routers, ColdFrom: f.Rules.ColdFrom, WarmAfter: toMillis(f.Rules.WarmAfter),
+		OverloadFactor: f.Rules.Overload, PinLimit: toMillis(f.Rules.PinLimit), ConnIdle: toMillis(f.Engines.Idle),
+		MaxAttempts: f.Limits.MaxAttempts, RepeatPart: f.Limits.RetryShare, MaxRetryAfter: toMillis(f.Limits.RetryAfter), Quantum: toMillis(f.Limits.Quantum),
 		Cancel: f.Engines.Cancel, Holds: f.Engines.Holds, WritersRead: f.Engines.WritersRead,
 	}
 	for _, c := range f.Classes {
-		s.Classes = append(s.Classes, gannethook.Class{Aim: millis(c.Aim), AimPer1000: millis(c.AimPer1000),
+		s.Classes = append(s.Classes, gannethook.Class{Aim: toMillis(c.Aim), AimPer1000: toMillis(c.AimPer1000),
 			Worth: c.Worth, Effect: gannethook.Effect(c.Effect), Group: gannethook.Group(c.Group),
-			Window: millis(c.Window), Streamed: c.Work == Chat, OneStage: c.Work != Chat})
+			Window: toMillis(c.Window), Streamed: c.Work == Chat, OneStage: c.Work != Chat})
 	}
 	for _, k := range f.Kinds {
 		s.Kinds = append(s.Kinds, gannethook.Kind{Role: gannethook.Role(k.Role), Memory: float64(k.Memory)})
--- a/internal/sexp/decode.go
+++ b/internal/sexp/decode.go
@@ -47,109 +47,109 @@
 }
 
 // Checked returns what was read, once its own check has passed.
-func Checked[F any](f *F, read error, check func() error) (*F, error) {
-	if read != nil {
-		return nil, read
+func Checked[F any](f *F, readErr error, validate func() error) (*F, error) {
+	if readErr != nil {
+		return nil, readErr
 	}
-	return f, check()
+	return f, validate()
 }
 
 type field struct {
-	v    reflect.Value
-	need bool
-	seen bool
+	value    reflect.Value
+	required bool
+	seen     bool
 }
 
-func fields(v reflect.Value) (named map[string]*field, plain []*field) {
-	named = map[string]*field{}
+func fields(v reflect.Value) (byName map[string]*field, positional []*field) {
+	byName = map[string]*field{}
 	for i := range v.NumField() {
 		tag, ok := v.Type().Field(i).Tag.Lookup("gann")
 		if !ok {
 			continue
 		}
 		name, opt, _ := strings.Cut(tag, ",")
-		f := &field{v: v.Field(i), need: opt == "need"}
+		f := &field{value: v.Field(i), required: opt == "need"}
 		if name == "#" {
-			plain = append(plain, f)
+			positional = append(positional, f)
 		} else {
-			named[name] = f
+			byName[name] = f
 		}
 	}
-	return named, plain
+	return byName, positional
 }
 
 func decodeStruct(at Pos, items []*Node, v reflect.Value) error {
-	named, plain := fields(v)
+	byName, positional := fields(v)
 	if p := v.FieldByName("At"); p.IsValid() && p.Type() == reflect.TypeFor[Pos]() {
 		p.Set(reflect.ValueOf(at))
 	}
 	for _, n := range items {
 		if !n.List {
-			if len(plain) == 0 {
+			if len(positional) == 0 {
 				return Errorf(n.Pos, "the value %q has no place here", n.Text)
 			}
-			if err := decodeValue(n, plain[0].v); err != nil {
+			if err := decodeValue(n, positional[0].value); err != nil {
 				return err
 			}
-			plain = plain[1:]
+			positional = positional[1:]
 			continue
 		}
-		if err := decodeForm(n, named); err != nil {
+		if err := decodeForm(n, byName); err != nil {
 			return err
 		}
 	}
-	for _, f := range plain {
-		if f.need {
+	for _, f := range positional {
+		if f.required {
 			return Errorf(at, "a value is missing")
 		}
 	}
-	for name, f := range named {
-		if f.need && !f.seen {
+	for name, f := range byName {
+		if f.required && !f.seen {
 			return Errorf(at, "(%s ...) is missing", name)
 		}
 	}
 	return nil
 }
 
-func decodeForm(n *Node, named map[string]*field) error {
+func decodeForm(n *Node, byName map[string]*field) error {
 	head := n.Head()
 	if head == "" {
 		return Errorf(n.Pos, "a form starts with its name")
 	}
-	f := named[head]
+	f := byName[head]
 	if f == nil {
-		return Errorf(n.Items[0].Pos, "%q is not known here%s", head, nearest(head, named))
+		return Errorf(n.Items[0].Pos, "%q is not known here%s", head, suggestion(head, byName))
 	}
 	args := n.Items[1:]
-	if f.v.Kind() == reflect.Slice {
+	if f.value.Kind() == reflect.Slice {
 		return decodeSlice(n, args, f)
 	}
 	if f.seen {
 		return Errorf(n.Pos, "%q is given twice", head)
 	}
 	f.seen = true
-	if isPlain(f.v.Type()) {
+	if isScalar(f.value.Type()) {
 		if len(args) != 1 {
 			return Errorf(n.Pos, "%q takes one value", head)
 		}
-		return decodeValue(args[0], f.v)
+		return decodeValue(args[0], f.value)
 	}
-	if f.v.Kind() == reflect.Pointer {
-		f.v.Set(reflect.New(f.v.Type().Elem()))
-		return decodeStruct(n.Pos, args, f.v.Elem())
+	if f.value.Kind() == reflect.Pointer {
+		f.value.Set(reflect.New(f.value.Type().Elem()))
+		return decodeStruct(n.Pos, args, f.value.Elem())
 	}
-	return decodeStruct(n.Pos, args, f.v)
+	return decodeStruct(n.Pos, args, f.value)
 }
 
 func decodeSlice(n *Node, args []*Node, f *field) error {
-	elem := f.v.Type().Elem()
-	if !isPlain(elem) {
+	elem := f.value.Type().Elem()
+	if !isScalar(elem) {
 		v := reflect.New(elem).Elem()
 		if err := decodeStruct(n.Pos, args, v); err != nil {
 			return err
 		}
 		f.seen = true
-		f.v.Set(reflect.Append(f.v, v))
+		f.value.Set(reflect.Append(f.value, v))
 		return nil
 	}
 	if f.seen {
@@ -161,13 +161,13 @@
 		if err := decodeValue(a, v); err != nil {
 			return err
 		}
-		f.v.Set(reflect.Append(f.v, v))
+		f.value.Set(reflect.Append(f.value, v))
 	}
 	return nil
 }
 
-// isPlain tells whether a value of the type is one word or string.
-func isPlain(t reflect.Type) bool {
+// isScalar tells whether a value of the type is one word or string.
+func isScalar(t reflect.Type) bool {
 	return t.Kind() != reflect.Struct && t.Kind() != reflect.Pointer ||
 		reflect.PointerTo(t).Implements(reflect.TypeFor[encoding.TextUnmarshaler]())
 }
@@ -191,11 +191,11 @@
 		v.SetInt(int64(d))
 		return nil
 	case Tokens:
-		return number(n, v, "tokens; write 500, 500tokens or 20ktokens", unit{"ktokens", 1000}, unit{"tokens", 1})
+		return setNumber(n, v, "tokens; write 500, 500tokens or 20ktokens", unit{"ktokens", 1000}, unit{"tokens", 1})
 	case PerSecond:
-		return number(n, v, "a rate; write 10/s or 600/min", unit{"/s", 1}, unit{"/min", 1. / 60})
+		return setNumber(n, v, "a rate; write 10/s or 600/min", unit{"/s", 1}, unit{"/min", 1. / 60})
 	case Bytes:
-		return number(n, v, "a size; write 4096, 64KiB or 1MiB", unit{"KiB", 1 << 10}, unit{"MiB", 1 << 20})
+		return setNumber(n, v, "a size; write 4096, 64KiB or 1MiB", unit{"KiB", 1 << 10}, unit{"MiB", 1 << 20})
 	}
 	switch v.Kind() {
 	case reflect.String:
@@ -210,32 +210,32 @@
 			return Errorf(n.Pos, "%q is not yes or no", n.Text)
 		}
 	case reflect.Int, reflect.Int64, reflect.Uint64:
-		return number(n, v, "a whole number")
+		return setNumber(n, v, "a whole number")
 	default:
-		return number(n, v, "a number")
+		return setNumber(n, v, "a number")
 	}
 	return nil
 }
 
 type unit struct {
-	name  string
-	times float64
+	name   string
+	factor float64
 }
 
-// number sets a number of any kind, with one of the units or none. Numbers below 0 are refused.
-func number(n *Node, v reflect.Value, what string, units ...unit) error {
-	text, times := n.Text, 1.0
+// setNumber sets a number of any kind, with one of the units or none. Numbers below 0 are refused.
+func setNumber(n *Node, v reflect.Value, want string, units ...unit) error {
+	text, factor := n.Text, 1.0
 	for _, u := range units {
-		if cut, ok := strings.CutSuffix(text, u.name); ok {
-			text, times = cut, u.times
+		if digits, ok := strings.CutSuffix(text, u.name); ok {
+			text, factor = digits, u.factor
 			break
 		}
 	}
 	x, err := strconv.ParseFloat(text, 64)
-	x *= times
-	whole := v.Kind() != reflect.Float64
-	if err != nil || !(x >= 0) || math.IsInf(x, 0) || whole && (x != math.Trunc(x) || x > 1<<53) {
-		return Errorf(n.Pos, "%q is not %s", n.Text, what)
+	x *= factor
+	integral := v.Kind() != reflect.Float64
+	if err != nil || !(x >= 0) || math.IsInf(x, 0) || integral && (x != math.Trunc(x) || x > 1<<53) {
+		return Errorf(n.Pos, "%q is not %s", n.Text, want)
 	}
 	switch v.Kind() {
 	case reflect.Float64:
@@ -248,11 +248,11 @@
 	return nil
 }
 
-// nearest suggests the known name that takes the fewest edits, if few do.
-func nearest(name string, named map[string]*field) string {
+// suggestion suggests the known name that takes the fewest edits, if few do.
+func suggestion(name string, byName map[string]*field) string {
 	best, least := "", len(name)/2+1
-	for known := range named {
-		if d := edits(name, known); d < least || d == least && best != "" && known < best {
+	for known := range byName {
+		if d := levenshtein(name, known); d < least || d == least && best != "" && known < best {
 			best, least = known, d
 		}
 	}
@@ -262,8 +262,8 @@
 	return `; is "` + best + `" meant?`
 }
 
-// edits is the Levenshtein distance.
-func edits(a, b string) int {
+// levenshtein is the Levenshtein distance.
+func levenshtein(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
 		row[j] = j
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -132,15 +132,15 @@
 	if r.err != nil {
 		return r.err
 	}
-	told, err := profile.Parse([]byte(text))
+	parsed, err := profile.Parse([]byte(text))
 	if err != nil {
 		return fmt.Errorf("OPEN_INSTANCE: profileData: %w", err)
 	}
-	router, err := gannethook.New(told.Settings, uint64(seed))
+	router, err := gannethook.New(parsed.Settings, uint64(seed))
 	if err != nil {
 		return fmt.Errorf("OPEN_INSTANCE: %w", err)
 	}
-	h.instances[id] = &instance{router: router, Profile: told}
+	h.instances[id] = &instance{router: router, Profile: parsed}
 	return nil
 }
 
--- a/internal/wire/host_test.go
+++ b/internal/wire/host_test.go
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestNewerWireIsSkipped(t *testing.T) {
+func TestUnknownMessagesAreSkipped(t *testing.T) {
 	out, err := serve(opening(t) + "BATCH momentMs=1004 serial=2 shade=blue\nNEW_EVENT routerId=3 nodesList=1\n" +
 		"WORKER whatever=1\nWHISPER routerId=3 sender=1 octets=aGk=\n" + strings.TrimSuffix(ordering, "\n") +
 		" remark=two words\nEND\nBATCH momentMs=1100 serial=3\n" +
@@ -133,8 +133,8 @@
 	}
 }
 
-// TestInstancesShareNothing: two instances in one host act as each does alone.
-func TestInstancesShareNothing(t *testing.T) {
+// TestInstancesAreIndependent: two instances in one host act as each does alone.
+func TestInstancesAreIndependent(t *testing.T) {
 	day := opening(t) + "BATCH momentMs=1004 serial=2\n" + ordering + "END\n"
 	alone, err := serve(day)
 	if err != nil {
