--- a/cmd/gannethook/cert.go
+++ b/cmd/gannethook/cert.go
@@ -12,40 +12,43 @@
 	"gannethook/internal/control"
 )
 
+// certCommand creates an authority and issues certificates, one subcommand for each role.
 func certCommand() *cobra.Command {
 	var dir, domain string
 	var valid time.Duration
 	cmd := &cobra.Command{
 		Use:   "cert",
-		Short: "Make a fleet's authority and certificates, for a first installation",
-		Long: `Make a fleet's authority and certificates, for a first installation.
+		Short: "Create a fleet's certificate authority and issue certificates, for a first installation",
+		Long: `Create a fleet's certificate authority and issue certificates, for a first installation.
 
-An organisation's own issuer takes this command's place: certificates need a
-SPIFFE id spiffe://DOMAIN/ROLE/NAME, the role being router, operator or read-only; clients' are as (identity ...) names them.`,
+An organisation's own issuer can replace this command: a certificate needs the
+SPIFFE ID spiffe://DOMAIN/ROLE/NAME, where ROLE is router, operator or read-only;
+a client's certificate needs an ID that (identity ...) of its tenant names.`,
 	}
-	authority := &cobra.Command{Use: "authority", Short: "Make the authority", Args: cobra.NoArgs,
+	authority := &cobra.Command{Use: "authority", Short: "Create the authority", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			a, err := certs.NewAuthority(dir, domain, valid, time.Now())
 			if err == nil {
-				fmt.Fprintf(cmd.OutOrStdout(), "authority of %s in %s; keep %s to yourself\n", a.Domain(), dir, certs.AuthorityKey)
+				fmt.Fprintf(cmd.OutOrStdout(), "authority of %s in %s; keep %s secret\n", a.Domain(), dir, certs.AuthorityKey)
 			}
 			return err
 		}}
-	authority.Flags().StringVar(&domain, "domain", "", "trust domain, as fleet.example")
-	authority.Flags().DurationVar(&valid, "valid", 5*365*24*time.Hour, "for so long")
+	authority.Flags().StringVar(&domain, "domain", "", "trust domain, for example fleet.example")
+	authority.Flags().DurationVar(&valid, "valid", 5*365*24*time.Hour, "validity period")
 	authority.MarkFlagRequired("domain")
-	cmd.PersistentFlags().StringVar(&dir, "authority", "authority", "the authority's folder")
+	cmd.PersistentFlags().StringVar(&dir, "authority", "authority", "directory of the authority")
 	cmd.AddCommand(authority)
 	for _, role := range []struct {
 		role  control.Role
 		short string
-	}{{control.AsRouter, "Make or renew a router's certificate"}, {control.Operator, "Make or renew an operator's certificate"},
-		{control.ReadOnly, "Make or renew a certificate that may only look"}, {"client", "Make or renew a tenant's certificate"}} {
+	}{{control.AsRouter, "Issue or renew a router's certificate"}, {control.Operator, "Issue or renew an operator's certificate"},
+		{control.ReadOnly, "Issue or renew a certificate with read-only access"}, {"client", "Issue or renew a client certificate of a tenant"}} {
 		cmd.AddCommand(issueCommand(&dir, string(role.role), role.short))
 	}
 	return cmd
 }
 
+// issueCommand issues a certificate for role to the name given as argument, with the authority in *dir.
 func issueCommand(dir *string, role, short string) *cobra.Command {
 	var out string
 	var valid time.Duration
@@ -65,7 +68,7 @@
 			fmt.Fprintf(cmd.OutOrStdout(), "%s and %s, valid for %v\n", cert, key, valid)
 			return nil
 		}}
-	cmd.Flags().StringVar(&out, "out", ".", "folder")
-	cmd.Flags().DurationVar(&valid, "valid", 90*24*time.Hour, "for so long")
+	cmd.Flags().StringVar(&out, "out", ".", "output directory")
+	cmd.Flags().DurationVar(&valid, "valid", 90*24*time.Hour, "validity period")
 	return cmd
 }
--- a/cmd/gannethook/day.go
+++ b/cmd/gannethook/day.go
@@ -14,19 +14,20 @@
 	"gannethook/internal/scenario"
 )
 
-// errRuleBroken makes the exit status tell that a rule broke.
-var errRuleBroken = errors.New("a rule broke; see breaks.txt in the day's folder")
+// errRuleBroken gives a run in which one of the five rules was broken a non-zero exit status.
+var errRuleBroken = errors.New("a rule was broken; see breaks.txt in the directory of the run")
 
+// dayCommand runs a scenario script and judges it by the five rules.
 func dayCommand() *cobra.Command {
 	var dir, policies, chart, operationsChart string
 	var seeds []uint
 	var stretch float64
 	cmd := &cobra.Command{
 		Use:   "day [SCRIPT]",
-		Short: "Play a scripted bad day through router processes and judge the five rules",
-		Long: "Play a scripted day: routers as processes, stand-in engines and roster, clients at a rate, faults at their\n" +
-			"times. Without a script, the embedded bad day. The five rules are judged from what passed on the sockets;\n" +
-			"the exit status is not 0 if one broke.",
+		Short: "Run a scripted failure scenario against router processes and check the five rules",
+		Long: "Run a scenario script: router processes, stand-in engines and roster, clients at a given rate, and faults at\n" +
+			"given times. Without a script, the embedded scenario bad.gann runs. The five rules are judged from the traffic\n" +
+			"on the sockets; the exit status is not 0 if one was broken.",
 		Args: cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			load := func() (*scenario.Script, error) { return scenario.Parse("bad.gann", scenario.Bad) }
@@ -43,16 +44,17 @@
 		},
 	}
 	f := cmd.Flags()
-	f.StringVar(&dir, "dir", "", "folder for settings, logs and records; a new one if not given")
-	f.StringVar(&policies, "policy", "module", "module, random or round-robin; several with commas play one after the other")
-	f.StringVar(&chart, "chart", "", "draw the share served in time over the day into this file (svg, png or pdf)")
-	f.StringVar(&operationsChart, "operations", "", "draw what drains and restarts took into this file; of the last day")
-	f.UintSliceVar(&seeds, "seed", nil, "seeds to play; the script's if not given")
-	f.Float64Var(&stretch, "times", 1, "stretch all times of the script by this")
+	f.StringVar(&dir, "dir", "", "directory for settings, logs and records; by default a new one")
+	f.StringVar(&policies, "policy", "module", "module, random or round-robin; several, separated by commas, run one after the other")
+	f.StringVar(&chart, "chart", "", "draw the share served in time over the scenario into this file (svg, png or pdf)")
+	f.StringVar(&operationsChart, "operations", "", "draw the durations of drains and restarts of the last run into this file")
+	f.UintSliceVar(&seeds, "seed", nil, "seeds to run; by default that of the script")
+	f.Float64Var(&stretch, "times", 1, "factor by which all times of the script are stretched")
 	return cmd
 }
 
-// playScenarios plays a script with each policy and seed.
+// playScenarios runs a script once for each policy and seed, in a subdirectory of dir for each. Only runs of the policy
+// "module" affect the returned error: the baselines are expected to break rules.
 func playScenarios(cmd *cobra.Command, load func() (*scenario.Script, error), policies []string, seeds []uint, stretch float64, dir, chart, operationsChart string) error {
 	var results []*scenario.Result
 	allKept := true
@@ -104,10 +106,11 @@
 	return nil
 }
 
-// runProgramEnv makes a test's binary serve; the real one needs nothing.
+// runProgramEnv is an environment variable that makes a test binary run the program instead of its tests. The program
+// itself ignores it.
 const runProgramEnv = "GANNETHOOK_BE_ROUTER"
 
-// selfCommand runs this very program.
+// selfCommand returns a command that runs this executable with args.
 func selfCommand(args ...string) *exec.Cmd {
 	self, err := os.Executable()
 	if err != nil {
--- a/cmd/gannethook/demo.go
+++ b/cmd/gannethook/demo.go
@@ -17,14 +17,15 @@
 	"gannethook/internal/standin"
 )
 
-// demoTimeout is far more than the demo takes.
+// demoTimeout bounds the whole demo and is far longer than it takes.
 const demoTimeout = 30 * time.Second
 
+// demoCommand runs a router, stand-in engines and a stand-in roster in one process and sends a few prompts.
 func demoCommand() *cobra.Command {
 	var level string
 	cmd := &cobra.Command{
 		Use:   "demo",
-		Short: "One router, stand-in engines and roster on loopback; a few prompts, then it ends",
+		Short: "Run one router with stand-in engines and roster on loopback, send a few prompts and exit",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			log, _, err := newLogger(level)
@@ -40,7 +41,7 @@
 	return cmd
 }
 
-// demoEngineConfig is a stand-in's size.
+// demoEngineConfig is the configuration of a stand-in reader, or of a writer if writes is set.
 func demoEngineConfig(writes bool) standin.Config {
 	return standin.Config{Addr: "127.0.0.1:0", Writes: writes, Slots: 8, Queue: 32, Memory: 160000, ReadRate: 15000,
 		FetchRate: 200000, TokenGap: 15 * time.Millisecond, Early: 0.7, ColdFrom: 0.3, WarmAfter: 10 * time.Second,
@@ -83,6 +84,7 @@
 	return demoSession(ctx, out, d.Addr())
 }
 
+// demoSession sends prompts of both classes in one session and prints the answers; one that is not served is an error.
 func demoSession(ctx context.Context, out io.Writer, addr string) error {
 	s, err := client.Open(ctx, addr, "demo")
 	if err != nil {
@@ -115,12 +117,13 @@
 	return nil
 }
 
+// chatCommand sends prompts from standard input to a router.
 func chatCommand() *cobra.Command {
 	var addr, model, class string
 	var maxTokens int
 	cmd := &cobra.Command{
 		Use:   "chat --router HOST:PORT",
-		Short: "Ask a router: a prompt a line in, tokens out",
+		Short: "Send each line of standard input to a router as a prompt and print the answers",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			s, err := client.Open(cmd.Context(), addr, model)
@@ -135,13 +138,13 @@
 	f := cmd.Flags()
 	f.StringVarP(&addr, "router", "r", "", "the router's host:port")
 	f.StringVar(&model, "model", "", "model to ask for")
-	f.StringVar(&class, "class", "", "class of the requests; the settings' first if not given")
-	f.IntVar(&maxTokens, "max-tokens", 0, "most tokens of an answer")
+	f.StringVar(&class, "class", "", "class of the requests; by default the first of the settings")
+	f.IntVar(&maxTokens, "max-tokens", 0, "maximum tokens of an answer")
 	cmd.MarkFlagRequired("router")
 	return cmd
 }
 
-// chat asks line by line; an answer that is not served ends it with an error.
+// chat sends each non-empty line as a prompt; the first answer that is not served ends it with an error.
 func chat(in io.Reader, out io.Writer, s *client.Session, class string, maxTokens int) error {
 	lines := bufio.NewScanner(in)
 	for lines.Scan() {
@@ -165,7 +168,7 @@
 		fmt.Fprintln(out)
 		switch a.Kind() {
 		case "refused":
-			return fmt.Errorf("refused: nothing has run; come back in %v (%s)", a.RetryAfter, a.Reason)
+			return fmt.Errorf("refused: nothing has run; retry after %v (%s)", a.RetryAfter, a.Reason)
 		case "failed":
 			return fmt.Errorf("failed: it may have run (%s)", a.Reason)
 		}
--- a/cmd/gannethook/fleet.go
+++ b/cmd/gannethook/fleet.go
@@ -19,48 +19,50 @@
 	"gannethook/internal/rollout"
 )
 
-// fleetFlags are shared by all fleet commands.
+// fleetFlags are the flags that the fleet commands share.
 type fleetFlags struct {
-	file  string
+	file  string // path of the fleet file
 	json  bool
-	quiet bool
-	yes   bool
+	quiet bool // no progress lines
+	yes   bool // commands to several routers need no confirmation
 }
 
+// fleetCommand shows and operates the routers of a fleet file.
 func fleetCommand() *cobra.Command {
 	f := &fleetFlags{}
 	cmd := &cobra.Command{
 		Use:   "fleet",
-		Short: "Show and command the routers of a fleet",
-		Long: `Show and command the routers of a fleet.
+		Short: "Show and operate the routers of a fleet",
+		Long: `Show and operate the routers of a fleet.
 
-Routers are given by name, centre=NAME, label=NAME or all; several add up.
+Routers are selected by name, centre=NAME, label=NAME or all; several selectors
+select the union.
 
 Exit codes:
-  0  all done
-  1  the command line, a file or the tool itself was wrong; nothing was sent
-  3  partly done: some routers did it, some did not, each is known
-  4  unknown: of one router at the least it is not known what it did
+  0  done on all routers
+  1  error in the command line, a file or the tool itself; nothing was sent
+  3  partly done: done on some routers, not on others; the outcome of each is known
+  4  unknown: the outcome of at least one router is not known
   5  all routers refused
   6  no router could be reached
-  7  a rollout went back
-  8  a rollout ended half way`,
+  7  a rollout was rolled back
+  8  a rollout ended before it was complete`,
 	}
-	cmd.PersistentFlags().StringVarP(&f.file, "fleet", "f", os.Getenv("GANNETHOOK_FLEET"), "fleet file; by default $GANNETHOOK_FLEET")
+	cmd.PersistentFlags().StringVarP(&f.file, "fleet", "f", os.Getenv("GANNETHOOK_FLEET"), "fleet file; default $GANNETHOOK_FLEET")
 	cmd.PersistentFlags().BoolVar(&f.json, "json", false, "print JSON")
-	cmd.PersistentFlags().BoolVarP(&f.quiet, "quiet", "q", false, "no progress")
-	cmd.AddCommand(f.list(), f.statusCommand("status", "Show how routers are", fleet.WriteStatus),
-		f.statusCommand("limits", "Show what waits, what is in hand, and what was turned away and why", fleet.WriteLimits),
-		f.operationCommand("drain", "Let routers end what is open and take nothing new", pb.Command_DRAIN),
-		f.operationCommand("resume", "Have drained routers take sessions again", pb.Command_RESUME),
-		f.operationCommand("reload", "Have routers read their settings again", pb.Command_RELOAD),
-		f.operationCommand("restart", "Replace routers by successors that take their ports over", pb.Command_RESTART),
-		f.operationCommand("stop", "Drain routers and end them", pb.Command_STOP),
+	cmd.PersistentFlags().BoolVarP(&f.quiet, "quiet", "q", false, "print no progress")
+	cmd.AddCommand(f.list(), f.statusCommand("status", "Show the state of routers", fleet.WriteStatus),
+		f.statusCommand("limits", "Show queued and in-flight requests, and refusals by reason", fleet.WriteLimits),
+		f.operationCommand("drain", "Finish open requests and accept no new ones", pb.Command_DRAIN),
+		f.operationCommand("resume", "Have drained routers accept sessions again", pb.Command_RESUME),
+		f.operationCommand("reload", "Have routers reload their settings", pb.Command_RELOAD),
+		f.operationCommand("restart", "Replace routers by successor processes that take over their ports", pb.Command_RESTART),
+		f.operationCommand("stop", "Drain routers and stop them", pb.Command_STOP),
 		f.rollout(), f.watch(), f.top(), f.engines(), f.sessions(), f.diff(), f.logLevel(), f.rehearse())
 	return cmd
 }
 
-// tool loads the fleet file.
+// tool loads the fleet file and its certificates.
 func (f *fleetFlags) tool(cmd *cobra.Command) (*fleet.Tool, error) {
 	if f.file == "" {
 		return nil, errors.New("no fleet file: give --fleet or set GANNETHOOK_FLEET")
@@ -76,7 +78,7 @@
 	return &fleet.Tool{File: file, Certs: certs, Err: cmd.ErrOrStderr(), Quiet: f.quiet || f.json}, nil
 }
 
-// selectRouters finds the routers of a command line; with none given, all.
+// selectRouters returns the routers that the selectors of a command line match; without selectors, all.
 func (f *fleetFlags) selectRouters(cmd *cobra.Command, selectors []string) (*fleet.Tool, []fleet.Router, error) {
 	t, err := f.tool(cmd)
 	if err != nil {
@@ -89,7 +91,7 @@
 	return t, list, err
 }
 
-// completeSelectors offers names, centres and labels.
+// completeSelectors completes selectors on the command line: names, centres and labels.
 func (f *fleetFlags) completeSelectors(*cobra.Command, []string, string) ([]string, cobra.ShellCompDirective) {
 	file, err := fleet.Load(f.file)
 	if err != nil {
@@ -116,7 +118,7 @@
 }
 
 func (f *fleetFlags) list() *cobra.Command {
-	return &cobra.Command{Use: "list [ROUTER...]", Short: "List routers as the fleet file has them", ValidArgsFunction: f.completeSelectors,
+	return &cobra.Command{Use: "list [ROUTER...]", Short: "List the routers of the fleet file", ValidArgsFunction: f.completeSelectors,
 		RunE: func(cmd *cobra.Command, selectors []string) error {
 			_, list, err := f.selectRouters(cmd, selectors)
 			if err != nil {
@@ -130,7 +132,7 @@
 		}}
 }
 
-// showStatus prints statuses as a table; routers that can't be reached are an exit code.
+// showStatus prints the statuses of routers as a table or as JSON. Routers that can't be reached determine the exit code.
 func (f *fleetFlags) showStatus(cmd *cobra.Command, t *fleet.Tool, list []fleet.Router, table func(io.Writer, []fleet.Line)) error {
 	lines := t.Look(cmd.Context(), list)
 	if f.json {
@@ -151,7 +153,7 @@
 	return fleet.Judge(reports)
 }
 
-// statusCommand makes a command that shows statuses as a table.
+// statusCommand returns a command that prints statuses with the given table.
 func (f *fleetFlags) statusCommand(name, short string, table func(io.Writer, []fleet.Line)) *cobra.Command {
 	return &cobra.Command{Use: name + " [ROUTER...]", Short: short, ValidArgsFunction: f.completeSelectors,
 		RunE: func(cmd *cobra.Command, selectors []string) error {
@@ -163,7 +165,7 @@
 		}}
 }
 
-// confirm asks before a command that is wide: of more than one router.
+// confirm asks the operator before a command to more than one router.
 func (f *fleetFlags) confirm(cmd *cobra.Command, action string, list []fleet.Router) error {
 	if f.yes || len(list) < 2 {
 		return nil
@@ -172,7 +174,7 @@
 	for _, r := range list {
 		names = append(names, r.Name)
 	}
-	fmt.Fprintf(cmd.ErrOrStderr(), "%s %d routers: %s\nGo on? [y/N] ", action, len(list), strings.Join(names, " "))
+	fmt.Fprintf(cmd.ErrOrStderr(), "%s %d routers: %s\nContinue? [y/N] ", action, len(list), strings.Join(names, " "))
 	answer, _ := bufio.NewReader(cmd.InOrStdin()).ReadString('\n')
 	if a := strings.ToLower(strings.TrimSpace(answer)); a != "y" && a != "yes" {
 		return errors.New("not confirmed; nothing was sent (--yes confirms beforehand)")
@@ -180,6 +182,7 @@
 	return nil
 }
 
+// operationCommand returns a command that sends op to routers, one after another by default.
 func (f *fleetFlags) operationCommand(name, short string, op pb.Command_Op) *cobra.Command {
 	order := fleet.Order{Op: op}
 	var parallel int
@@ -203,27 +206,28 @@
 			}
 			return fleet.Judge(reports)
 		}}
-	cmd.Flags().BoolVarP(&f.yes, "yes", "y", false, "do not ask before a command to several routers")
-	cmd.Flags().IntVar(&parallel, "at-once", 1, "so many routers at a time")
-	cmd.Flags().BoolVar(&continueOnFailure, "go-on", false, "go on after a router that did not do it")
+	cmd.Flags().BoolVarP(&f.yes, "yes", "y", false, "do not ask for confirmation")
+	cmd.Flags().IntVar(&parallel, "at-once", 1, "number of routers at a time")
+	cmd.Flags().BoolVar(&continueOnFailure, "go-on", false, "continue after a router that failed or refused")
 	if op != pb.Command_RESUME && op != pb.Command_RELOAD {
-		cmd.Flags().DurationVar(&order.Limit, "limit", 0, "what is open then is failed; by default (times (drain ...)) of the fleet file")
+		cmd.Flags().DurationVar(&order.Limit, "limit", 0, "time after which requests that are still open fail; by default (times (drain ...)) of the fleet file")
 	}
 	if op == pb.Command_RESTART {
 		cmd.Flags().StringVar(&order.Release, "release", "", "release that the successor runs; by default the same program")
-		cmd.Flags().BoolVar(&order.NoWait, "no-wait", false, "do not wait for the predecessor to end")
+		cmd.Flags().BoolVar(&order.NoWait, "no-wait", false, "do not wait until the predecessor has exited")
 	}
 	return cmd
 }
 
+// rollout returns the command that restarts routers under the constraints of the fleet file, or prints the plan.
 func (f *fleetFlags) rollout() *cobra.Command {
 	var release, journal string
 	var planOnly bool
 	cmd := &cobra.Command{Use: "rollout [ROUTER...]", Short: "Restart many routers under the fleet file's constraints", ValidArgsFunction: f.completeSelectors,
 		Long: `Restart many routers under the constraints of the fleet file's (rollout ...).
 
-Decisions are kept in a journal on disk: a rollout whose tool died goes on when
-the same command is given again.`,
+Decisions are kept in a journal on disk: a rollout whose tool was killed continues
+when the same command is given again.`,
 		RunE: func(cmd *cobra.Command, selectors []string) error {
 			t, list, err := f.selectRouters(cmd, selectors)
 			if err != nil {
@@ -248,13 +252,14 @@
 			}
 			return f.runRollout(cmd, t, list, release, journal)
 		}}
-	cmd.Flags().BoolVarP(&f.yes, "yes", "y", false, "do not ask")
+	cmd.Flags().BoolVarP(&f.yes, "yes", "y", false, "do not ask for confirmation")
 	cmd.Flags().StringVar(&release, "release", "", "release that the successors run; by default the same program")
-	cmd.Flags().StringVar(&journal, "journal", "", "journal's file; by default beside the fleet file")
-	cmd.Flags().BoolVar(&planOnly, "plan", false, "print the plan and do nothing")
+	cmd.Flags().StringVar(&journal, "journal", "", "file of the journal; by default next to the fleet file")
+	cmd.Flags().BoolVar(&planOnly, "plan", false, "print the plan without executing it")
 	return cmd
 }
 
+// runRollout runs or continues the rollout of a journal and prints its steps.
 func (f *fleetFlags) runRollout(cmd *cobra.Command, t *fleet.Tool, list []fleet.Router, release, journal string) error {
 	j, err := fleet.OpenJournal(journal)
 	if err != nil {
@@ -279,14 +284,15 @@
 	case rollout.AllDone:
 		return nil
 	case rollout.RolledBack:
-		return &fleet.ExitError{Code: fleet.ExitRolledBack, Text: "the rollout went back"}
+		return &fleet.ExitError{Code: fleet.ExitRolledBack, Text: "the rollout was rolled back"}
 	}
-	return &fleet.ExitError{Code: fleet.ExitStuck, Text: "the rollout ended half way; see fleet status"}
+	return &fleet.ExitError{Code: fleet.ExitStuck, Text: "the rollout ended before it was complete; see fleet status"}
 }
 
+// watch returns the command that prints the events of routers as they happen.
 func (f *fleetFlags) watch() *cobra.Command {
 	var once bool
-	cmd := &cobra.Command{Use: "watch [ROUTER...]", Short: "Follow what routers report", ValidArgsFunction: f.completeSelectors,
+	cmd := &cobra.Command{Use: "watch [ROUTER...]", Short: "Follow the events of routers", ValidArgsFunction: f.completeSelectors,
 		RunE: func(cmd *cobra.Command, selectors []string) error {
 			t, list, err := f.selectRouters(cmd, selectors)
 			if err != nil {
@@ -316,14 +322,15 @@
 			})
 			return fleet.Judge(reports)
 		}}
-	cmd.Flags().BoolVar(&once, "once", false, "print what there is and end")
+	cmd.Flags().BoolVar(&once, "once", false, "print the events recorded so far and exit")
 	return cmd
 }
 
+// top returns the command that refreshes the status table periodically.
 func (f *fleetFlags) top() *cobra.Command {
 	var interval time.Duration
 	var refreshes int
-	cmd := &cobra.Command{Use: "top [ROUTER...]", Short: "Show how routers are, again and again", ValidArgsFunction: f.completeSelectors,
+	cmd := &cobra.Command{Use: "top [ROUTER...]", Short: "Show the state of routers, refreshed periodically", ValidArgsFunction: f.completeSelectors,
 		RunE: func(cmd *cobra.Command, selectors []string) error {
 			t, list, err := f.selectRouters(cmd, selectors)
 			if err != nil {
@@ -345,12 +352,12 @@
 				}
 			}
 		}}
-	cmd.Flags().DurationVar(&interval, "every", 2*time.Second, "between two looks")
-	cmd.Flags().IntVar(&refreshes, "times", 0, "so many looks; 0 goes on until interrupted")
+	cmd.Flags().DurationVar(&interval, "every", 2*time.Second, "time between two refreshes, 100ms or more")
+	cmd.Flags().IntVar(&refreshes, "times", 0, "number of refreshes; 0 continues until interrupted")
 	return cmd
 }
 
-// perRouterCommand makes a command that asks each router something.
+// perRouterCommand returns a command that calls do for each selected router in turn.
 func (f *fleetFlags) perRouterCommand(use, short string, do func(ctx context.Context, cmd *cobra.Command, l *fleet.Link) error) *cobra.Command {
 	return &cobra.Command{Use: use + " ROUTER...", Short: short, Args: cobra.MinimumNArgs(1), ValidArgsFunction: f.completeSelectors,
 		RunE: func(cmd *cobra.Command, selectors []string) error {
@@ -375,7 +382,7 @@
 }
 
 func (f *fleetFlags) engines() *cobra.Command {
-	return f.perRouterCommand("engines", "Show the engines as routers see them", func(ctx context.Context, cmd *cobra.Command, l *fleet.Link) error {
+	return f.perRouterCommand("engines", "Show the engines as seen by routers", func(ctx context.Context, cmd *cobra.Command, l *fleet.Link) error {
 		return l.Engines(ctx, cmd.OutOrStdout())
 	})
 }
@@ -385,33 +392,34 @@
 	cmd := f.perRouterCommand("sessions", "Show open sessions", func(ctx context.Context, cmd *cobra.Command, l *fleet.Link) error {
 		return l.Sessions(ctx, cmd.OutOrStdout(), limit)
 	})
-	cmd.Flags().IntVar(&limit, "most", 100, "show so many at the most")
+	cmd.Flags().IntVar(&limit, "most", 100, "maximum number of sessions shown")
 	return cmd
 }
 
 func (f *fleetFlags) diff() *cobra.Command {
-	return f.perRouterCommand("diff", "Compare the settings that run with their files", func(ctx context.Context, cmd *cobra.Command, l *fleet.Link) error {
+	return f.perRouterCommand("diff", "Compare the active settings with the settings files", func(ctx context.Context, cmd *cobra.Command, l *fleet.Link) error {
 		return l.Diff(ctx, cmd.OutOrStdout())
 	})
 }
 
 func (f *fleetFlags) logLevel() *cobra.Command {
 	var level string
-	cmd := f.perRouterCommand("log-level", "Show or set the log's level", func(ctx context.Context, cmd *cobra.Command, l *fleet.Link) error {
+	cmd := f.perRouterCommand("log-level", "Show or set the log level", func(ctx context.Context, cmd *cobra.Command, l *fleet.Link) error {
 		got, err := l.LogLevel(ctx, level)
 		if err == nil {
 			fmt.Fprintf(cmd.OutOrStdout(), "%s: %s\n", l.Name, got)
 		}
 		return err
 	})
-	cmd.Flags().StringVar(&level, "set", "", "debug, info, warn or error")
+	cmd.Flags().StringVar(&level, "set", "", "new level: debug, info, warn or error")
 	return cmd
 }
 
+// rehearse returns the command that simulates a rollout with faults and checks its limits.
 func (f *fleetFlags) rehearse() *cobra.Command {
 	r := rollout.Rehearsal{Target: "new"}
 	var seeds, synthetic int
-	cmd := &cobra.Command{Use: "rehearse [ROUTER...]", Short: "Play a rollout against simulated routers, in simulated time", ValidArgsFunction: f.completeSelectors,
+	cmd := &cobra.Command{Use: "rehearse [ROUTER...]", Short: "Simulate a rollout with simulated routers, in simulated time", ValidArgsFunction: f.completeSelectors,
 		RunE: func(cmd *cobra.Command, selectors []string) error {
 			t, list, err := f.selectRouters(cmd, selectors)
 			if err != nil {
@@ -436,13 +444,13 @@
 			}
 			return nil
 		}}
-	cmd.Flags().IntVar(&seeds, "seeds", 3, "play it so many times")
-	cmd.Flags().IntVar(&synthetic, "made-up", 0, "so many made-up routers in two centres, in place of the fleet file's")
-	cmd.Flags().Float64Var(&r.Spread, "spread", 0.2, "restarts take this part more or less than expected")
-	cmd.Flags().IntVar(&r.Lose, "lose", 0, "so many routers die in the middle of their restart")
-	cmd.Flags().DurationVar(&r.Back, "back", time.Minute, "and are back after so long")
-	cmd.Flags().DurationVar(&r.Kill, "kill-tool", 0, "the tool dies then, and is run again")
-	cmd.Flags().BoolVar(&r.Bad, "bad", false, "the release does not come up")
-	cmd.Flags().Float64Var(&r.Worse, "worse", 0, "the release serves this part fewer")
+	cmd.Flags().IntVar(&seeds, "seeds", 3, "number of simulations")
+	cmd.Flags().IntVar(&synthetic, "made-up", 0, "number of synthetic routers in two centres that replace those of the fleet file")
+	cmd.Flags().Float64Var(&r.Spread, "spread", 0.2, "fraction by which the duration of restarts varies around the expected one")
+	cmd.Flags().IntVar(&r.Lose, "lose", 0, "number of routers that crash during their restart")
+	cmd.Flags().DurationVar(&r.Back, "back", time.Minute, "time after which crashed routers are back")
+	cmd.Flags().DurationVar(&r.Kill, "kill-tool", 0, "time after which the tool is killed and run again; 0: never")
+	cmd.Flags().BoolVar(&r.Bad, "bad", false, "the new release does not start")
+	cmd.Flags().Float64Var(&r.Worse, "worse", 0, "fraction by which the new release serves fewer requests")
 	return cmd
 }
--- a/cmd/gannethook/idle.go
+++ b/cmd/gannethook/idle.go
@@ -13,13 +13,14 @@
 	"gannethook/internal/client"
 )
 
+// idleCommand opens idle sessions at a router and measures the memory that they take.
 func idleCommand() *cobra.Command {
 	var addr string
 	var count, pid int
 	var keep time.Duration
 	cmd := &cobra.Command{
 		Use:   "idle --router HOST:PORT --sessions N",
-		Short: "Open idle sessions at a router and tell what they cost it",
+		Short: "Open idle sessions at a router and measure its memory per session",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			before := residentKiB(pid)
@@ -45,14 +46,14 @@
 	}
 	f := cmd.Flags()
 	f.StringVarP(&addr, "router", "r", "", "the router's host:port")
-	f.IntVar(&count, "sessions", 1000, "how many")
-	f.IntVar(&pid, "pid", 0, "the router's process, to read its memory")
-	f.DurationVar(&keep, "keep", 2*time.Second, "how long they stay open")
+	f.IntVar(&count, "sessions", 1000, "number of sessions")
+	f.IntVar(&pid, "pid", 0, "process ID of the router, to read its memory")
+	f.DurationVar(&keep, "keep", 2*time.Second, "time for which the sessions stay open")
 	cmd.MarkFlagRequired("router")
 	return cmd
 }
 
-// residentKiB is a process's memory in KiB, as Linux tells it; 0 where it does not.
+// residentKiB returns the resident memory of a process in KiB from Linux's /proc; 0 where that is not available.
 func residentKiB(pid int) int {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
--- a/cmd/gannethook/load.go
+++ b/cmd/gannethook/load.go
@@ -10,16 +10,17 @@
 	"gannethook/internal/scenario"
 )
 
+// loadCommand runs a scenario at several multiples of its request rate, with and without limits, and compares the results.
 func loadCommand() *cobra.Command {
 	var dir, chart, without, policy string
 	var multiples []float64
 	var alsoUnlimited bool
 	cmd := &cobra.Command{
 		Use:   "load [SCRIPT]",
-		Short: "Play a day at several loads, with the limits on and off, and compare",
-		Long: "Play a day at several multiples of its rate, with the limits on and, beside them, off: what is served in time\n" +
-			"and its worth, who refuses, tenants' fairness, and how soon service is back after a burst. Without a script,\n" +
-			"the embedded day of overload.",
+		Short: "Run a scenario at several loads, with limits on and off, and compare",
+		Long: "Run a scenario at several multiples of its rate, with the limits on and, for comparison, off: requests served\n" +
+			"in time and their worth, refusals by cause, fairness between tenants, and recovery time after a burst. Without a\n" +
+			"script, the embedded overload scenario runs.",
 		Args: cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			load := func() (*scenario.Script, error) { return scenario.Parse("overload.gann", scenario.OverloadDay) }
@@ -37,7 +38,7 @@
 				limits = append(limits, false)
 			}
 			var results []*scenario.Result
-			play := func(multiple float64, limited bool, without string) error {
+			runLoad := func(multiple float64, limited bool, without string) error {
 				s, err := load()
 				if err != nil {
 					return err
@@ -61,13 +62,13 @@
 			}
 			for _, limited := range limits {
 				for _, multiple := range multiples {
-					if err := play(multiple, limited, ""); err != nil {
+					if err := runLoad(multiple, limited, ""); err != nil {
 						return err
 					}
 				}
 			}
 			if without != "" {
-				if err := play(multiples[0], true, without); err != nil {
+				if err := runLoad(multiples[0], true, without); err != nil {
 					return err
 				}
 			}
@@ -86,11 +87,11 @@
 		},
 	}
 	f := cmd.Flags()
-	f.StringVar(&dir, "dir", "", "folder for settings, logs and records; a new one if not given")
+	f.StringVar(&dir, "dir", "", "directory for settings, logs and records; by default a new one")
 	f.Float64SliceVar(&multiples, "times", []float64{1, 2, 5, 10}, "multiples of the script's rate")
-	f.BoolVar(&alsoUnlimited, "off", true, "play each with the limits off as well")
+	f.BoolVar(&alsoUnlimited, "off", true, "run each load also with the limits off")
 	f.StringVar(&policy, "policy", "module", "module, random or round-robin")
-	f.StringVar(&without, "without", "", "play the first load once more without this tenant: what the others get alone")
+	f.StringVar(&without, "without", "", "run the first load once more without this tenant, to show what the others get alone")
 	f.StringVar(&chart, "chart", "", "draw goodput over load into this file (svg, png or pdf)")
 	return cmd
 }
--- a/cmd/gannethook/main.go
+++ b/cmd/gannethook/main.go
@@ -1,4 +1,5 @@
-// Command gannethook is the router and what goes with it: see gannethook help.
+// Command gannethook is the router, together with its tools: operation of a fleet, certificates and keys, stand-ins for
+// engines and discovery, and scenario, load and soak tests. See gannethook help.
 package main
 
 import (
@@ -25,7 +26,7 @@
 	}
 }
 
-// exitCode is 1 unless the error has its own.
+// exitCode returns the exit status for an error: its own for a *fleet.ExitError, else 1.
 func exitCode(err error) int {
 	var e *fleet.ExitError
 	if errors.As(err, &e) {
@@ -34,10 +35,11 @@
 	return 1
 }
 
+// root returns the command with all subcommands.
 func root() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:           "gannethook",
-		Short:         "A router for model services whose readers take in prompts and whose writers stream answers",
+		Short:         "Router for language models: readers process prompts (prefill), writers stream answers (decode)",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
@@ -46,8 +48,8 @@
 	return cmd
 }
 
-// newLogger writes JSON lines to standard error, or nowhere for level "off".
-// Its level may change while it runs.
+// newLogger returns a logger that writes JSON lines to standard error, and its level, which can be changed while it runs.
+// For level "off" it logs nothing and the level is nil.
 func newLogger(level string) (*zap.Logger, *zap.AtomicLevel, error) {
 	if level == "off" {
 		return zap.NewNop(), nil, nil
--- a/cmd/gannethook/platform.go
+++ b/cmd/gannethook/platform.go
@@ -11,18 +11,19 @@
 	"gannethook/internal/platform/config"
 )
 
+// platformCommand runs a router that speaks the protocol of the users' platform.
 func platformCommand() *cobra.Command {
 	var level string
 	cmd := &cobra.Command{
 		Use:   "platform",
 		Short: "Run a router on the users' platform",
-		Long: `Run a router that speaks the users' platform's protocol (docs/platform.md). What
-it needs to know comes by EDGE_CONFIG, EDGE_NAME, EDGE_LISTEN and EDGE_DISCOVERY.
+		Long: `Run a router that speaks the protocol of the users' platform (docs/platform.md).
+It is configured by EDGE_CONFIG, EDGE_NAME, EDGE_LISTEN and EDGE_DISCOVERY.
 
-SIGTERM answers all that was taken and stops. SIGHUP reads the configuration again.`,
+SIGTERM answers all accepted requests and stops. SIGHUP reloads the configuration.`,
 		Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			signals, stopNotify := platform.Notify() // from the first moment on
+			signals, stopNotify := platform.Notify() // before anything else, so that no signal during the start is lost
 			defer stopNotify()
 			cfg, err := config.LoadAtStart(os.Getenv)
 			if err != nil {
--- a/cmd/gannethook/serve.go
+++ b/cmd/gannethook/serve.go
@@ -19,6 +19,7 @@
 	"gannethook/internal/settings"
 )
 
+// serveCommand runs a router in the foreground.
 func serveCommand() *cobra.Command {
 	var config, level, policy, release string
 	cmd := &cobra.Command{
@@ -26,11 +27,12 @@
 		Short: "Run a router",
 		Long: `Run a router until a signal or an operator stops it.
 
-SIGTERM and SIGINT drain and stop, a second one cuts that short. SIGHUP reads
-the settings again. SIGUSR2 starts a successor that takes the ports over.`,
+SIGTERM and SIGINT drain and stop; a second one ends the drain at once. SIGHUP
+reloads the settings. SIGUSR2 starts a successor that takes over the ports.`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			// From the first moment on: a stop during the start is kept, however many others come.
+			// Before anything else: a stop during the start is not lost. Stop signals have a channel of their own, which other
+			// signals can't fill.
 			stopSignals, commandSignals := make(chan os.Signal, 2), make(chan os.Signal, 2)
 			signal.Notify(stopSignals, syscall.SIGTERM, os.Interrupt)
 			signal.Notify(commandSignals, syscall.SIGHUP, syscall.SIGUSR2)
@@ -58,11 +60,12 @@
 	cmd.Flags().StringVarP(&config, "config", "c", "", "settings file")
 	cmd.Flags().StringVar(&level, "log", "info", "level of the log: debug, info, warn, error or off")
 	cmd.Flags().StringVar(&policy, "policy", "module", "module, or a baseline for comparisons: random or round-robin")
-	cmd.Flags().StringVar(&release, "release", "", "what this program calls itself; by default its folder's name under (releases ...)")
+	cmd.Flags().StringVar(&release, "release", "", "release name of this program; by default the name of its directory under (releases ...)")
 	cmd.MarkFlagRequired("config")
 	return cmd
 }
 
+// startRouter loads the settings and starts a router. link is the connection to the predecessor, nil if there is none.
 func startRouter(config, level, policy, release string, link *handover.Link) (*daemon.Daemon, error) {
 	cfg, err := settings.Load(config)
 	if err != nil {
@@ -87,8 +90,8 @@
 		Held: listeners, Level: atomicLevel}, log)
 }
 
-// selfArgv is this program's path and arguments. The path is as it was called: a
-// link that a deployment moves leads a restart to the new program.
+// selfArgv returns the absolute path of this program and its arguments. Symbolic links in the path are not resolved: after
+// a deployment has moved one, a restart runs the new program.
 func selfArgv() ([]string, error) {
 	path, err := exec.LookPath(os.Args[0])
 	if err == nil {
@@ -100,7 +103,7 @@
 	return append([]string{path}, os.Args[1:]...), nil
 }
 
-// releaseOf names the release that a program under the releases' folder belongs to.
+// releaseOf returns the release of a program at RELEASES/RELEASE/NAME, or "" if it is not in a subdirectory of releases.
 func releaseOf(path, releases string) string {
 	dir := filepath.Dir(path)
 	if releases == "" || filepath.Dir(dir) != filepath.Clean(releases) {
@@ -109,7 +112,8 @@
 	return filepath.Base(dir)
 }
 
-// handleSignals turns signals into commands until the router's life has ended.
+// handleSignals turns signals into lifecycle commands until the router has ended: stop signals into Stop, SIGUSR2 into
+// Restart, others (SIGHUP) into Reload.
 func handleSignals(d *daemon.Daemon, stopSignals, commandSignals <-chan os.Signal) {
 	for n := 1; ; n++ {
 		c := lifecycle.Command{ID: fmt.Sprintf("signal %d of process %d", n, os.Getpid())}
@@ -128,6 +132,7 @@
 	}
 }
 
+// checkCommand checks settings files and prints the first error of each.
 func checkCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check FILE...",
@@ -145,7 +150,7 @@
 				fmt.Fprintf(cmd.OutOrStdout(), "%s: router %s, %d classes, %d kinds\n", path, f.Name, len(f.Classes), len(f.Kinds))
 			}
 			if invalid > 0 {
-				return fmt.Errorf("%d of %d files are wrong", invalid, len(files))
+				return fmt.Errorf("%d of %d files are invalid", invalid, len(files))
 			}
 			return nil
 		},
--- a/cmd/gannethook/soak.go
+++ b/cmd/gannethook/soak.go
@@ -19,55 +19,58 @@
 	"gannethook/internal/soak"
 )
 
-// soakFlags are the flags of the soak.
+// soakFlags are the flags of the soak command.
 type soakFlags struct {
 	seed         uint64
-	seeds        string
-	only         []string
-	jobs         int
-	keepDir      string
-	allowStarved bool // runs whose times can't be judged are no failure
+	seeds        string   // range A-B that replaces seed
+	only         []string // kinds of fault to draw from; empty: all
+	jobs         int      // seeds run in parallel
+	keepDir      string   // directory for logs of failed seeds; "": a temporary one
+	allowStarved bool     // a run whose times can't be judged is no failure
 	cfg          soak.Config
 }
 
+// soakCommand injects random faults into a fleet of router processes and checks the invariants from outside.
 func soakCommand() *cobra.Command {
 	f := &soakFlags{}
 	cmd := &cobra.Command{
 		Use:   "soak",
-		Short: "Play random troubles on router processes and judge every promise from outside",
-		Long: `Play random troubles on router processes, on loopback, and judge every promise
-from the sides of clients, workers and discovery (docs/soak.md).
+		Short: "Inject random faults into router processes and check the invariants from outside",
+		Long: `Inject random faults into router processes on loopback and check the invariants as
+seen by clients, workers and discovery (docs/soak.md).
 
-Each seed draws two or three troubles that overlap, and one or two more. One line
-tells of a seed; the exit status is 0 only if every promise was kept. A seed that
-failed prints the command that plays it again. A seed on whose run the machine was
-too busy to judge by is played again, twice at the most, and then counts as failed.
+Each seed draws two or three faults that overlap, and one or two more. Each seed
+prints one line; the exit status is 0 only if every invariant held. For a seed that
+failed, the command that runs it again is printed. A seed during whose run the
+machine was too busy for a verdict is run again, at most twice, and then counts as
+failed.
 
-System calls fail and the wall clock is stepped only in a build with the tag:
+Faults of system calls and steps of the wall clock need a build with the tag faults:
 
     go run -tags faults ./cmd/gannethook soak --seeds 1-100 --jobs 2`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return f.run(cmd.Context(), cmd.OutOrStdout()) },
 	}
 	flags := cmd.Flags()
-	flags.Uint64Var(&f.seed, "seed", 1, "the seed to play")
-	flags.StringVar(&f.seeds, "seeds", "", "seeds to play, as A-B")
-	flags.DurationVar(&f.cfg.Length, "for", 12*time.Second, "length of a seed's run")
-	flags.IntVar(&f.cfg.Routers, "routers", 10, "router processes")
-	flags.IntVar(&f.cfg.Workers, "workers", 12, "workers, half of them for prefill")
-	flags.IntVar(&f.cfg.Clients, "clients", 5, "clients for each router")
-	flags.StringSliceVar(&f.only, "only", nil, "kinds of trouble to draw from")
-	flags.IntVar(&f.jobs, "jobs", 1, "seeds to play side by side")
-	flags.BoolVar(&f.allowStarved, "allow-starved", false, "a seed that found the machine too busy each time fails only by what needs no clock")
-	flags.StringVar(&f.keepDir, "keep", "", "folder to keep logs of seeds that failed in")
-	flags.StringVar(&f.cfg.Program, "program", "", "another build of the router to play; this one if empty")
-	flags.StringVar(&f.cfg.Break, "break", "", "guard that the routers leave out, to try the checks; only with the build tag")
-	flags.BoolVar(&f.cfg.Strict, "strict", false, "judge also what is excused as a known failure (KNOWN-RED.txt)")
+	flags.Uint64Var(&f.seed, "seed", 1, "seed to run")
+	flags.StringVar(&f.seeds, "seeds", "", "range of seeds to run, A-B")
+	flags.DurationVar(&f.cfg.Length, "for", 12*time.Second, "duration of the run of a seed")
+	flags.IntVar(&f.cfg.Routers, "routers", 10, "number of router processes")
+	flags.IntVar(&f.cfg.Workers, "workers", 12, "number of workers, half of them for prefill")
+	flags.IntVar(&f.cfg.Clients, "clients", 5, "number of clients for each router")
+	flags.StringSliceVar(&f.only, "only", nil, "kinds of fault to draw from; by default all")
+	flags.IntVar(&f.jobs, "jobs", 1, "number of seeds run in parallel")
+	flags.BoolVar(&f.allowStarved, "allow-starved", false, "a seed for which the machine was too busy each time fails only by checks that need no clock")
+	flags.StringVar(&f.keepDir, "keep", "", "directory that keeps the logs of failed seeds")
+	flags.StringVar(&f.cfg.Program, "program", "", "other build of the router to run; by default this program")
+	flags.StringVar(&f.cfg.Break, "break", "", "guard that the routers omit, to test the checks; only in a build with the tag faults")
+	flags.BoolVar(&f.cfg.Strict, "strict", false, "fail also for known failures (KNOWN-RED.txt)")
 	return cmd
 }
 
-var errSoakFailed = errors.New("a promise was not kept")
+var errSoakFailed = errors.New("an invariant was violated")
 
+// run runs the seeds in f.jobs parallel workers and prints the summary.
 func (f *soakFlags) run(ctx context.Context, out io.Writer) error {
 	first, last, err := f.seedRange()
 	if err != nil {
@@ -100,7 +103,7 @@
 	for range max(f.jobs, 1) {
 		jobs.Go(func() {
 			for seed := range queue {
-				t.add(f.play(ctx, dir, seed))
+				t.add(f.runSeed(ctx, dir, seed))
 			}
 		})
 	}
@@ -116,6 +119,7 @@
 	return ctx.Err()
 }
 
+// seedRange returns the first and the last seed to run.
 func (f *soakFlags) seedRange() (first, last uint64, err error) {
 	if f.seeds == "" {
 		return f.seed, f.seed, nil
@@ -125,36 +129,39 @@
 		last, err = strconv.ParseUint(b, 10, 32)
 	}
 	if err != nil || !ok || last < first {
-		return 0, 0, fmt.Errorf("--seeds: %q is not A-B", f.seeds)
+		return 0, 0, fmt.Errorf("--seeds: %q is not a range A-B", f.seeds)
 	}
 	return first, last, nil
 }
 
+// parseKinds checks the names of --only.
 func parseKinds(names []string) ([]soak.Kind, error) {
 	var list []soak.Kind
 	for _, name := range names {
 		if !slices.Contains(soak.Kinds, soak.Kind(name)) {
-			return nil, fmt.Errorf("--only: %q is no kind of trouble: %v", name, soak.Kinds)
+			return nil, fmt.Errorf("--only: %q is not a kind of fault; known are %v", name, soak.Kinds)
 		}
 		list = append(list, soak.Kind(name))
 	}
 	return list, nil
 }
 
-// maxStarvedRuns is how often a seed is played whose machine was too busy to judge by.
+// maxStarvedRuns bounds the runs of a seed for which the machine was too busy for a verdict.
 const maxStarvedRuns = 3
 
-// seedResult is a seed's last play.
+// seedResult is the result of the last run of a seed.
 type seedResult struct {
 	soak.Result
 	err          error
 	runs         int
-	rerunCommand string // the command that plays it again
+	rerunCommand string // the command line that runs the seed again
 
-	untimed bool // judged only by what needs no clock
+	untimed bool // judged only by the invariants that need no clock
 }
 
-func (f *soakFlags) play(ctx context.Context, dir string, seed uint64) seedResult {
+// runSeed runs a seed until the machine is idle enough for a verdict, at most maxStarvedRuns times. The directory of the seed
+// is kept if it failed.
+func (f *soakFlags) runSeed(ctx context.Context, dir string, seed uint64) seedResult {
 	cfg := f.cfg
 	cfg.Dir = soak.DirOf(dir, seed)
 	r := seedResult{rerunCommand: f.rerunCommand(seed)}
@@ -177,6 +184,7 @@
 	return r
 }
 
+// rerunCommand returns the command line that repeats a seed with the flags of this run.
 func (f *soakFlags) rerunCommand(seed uint64) string {
 	c := fmt.Sprintf("gannethook soak --seed %d --for %v --routers %d --workers %d --clients %d", seed, f.cfg.Length, f.cfg.Routers, f.cfg.Workers, f.cfg.Clients)
 	if len(f.only) > 0 {
@@ -191,6 +199,7 @@
 	return c
 }
 
+// writeBreaks writes the plan of a run and the invariants that it violated to breaks.txt.
 func (f *soakFlags) writeBreaks(dir string, r seedResult) {
 	var b strings.Builder
 	fmt.Fprintln(&b, r.Plan.String())
@@ -200,28 +209,30 @@
 	os.WriteFile(filepath.Join(dir, "breaks.txt"), []byte(b.String()), 0o644)
 }
 
+// ok reports whether the seed was run, could be judged and violated no invariant.
 func (r *seedResult) ok() bool {
 	return r.err == nil && (r.untimed || !r.Starved) && len(r.Breaks) == 0
 }
 
-// pairCount counts the runs in which a pair of troubles overlapped.
+// pairCount counts the seeds in which a pair of fault kinds overlapped, and those of them that failed.
 type pairCount struct{ seeds, failed int }
 
-// soakSummary sums up the seeds.
+// soakSummary prints a line for each seed and adds up their results.
 type soakSummary struct {
 	out io.Writer
 
-	mu             sync.Mutex
-	pairs          map[string]*pairCount
-	played, failed int
-	requests       int
-	releases       int // calls that let go of what is held
+	mu            sync.Mutex
+	pairs         map[string]*pairCount // by soak.PairOf
+	seeds, failed int
+	requests      int
+	releases      int // calls that release held state
 }
 
+// add prints the line of a seed and counts it.
 func (t *soakSummary) add(r seedResult) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.played++
+	t.seeds++
 	t.requests += r.Requests
 	t.releases += r.Releases
 	verdict := "ok"
@@ -254,11 +265,11 @@
 	}
 }
 
-// print lists the pairs of troubles that met, and names those that no seed played.
+// print prints the totals, the pairs of fault kinds that overlapped, and the pairs that did not occur.
 func (t *soakSummary) print() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	fmt.Fprintf(t.out, "%d seeds, %d failed, %d requests, %d releases\n", t.played, t.failed, t.requests, t.releases)
+	fmt.Fprintf(t.out, "%d seeds, %d failed, %d requests, %d releases\n", t.seeds, t.failed, t.requests, t.releases)
 	var missing []string
 	for i, a := range soak.Kinds {
 		for _, b := range soak.Kinds[i+1:] {
--- a/cmd/gannethook/standins.go
+++ b/cmd/gannethook/standins.go
@@ -9,6 +9,7 @@
 	"gannethook/internal/standin"
 )
 
+// engineCommand runs a stand-in engine in the foreground.
 func engineCommand() *cobra.Command {
 	var c standin.Config
 	var role string
@@ -38,26 +39,27 @@
 		},
 	}
 	f := cmd.Flags()
-	f.StringVar(&role, "role", "reader", "what it does: reader, writer or mixed")
-	f.StringVar(&c.Addr, "listen", "127.0.0.1:0", "host:port; port 0 takes a free one, which is printed")
-	f.IntVar(&c.Slots, "slots", 8, "requests at once")
-	f.IntVar(&c.Queue, "queue", 32, "requests that may wait")
+	f.StringVar(&role, "role", "reader", "role of the engine: reader, writer or mixed")
+	f.StringVar(&c.Addr, "listen", "127.0.0.1:0", "host:port; with port 0 a free port is used and printed")
+	f.IntVar(&c.Slots, "slots", 8, "number of requests processed at a time")
+	f.IntVar(&c.Queue, "queue", 32, "maximum number of queued requests")
 	f.Float64Var(&c.Memory, "memory", 160000, "memory in tokens")
-	f.Float64Var(&c.ReadRate, "read-rate", 15000, "prompt tokens a second in one slot")
-	f.Float64Var(&c.FetchRate, "fetch-rate", 200000, "tokens a second of a state on its way")
-	f.DurationVar(&c.TokenGap, "token-gap", 30*time.Millisecond, "time between two tokens")
-	f.Float64Var(&c.Early, "early", 0.7, "part of a state that flows while it is read, where a place is held")
-	f.Float64Var(&c.ColdFrom, "cold-from", 0.3, "part of its speed that a cold engine starts with")
-	f.DurationVar(&c.WarmAfter, "warm-after", 10*time.Second, "time to its whole speed")
-	f.Float64Var(&c.Overload, "overload", 3, "multiple of its speed that pushes a cold engine over")
-	f.DurationVar(&c.Fall, "fall", 3*time.Second, "when sent for so long; 0: never")
-	f.DurationVar(&c.Keep, "keep", 5*time.Second, "time after which a state that nobody takes is dropped")
-	f.BoolVar(&c.Extended, "extension", true, "speak the extension for places and releases")
-	f.Uint64Var(&c.Seed, "seed", 1, "seed of its chances")
-	f.BoolVar(&cold, "cold", false, "start cold")
+	f.Float64Var(&c.ReadRate, "read-rate", 15000, "prompt tokens read per second in one slot")
+	f.Float64Var(&c.FetchRate, "fetch-rate", 200000, "transfer rate of a state, in tokens per second")
+	f.DurationVar(&c.TokenGap, "token-gap", 30*time.Millisecond, "time between two tokens of an answer")
+	f.Float64Var(&c.Early, "early", 0.7, "fraction of a state that is transferred during the read if a place is held")
+	f.Float64Var(&c.ColdFrom, "cold-from", 0.3, "fraction of its speed at which slow start begins")
+	f.DurationVar(&c.WarmAfter, "warm-after", 10*time.Second, "duration of slow start")
+	f.Float64Var(&c.Overload, "overload", 3, "multiple of its speed at which an engine in slow start crashes")
+	f.DurationVar(&c.Fall, "fall", 3*time.Second, "duration of such an overload that crashes it; 0: never")
+	f.DurationVar(&c.Keep, "keep", 5*time.Second, "time after which a state that is not fetched is dropped")
+	f.BoolVar(&c.Extended, "extension", true, "support the protocol extension for places and releases")
+	f.Uint64Var(&c.Seed, "seed", 1, "seed of the random generator")
+	f.BoolVar(&cold, "cold", false, "begin with slow start")
 	return cmd
 }
 
+// rosterCommand runs a stand-in for the discovery API, with a fixed list of engines, in the foreground.
 func rosterCommand() *cobra.Command {
 	var listen, service string
 	var readers, writers []string
@@ -84,9 +86,9 @@
 		},
 	}
 	f := cmd.Flags()
-	f.StringVar(&listen, "listen", "127.0.0.1:0", "host:port; port 0 takes a free one, which is printed")
-	f.StringVar(&service, "service", "engines", "service of the slices")
-	f.StringSliceVar(&readers, "reader", nil, "readers, listed as kind prompt")
-	f.StringSliceVar(&writers, "writer", nil, "writers, listed as kind answer")
+	f.StringVar(&listen, "listen", "127.0.0.1:0", "host:port; with port 0 a free port is used and printed")
+	f.StringVar(&service, "service", "engines", "service name of the EndpointSlices")
+	f.StringSliceVar(&readers, "reader", nil, "addresses of readers, listed with kind prompt")
+	f.StringSliceVar(&writers, "writer", nil, "addresses of writers, listed with kind answer")
 	return cmd
 }
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,5 +1,5 @@
-// Command wirehost hosts routers on the bench's wire: batches of events on
-// standard input, replies on standard output.
+// Command wirehost runs decision modules for the simulator: it reads batches of events in the text protocol of package
+// wire from standard input and writes the replies to standard output.
 package main
 
 import (
--- a/internal/certs/files.go
+++ b/internal/certs/files.go
@@ -1,5 +1,5 @@
-// Package certs reads certificates from files that others renew, and makes a
-// fleet's first ones.
+// Package certs reads certificates from files that are renewed from outside while the process runs, and issues the first
+// certificates of a fleet. Identities are SPIFFE IDs.
 package certs
 
 import (
@@ -14,9 +14,9 @@
 	"github.com/spiffe/go-spiffe/v2/svid/x509svid"
 )
 
-// Files are a certificate, its key and the authorities to trust, in PEM files.
-// It is a go-spiffe source: handshakes use what the files hold then. Files that
-// can't be read leave what was read last.
+// Files is a certificate, its key and the authorities to trust, read from PEM files. It is a source of X.509 SVIDs and
+// bundles for go-spiffe: each TLS handshake uses the current content of the files. While the files can't be read, the last
+// content that could be read remains in use.
 type Files struct {
 	domain               spiffeid.TrustDomain
 	cert, key, authority string
@@ -26,13 +26,13 @@
 	fingerprint string
 	svid        *x509svid.SVID
 	bundle      *x509bundle.Bundle
-	err         error // of the last look
+	err         error // of the last check
 }
 
-// checkInterval bounds how often the files' times are asked for.
+// checkInterval is the minimum time between two checks of the files' modification times. Each use of Files may check.
 const checkInterval = time.Second
 
-// Open reads the files.
+// Open reads the files. The certificate must be of the trust domain.
 func Open(domain, cert, key, authority string) (*Files, error) {
 	td, err := spiffeid.TrustDomainFromString(domain)
 	if err != nil {
@@ -46,7 +46,7 @@
 	return f, nil
 }
 
-// currentFingerprint tells two states of the files apart.
+// currentFingerprint returns the modification times and sizes of the files, which change when the files do.
 func (f *Files) currentFingerprint() (string, error) {
 	s := ""
 	for _, path := range []string{f.cert, f.key, f.authority} {
@@ -59,6 +59,7 @@
 	return s, nil
 }
 
+// reloadIfChanged reads the files if they have changed, at most once per checkInterval. The caller holds the mutex.
 func (f *Files) reloadIfChanged(now time.Time) {
 	if now.Sub(f.lastCheck) < checkInterval {
 		return
@@ -70,7 +71,7 @@
 		return
 	}
 	svid, err := x509svid.Load(f.cert, f.key)
-	if err != nil { // perhaps half renewed: the next look sees both files
+	if err != nil { // certificate and key may be half renewed; the next check sees both
 		f.err = fmt.Errorf("certs: %w", err)
 		return
 	}
@@ -85,7 +86,7 @@
 	f.fingerprint, f.svid, f.bundle, f.err = fingerprint, svid, bundle, nil
 }
 
-// GetX509SVID is the certificate as of now.
+// GetX509SVID returns the current certificate with its key.
 func (f *Files) GetX509SVID() (*x509svid.SVID, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -93,24 +94,24 @@
 	return f.svid, nil
 }
 
-// GetX509BundleForTrustDomain is what to trust as of now.
+// GetX509BundleForTrustDomain returns the current authorities of the own trust domain; no other domain is trusted.
 func (f *Files) GetX509BundleForTrustDomain(td spiffeid.TrustDomain) (*x509bundle.Bundle, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.reloadIfChanged(time.Now())
 	if td != f.domain {
-		return nil, fmt.Errorf("certs: %s is not trusted here", td)
+		return nil, fmt.Errorf("certs: trust domain %s is not trusted", td)
 	}
 	return f.bundle, nil
 }
 
-// Left is how long the certificate is still valid; below 0 it has ended.
+// Left returns the remaining validity of the certificate, which is negative once it has expired.
 func (f *Files) Left(now time.Time) time.Duration {
 	svid, _ := f.GetX509SVID()
 	return svid.Certificates[0].NotAfter.Sub(now)
 }
 
-// Check tells why the files as they are can't be used.
+// Check returns why the files can't be used in their current state, or nil: they can't be read, or the certificate has expired.
 func (f *Files) Check(now time.Time) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -124,5 +125,5 @@
 	return nil
 }
 
-// Domain is the trust domain.
+// Domain returns the trust domain.
 func (f *Files) Domain() spiffeid.TrustDomain { return f.domain }
--- a/internal/certs/make.go
+++ b/internal/certs/make.go
@@ -17,29 +17,30 @@
 	"github.com/spiffe/go-spiffe/v2/spiffeid"
 )
 
-// clockSkew is by how much a certificate is valid before it is made: clocks of two
-// data centres may differ.
+// clockSkew is the time by which the validity of a certificate begins before its creation, since the clocks of two data
+// centres may differ.
 const clockSkew = 10 * time.Minute
 
-// Authority signs a fleet's certificates. It is for a first installation and
-// for tests; an organisation's own issuer takes its place.
+// Authority signs the certificates of a fleet. It is meant for a first installation and for tests; in production, the
+// organisation's own issuer can replace it.
 type Authority struct {
 	domain spiffeid.TrustDomain
 	cert   *x509.Certificate
 	key    *ecdsa.PrivateKey
 }
 
-// Names of an authority's files in its folder.
+// File names of an authority in its directory.
 const (
 	AuthorityCert = "authority.pem"
 	AuthorityKey  = "authority.key"
 )
 
+// newSerial returns a random serial number of 127 bits.
 func newSerial() (*big.Int, error) {
 	return rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 127))
 }
 
-// NewAuthority makes an authority and writes it to a folder, where none may be yet.
+// NewAuthority creates an authority for a trust domain and writes it to a directory. It never replaces an existing one.
 func NewAuthority(dir, domain string, valid time.Duration, now time.Time) (*Authority, error) {
 	td, err := spiffeid.TrustDomainFromString(domain)
 	if err != nil {
@@ -69,7 +70,7 @@
 	return LoadAuthority(dir)
 }
 
-// LoadAuthority reads an authority from its folder.
+// LoadAuthority reads an authority that NewAuthority has written to a directory.
 func LoadAuthority(dir string) (*Authority, error) {
 	certPEM, err := os.ReadFile(filepath.Join(dir, AuthorityCert))
 	if err != nil {
@@ -93,7 +94,7 @@
 	}
 	ec, ok := key.(*ecdsa.PrivateKey)
 	if !ok || len(cert.URIs) != 1 {
-		return nil, fmt.Errorf("certs: %s was not made by this tool", dir)
+		return nil, fmt.Errorf("certs: the authority in %s was not created by gannethook cert", dir)
 	}
 	td, err := spiffeid.TrustDomainFromURI(cert.URIs[0])
 	if err != nil {
@@ -102,6 +103,7 @@
 	return &Authority{domain: td, cert: cert, key: ec}, nil
 }
 
+// firstBlock returns the content of the first PEM block, or nil.
 func firstBlock(text []byte) []byte {
 	if b, _ := pem.Decode(text); b != nil {
 		return b.Bytes
@@ -109,11 +111,11 @@
 	return nil
 }
 
-// Domain is the authority's trust domain.
+// Domain returns the trust domain of the authority.
 func (a *Authority) Domain() string { return a.domain.Name() }
 
-// Issue signs a certificate for a role and a name and writes cert and key
-// files. Files that are there are replaced, each as a whole: this is renewal too.
+// Issue signs a certificate with the ID spiffe://DOMAIN/role/name and a new key, and writes both to files. To renew a
+// certificate, existing files are replaced, each atomically.
 func (a *Authority) Issue(certPath, keyPath, role, name string, valid time.Duration, now time.Time) error {
 	id, err := spiffeid.FromSegments(a.domain, role, name)
 	if err != nil {
@@ -137,6 +139,7 @@
 	return writePair(certPath, keyPath, der, key, true)
 }
 
+// writePair writes the key before the certificate.
 func writePair(certPath, keyPath string, der []byte, key *ecdsa.PrivateKey, replace bool) error {
 	pkcs, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
@@ -148,7 +151,8 @@
 	return write(certPath, "CERTIFICATE", der, 0o644, replace)
 }
 
-// write writes one PEM block; readers see the old file or the new one.
+// write writes one PEM block atomically: readers see the old file or the new one. Without replace, an existing file is an
+// error.
 func write(path, kind string, der []byte, mode os.FileMode, replace bool) error {
 	if !replace {
 		if _, err := os.Lstat(path); err == nil {
--- a/internal/settings/admit.go
+++ b/internal/settings/admit.go
@@ -9,7 +9,7 @@
 	"gannethook/internal/sexp"
 )
 
-// checkTenants tells what of the tenants' terms can't work.
+// checkTenants validates the tenants, their identities and their budgets.
 func (f *File) checkTenants() error {
 	seen, ids := map[string]bool{}, map[string]bool{}
 	for i := range f.Tenants {
@@ -33,7 +33,8 @@
 	return nil
 }
 
-// checkBudget also fills in bursts: a second's requests, ten seconds' tokens.
+// checkBudget validates a budget and fills in the default bursts: the requests of one second (at least 1) and the tokens of
+// ten seconds.
 func (f *File) checkBudget(b *Budget) error {
 	switch {
 	case b.Class != "" && f.ClassNamed(b.Class) < 0:
@@ -54,6 +55,7 @@
 	return nil
 }
 
+// checkFrontEnd validates admission control, the HTTP APIs, API keys, and TLS for clients.
 func (f *File) checkFrontEnd() error {
 	a, h, t := &f.Admit, &f.HTTP, &f.TLS
 	switch {
@@ -83,27 +85,28 @@
 	return nil
 }
 
-// ClassNamed is the place of a class, or -1.
+// ClassNamed returns the index of the class of a name, or -1.
 func (f *File) ClassNamed(name string) int {
 	return slices.IndexFunc(f.Classes, func(c Class) bool { return c.Name == name })
 }
 
-// ClassOf is the place of the first class of a kind of work, or -1.
+// ClassOf returns the index of the first class of a kind of work, or -1.
 func (f *File) ClassOf(w Work) int {
 	return slices.IndexFunc(f.Classes, func(c Class) bool { return c.Work == w })
 }
 
-// TenantNamed is the place of a tenant, or -1.
+// TenantNamed returns the index of the tenant of a name, or -1.
 func (f *File) TenantNamed(name string) int {
 	return slices.IndexFunc(f.Tenants, func(t Tenant) bool { return t.Name == name })
 }
 
-// TenantOf is the place of the tenant that a SPIFFE id belongs to, or -1.
+// TenantOf returns the index of the tenant that a SPIFFE ID belongs to, or -1.
 func (f *File) TenantOf(id string) int {
 	return slices.IndexFunc(f.Tenants, func(t Tenant) bool { return slices.Contains(t.Identity, id) })
 }
 
-// Limiter is what package limits is told.
+// Limiter returns the settings of package limits. Without (admit (on yes)) its concurrency limit is unbounded, and it neither
+// sheds load nor limits retries.
 func (f *File) Limiter() limits.Settings {
 	a := &f.Admit
 	s := limits.Settings{Routers: f.Routers, MaxWaiting: a.MaxWaiting, WaitPart: a.WaitPart, MinInFlight: a.MinInFlight, StartInFlight: a.StartInFlight,
@@ -130,7 +133,8 @@
 	return s
 }
 
-// Batch sizes the parts of batches.
+// Batch returns the limits of the parts of batches. A part is not retried within the longest advised retry delay before the
+// deadline.
 func (f *File) Batch() batch.Limits {
 	h := &f.HTTP
 	return batch.Limits{Tokens: float64(h.PartTokens), Items: h.PartItems, Out: h.PartsInFlight, Tries: h.PartAttempts,
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads a router's settings file (docs/settings.md) and tells
-// what in it makes no sense, by line and column.
+// Package settings reads and validates the settings file of a router (docs/settings.md) and derives from it the settings of
+// other packages. Errors name the line and column. The gann tags are the names of the forms in the file.
 package settings
 
 import (
@@ -16,48 +16,48 @@
 	"gannethook/internal/ws"
 )
 
-// Default is the settings that the demo runs on.
+// Default is the text of the settings of the demo.
 //
 //go:embed default.gann
 var Default string
 
-// File is a settings file.
+// File is the content of a settings file.
 type File struct {
 	At       sexp.Pos
-	Name     string   `gann:"name,need"`
-	Routers  int      `gann:"routers"`
-	Seed     uint64   `gann:"seed"`
-	Listen   string   `gann:"listen,need"`
-	Zones    []string `gann:"zones"`
+	Name     string   `gann:"name,need"`   // of this router
+	Routers  int      `gann:"routers"`     // number of routers that share the engines
+	Seed     uint64   `gann:"seed"`        // of the random decisions
+	Listen   string   `gann:"listen,need"` // host:port for clients
+	Zones    []string `gann:"zones"`       // names of zones, in the order of their numbers
 	Classes  []Class  `gann:"class,need"`
 	Kinds    []Kind   `gann:"kind,need"`
 	Tenants  []Tenant `gann:"tenant"`
 	Rules    Rules    `gann:"rules"`
-	Limits   Limits   `gann:"limits"`
-	Admit    Admit    `gann:"admit"`
+	Limits   Limits   `gann:"limits"` // of the decision module and its driver
+	Admit    Admit    `gann:"admit"`  // admission control
 	Sessions Sessions `gann:"sessions"`
 	HTTP     HTTP     `gann:"http"`
 	Keys     Keys     `gann:"keys"`
 	TLS      TLS      `gann:"tls"`
 	Engines  Engines  `gann:"engines"`
-	Roster   Roster   `gann:"roster,need"`
+	Roster   Roster   `gann:"roster,need"` // source of the server list
 	Control  Control  `gann:"control"`
 }
 
-// Class is a class of requests.
+// Class is a class of requests. Its name is the first value of the form.
 type Class struct {
 	At         sexp.Pos
 	Name       string        `gann:"#,need"`
-	Aim        time.Duration `gann:"aim,need"`
-	AimPer1000 time.Duration `gann:"aim-per-1000"`
-	GiveUp     time.Duration `gann:"give-up,need"`
-	Worth      float64       `gann:"worth"`
-	Effect     Effect        `gann:"effect,need"`
-	Group      Group         `gann:"group"`
-	Window     time.Duration `gann:"window"`
-	MaxTokens  int           `gann:"max-tokens"`
+	Aim        time.Duration `gann:"aim,need"`     // target latency of the first token, or of the whole answer if it is not streamed
+	AimPer1000 time.Duration `gann:"aim-per-1000"` // added to Aim for each 1,000 prompt tokens
+	GiveUp     time.Duration `gann:"give-up,need"` // deadline of a request; not below Aim
+	Worth      float64       `gann:"worth"`        // value of a request in time, relative to other classes; 0 means 1
+	Effect     Effect        `gann:"effect,need"`  // whether a repeated request is harmless
+	Group      Group         `gann:"group"`        // of engines that recognise the key of a repeat; keyed classes only
+	Window     time.Duration `gann:"window"`       // time for which a group remembers a key; keyed classes only
+	MaxTokens  int           `gann:"max-tokens"`   // default maximum length of an answer; 0 means 1024
 	Work       Work          `gann:"work"`
-	Priority   int           `gann:"priority"`
+	Priority   int           `gann:"priority"` // order among the requests of a tenant; higher first
 }
 
 // Kind is a kind of engine.
@@ -65,150 +65,150 @@
 	At     sexp.Pos
 	Name   string      `gann:"#,need"`
 	Role   Role        `gann:"role,need"`
-	Memory sexp.Tokens `gann:"memory"`
+	Memory sexp.Tokens `gann:"memory"` // capacity for state; 0: unknown
 }
 
-// Tenant is one tenant's share.
+// Tenant is a tenant with its quota, its weight in the fair queue and its budgets.
 type Tenant struct {
 	At       sexp.Pos
 	Name     string         `gann:"#,need"`
-	Quota    sexp.PerSecond `gann:"quota"`
-	Weight   float64        `gann:"weight"`
-	Identity []string       `gann:"identity"` // SPIFFE ids of its clients' certificates
+	Quota    sexp.PerSecond `gann:"quota"`    // requests within its share, over all routers; 0: unlimited
+	Weight   float64        `gann:"weight"`   // in the fair queue
+	Identity []string       `gann:"identity"` // SPIFFE IDs of its clients' certificates
 	Budgets  []Budget       `gann:"budget"`
 }
 
-// Budget bounds what a tenant may ask for, over all routers.
+// Budget is a rate limit of a tenant over all routers, by token buckets.
 type Budget struct {
 	At         sexp.Pos
-	Class      string         `gann:"class"`    // "": all together
-	Requests   sexp.PerSecond `gann:"requests"` // 0: not limited
-	Burst      float64        `gann:"burst"`
-	Tokens     sexp.PerSecond `gann:"tokens"`
-	TokenBurst sexp.Tokens    `gann:"token-burst"`
+	Class      string         `gann:"class"`       // "": all classes together
+	Requests   sexp.PerSecond `gann:"requests"`    // 0: unlimited
+	Burst      float64        `gann:"burst"`       // capacity of the bucket of requests; default: those of one second, at least 1
+	Tokens     sexp.PerSecond `gann:"tokens"`      // of prompts and of answers at their maximum length; 0: unlimited
+	TokenBurst sexp.Tokens    `gann:"token-burst"` // capacity of the bucket of tokens; default: those of 10 s
 }
 
-// Rules are the figures of the five rules.
+// Rules are the parameters of the rules that the decision module keeps towards engines.
 type Rules struct {
-	ColdFrom  float64       `gann:"cold-from"`
-	WarmAfter time.Duration `gann:"warm-after"`
-	Overload  float64       `gann:"overload"`
-	PinLimit  time.Duration `gann:"pin-limit"`
+	ColdFrom  float64       `gann:"cold-from"`  // fraction of its capacity at which an engine begins its slow start
+	WarmAfter time.Duration `gann:"warm-after"` // duration of the slow start
+	Overload  float64       `gann:"overload"`   // multiple of its capacity at which an engine in slow start fails
+	PinLimit  time.Duration `gann:"pin-limit"`  // longest time that an idle hold or a read state may be kept
 }
 
-// Limits bound the router's own work.
+// Limits bound the work of the router itself.
 type Limits struct {
-	MaxAttempts int           `gann:"attempts"`
-	RetryShare  float64       `gann:"repeats"` // that an engine gets for each first attempt; 0: not limited
-	RetryAfter  time.Duration `gann:"retry-after"`
-	Quantum     time.Duration `gann:"quantum"`
-	Open        int           `gann:"open"`
-	Inbox       int           `gann:"inbox"`
-	Remember    time.Duration `gann:"remember-keys"`
-	Keys        int           `gann:"keys"`
+	MaxAttempts int           `gann:"attempts"`      // per request
+	RetryShare  float64       `gann:"repeats"`       // retries that an engine may get per recent first attempt; 0: unlimited
+	RetryAfter  time.Duration `gann:"retry-after"`   // longest retry delay that clients are advised
+	Quantum     time.Duration `gann:"quantum"`       // time between two batches of events for the decision module
+	Open        int           `gann:"open"`          // maximum number of open requests
+	Inbox       int           `gann:"inbox"`         // capacity of the queue of events of the driver
+	Remember    time.Duration `gann:"remember-keys"` // time for which the outcome of an idempotency key is kept
+	Keys        int           `gann:"keys"`          // maximum number of idempotency keys
 }
 
-// Admit tells what is handed to the module, and in which order.
+// Admit configures admission control: the queue before the decision module, the concurrency limit and load shedding.
 type Admit struct {
 	At            sexp.Pos
-	On            bool          `gann:"on"` // no: budgets hold, all else passes
-	MaxWaiting    int           `gann:"waiting"`
-	WaitPart      float64       `gann:"wait-part"`
-	MinInFlight   int           `gann:"in-hand-least"`
-	StartInFlight int           `gann:"in-hand-start"`
-	MaxInFlight   int           `gann:"in-hand-most"`
-	Retries       float64       `gann:"retries"`
-	MaxClients    int           `gann:"clients"`
-	Shed          bool          `gann:"shed"`
-	MinRetryAfter time.Duration `gann:"back"`
-	MaxRetryAfter time.Duration `gann:"back-most"`
+	On            bool          `gann:"on"`            // no: only budgets apply; neither concurrency limit, shedding nor retry limit
+	MaxWaiting    int           `gann:"waiting"`       // maximum length of the queue, in requests
+	WaitPart      float64       `gann:"wait-part"`     // fraction of its target latency that a request may wait
+	MinInFlight   int           `gann:"in-hand-least"` // lower bound of the concurrency limit
+	StartInFlight int           `gann:"in-hand-start"` // its initial value
+	MaxInFlight   int           `gann:"in-hand-most"`  // its upper bound
+	Retries       float64       `gann:"retries"`       // retries per first attempt of a client; 0: unlimited
+	MaxClients    int           `gann:"clients"`       // maximum number of clients whose retries are counted
+	Shed          bool          `gann:"shed"`          // reject classes of low worth under overload
+	MinRetryAfter time.Duration `gann:"back"`          // lower bound of the retry delay of refusals
+	MaxRetryAfter time.Duration `gann:"back-most"`     // upper bound
 }
 
-// HTTP bounds the HTTP APIs.
+// HTTP bounds the HTTP APIs and the parts that batches are divided into.
 type HTTP struct {
-	Body          sexp.Bytes    `gann:"body"`
-	Bodies        sexp.Bytes    `gann:"bodies"` // of all requests under way
-	Answer        sexp.Bytes    `gann:"answer"`
-	Read          time.Duration `gann:"read"`  // a request's body is whole by then
-	Idle          time.Duration `gann:"idle"`  // an unused connection closes
-	Write         time.Duration `gann:"write"` // a write that takes longer cuts the connection
-	PartTokens    sexp.Tokens   `gann:"part"`
-	PartItems     int           `gann:"part-items"`
-	PartsInFlight int           `gann:"parts-out"`
-	PartAttempts  int           `gann:"part-tries"`
+	Body          sexp.Bytes    `gann:"body"`       // maximum size of the body of a request
+	Bodies        sexp.Bytes    `gann:"bodies"`     // maximum size of the bodies of all requests under way
+	Answer        sexp.Bytes    `gann:"answer"`     // maximum size of an answer
+	Read          time.Duration `gann:"read"`       // time limit for the body of a request
+	Idle          time.Duration `gann:"idle"`       // an unused connection is closed after this time
+	Write         time.Duration `gann:"write"`      // a write that takes longer closes the connection
+	PartTokens    sexp.Tokens   `gann:"part"`       // maximum tokens of a part, unless it is a single longer text
+	PartItems     int           `gann:"part-items"` // maximum texts of a part
+	PartsInFlight int           `gann:"parts-out"`  // maximum parts in flight of a batch
+	PartAttempts  int           `gann:"part-tries"` // maximum attempts of a part that is refused
 }
 
-// Keys tells where the tenants' API keys are listed; without a file, clients name their tenant themselves.
+// Keys is the file with the API keys of the tenants. Without a file, clients name their tenant without proof.
 type Keys struct {
 	File  string        `gann:"file"`
-	Every time.Duration `gann:"every"` // between two looks at the file
+	Every time.Duration `gann:"every"` // time between two checks of the file
 }
 
-// TLS has the clients' port speak TLS; with an authority, clients show certificates.
+// TLS enables TLS on the port for clients. The files are PEM files. Client certificates are verified with the authority.
 type TLS struct {
 	At        sexp.Pos
-	Domain    string `gann:"domain"`
+	Domain    string `gann:"domain"` // SPIFFE trust domain
 	Cert      string `gann:"cert"`
 	Key       string `gann:"key"`
 	Authority string `gann:"authority"`
-	Clients   bool   `gann:"clients"` // a client without a certificate is not let in
+	Clients   bool   `gann:"clients"` // a client without a certificate is rejected
 }
 
-// Sessions bound the clients' side.
+// Sessions bounds the sessions of clients.
 type Sessions struct {
-	Most         int           `gann:"most"`
-	Responses    int           `gann:"responses"`
-	Message      sexp.Bytes    `gann:"message"`
-	Conversation sexp.Bytes    `gann:"conversation"`
-	Pending      sexp.Bytes    `gann:"pending"`
-	Idle         time.Duration `gann:"idle"`
-	Handshake    time.Duration `gann:"handshake"`
-	TokenBytes   float64       `gann:"bytes-per-token"`
-	Drain        time.Duration `gann:"drain"`
+	Most         int           `gann:"most"`            // maximum number of client connections
+	Responses    int           `gann:"responses"`       // maximum number of concurrent responses in a session
+	Message      sexp.Bytes    `gann:"message"`         // maximum size of a message
+	Conversation sexp.Bytes    `gann:"conversation"`    // maximum size of the conversation that a session keeps
+	Pending      sexp.Bytes    `gann:"pending"`         // bytes that may wait to be sent
+	Idle         time.Duration `gann:"idle"`            // time without a frame until a ping; after as long again the connection is closed
+	Handshake    time.Duration `gann:"handshake"`       // time limit for TLS and the first request of a connection
+	TokenBytes   float64       `gann:"bytes-per-token"` // bytes of text that count as one token
+	Drain        time.Duration `gann:"drain"`           // time limit of a drain
 }
 
-// Engines bound the engines' side.
+// Engines configures the connections to engines and what engines support.
 type Engines struct {
-	Holds       bool          `gann:"holds"`
-	Cancel      bool          `gann:"cancel"`
-	WritersRead bool          `gann:"writers-read"`
-	Dial        time.Duration `gann:"dial"`
-	Idle        time.Duration `gann:"idle"`
-	IdleConns   int           `gann:"idle-conns"`
-	Spare       int           `gann:"spare-conns"`
-	StreamIdle  time.Duration `gann:"stream-idle"`
-	Extension   time.Duration `gann:"extension"`
+	Holds       bool          `gann:"holds"`        // engines accept holds of places for answers
+	Cancel      bool          `gann:"cancel"`       // attempts may be cancelled
+	WritersRead bool          `gann:"writers-read"` // a writer without a read state reads the prompt itself
+	Dial        time.Duration `gann:"dial"`         // time limit for opening a connection
+	Idle        time.Duration `gann:"idle"`         // an unused connection is closed after this time; keep it below the engines' own limit
+	IdleConns   int           `gann:"idle-conns"`   // maximum unused connections to an engine
+	Spare       int           `gann:"spare-conns"`  // unused connections opened in advance, so that a stream need not wait for a dial
+	StreamIdle  time.Duration `gann:"stream-idle"`  // a stream without a token for this time is broken
+	Extension   time.Duration `gann:"extension"`    // a place or release not answered within this time counts as refused
 }
 
-// Roster tells where the list of servers comes from: one of the two.
+// Roster is the source of the server list: either an API to watch or a file.
 type Roster struct {
 	At        sexp.Pos
 	Watch     string        `gann:"watch"` // host:port of a Kubernetes API
 	Namespace string        `gann:"namespace"`
-	Service   string        `gann:"service"`
-	File      string        `gann:"file"`
-	Every     time.Duration `gann:"every"`   // between two looks at the file
-	Cache     string        `gann:"cache"`   // keeps the last list over a restart
-	Routers   string        `gann:"routers"` // service that lists the routers themselves; "": their number is told
-	Silence   time.Duration `gann:"silence"`
+	Service   string        `gann:"service"` // of the EndpointSlices of the engines
+	File      string        `gann:"file"`    // path of a list that is read instead
+	Every     time.Duration `gann:"every"`   // time between two checks of the file
+	Cache     string        `gann:"cache"`   // file that keeps the last list over a restart
+	Routers   string        `gann:"routers"` // service whose EndpointSlices list the routers; "": their number is File.Routers
+	Silence   time.Duration `gann:"silence"` // a watch without a line for this time is considered lost
 }
 
-// Control is how operators reach the router, and what it keeps on disk for them.
+// Control configures the control API for operators and the files of the process.
 type Control struct {
 	At        sexp.Pos
-	Run       string        `gann:"run"`       // folder of pid, lock and socket; "" for none of them
-	Listen    string        `gann:"listen"`    // host:port for other machines, with certificates on both sides
-	Domain    string        `gann:"domain"`    // trust domain of the certificates
-	Cert      string        `gann:"cert"`      // PEM files; looked at again while the router runs
-	Key       string        `gann:"key"`       //
-	Authority string        `gann:"authority"` //
-	Releases  string        `gann:"releases"`  // folder with a folder for each release that a restart may name
-	Start     time.Duration `gann:"start"`     // a router that is not ready by then has failed
-	Results   int           `gann:"results"`   // of commands, remembered for repeats
-	Events    int           `gann:"events"`    // kept for those who come late
+	Run       string        `gann:"run"`    // directory of the pid file, lock and unix socket; "": none of them
+	Listen    string        `gann:"listen"` // host:port for other machines, with mutual TLS
+	Domain    string        `gann:"domain"` // SPIFFE trust domain of the certificates
+	Cert      string        `gann:"cert"`   // PEM files, read again when they change
+	Key       string        `gann:"key"`
+	Authority string        `gann:"authority"`
+	Releases  string        `gann:"releases"` // directory with one subdirectory for each release that a restart may name
+	Start     time.Duration `gann:"start"`    // a router that is not ready within this time has failed
+	Results   int           `gann:"results"`  // results of commands that are kept for repeated commands
+	Events    int           `gann:"events"`   // events that are kept for watchers that connect later
 }
 
-// Socket is the path of the unix socket; "" for none.
+// Socket returns the path of the unix socket; "" for none.
 func (c *Control) Socket() string {
 	if c.Run == "" {
 		return ""
@@ -216,23 +216,24 @@
 	return filepath.Join(c.Run, "control.sock")
 }
 
-// Effect, Group and Role are the module's, by name.
+// Effect, Group and Role are those of the decision module, written by name in the file.
 type (
 	Effect gannethook.Effect
 	Group  gannethook.Group
 	Role   gannethook.Role
 )
 
-// Work is what a class asks engines for.
+// Work is the kind of work that a class requests from engines.
 type Work int
 
 // The kinds of work.
 const (
-	Chat Work = iota // an answer, streamed
-	Embedding
-	Rerank
+	Chat      Work = iota // a streamed answer
+	Embedding             // vectors of texts
+	Rerank                // scores of documents for a query
 )
 
+// Names of the values in the file, in the order of the constants. Effects, groups and roles count from 1, works from 0.
 var (
 	effects = []string{"safe", "keyed", "unsafe"}
 	groups  = []string{"all", "zone", "cell"}
@@ -240,6 +241,7 @@
 	works   = []string{"chat", "embedding", "rerank"}
 )
 
+// nameOf returns the name of the value i, which counts from 1; "" if there is none.
 func nameOf(names []string, i int) string {
 	if i < 1 || i > len(names) {
 		return ""
@@ -253,6 +255,7 @@
 
 func (w Work) String() string { return nameOf(works, int(w)+1) }
 
+// oneOf sets v to the number of a name, counting from 1. description completes the error "... is not".
 func oneOf[T ~int](v *T, text []byte, description string, names []string) error {
 	i := slices.Index(names, string(text))
 	if i < 0 {
@@ -262,39 +265,39 @@
 	return nil
 }
 
-// UnmarshalText reads safe, keyed or unsafe.
+// UnmarshalText parses safe, keyed or unsafe.
 func (e *Effect) UnmarshalText(t []byte) error {
 	return oneOf(e, t, "an effect", effects)
 }
 
-// UnmarshalText reads all, zone or cell.
+// UnmarshalText parses all, zone or cell.
 func (g *Group) UnmarshalText(t []byte) error { return oneOf(g, t, "a group", groups) }
 
-// UnmarshalText reads reader, writer or mixed.
+// UnmarshalText parses reader, writer or mixed.
 func (r *Role) UnmarshalText(t []byte) error {
 	return oneOf(r, t, "a role", roles)
 }
 
-// UnmarshalText reads chat, embedding or rerank.
+// UnmarshalText parses chat, embedding or rerank.
 func (w *Work) UnmarshalText(t []byte) error {
 	err := oneOf(w, t, "a kind of work", works)
 	*w -= 1
 	return err
 }
 
-// Load reads and checks a file.
+// Load reads and validates a file.
 func Load(path string) (*File, error) {
 	f := defaults()
-	return sexp.Checked(f, sexp.ReadFile(path, f), f.check)
+	return sexp.Checked(f, sexp.ReadFile(path, f), f.validate)
 }
 
-// Parse reads and checks a text; name stands for it in errors.
+// Parse reads and validates a text; name is its file name in errors.
 func Parse(name, text string) (*File, error) {
 	f := defaults()
-	return sexp.Checked(f, sexp.Read(name, text, f), f.check)
+	return sexp.Checked(f, sexp.Read(name, text, f), f.validate)
 }
 
-// defaults hold where the file is silent.
+// defaults returns the values of settings that a file does not give.
 func defaults() *File {
 	e, w := engine.DefaultLimits(), ws.DefaultLimits()
 	return &File{
@@ -317,8 +320,8 @@
 	}
 }
 
-// check tells what can't work, though each value is one.
-func (f *File) check() error {
+// validate returns the first error in values that are well-formed each but can't work, alone or together.
+func (f *File) validate() error {
 	if _, _, err := net.SplitHostPort(f.Listen); err != nil {
 		return sexp.Errorf(f.At, "(listen ...): %q is not host:port", f.Listen)
 	}
@@ -359,12 +362,13 @@
 	return nil
 }
 
+// checkControl validates the control API. A control port needs certificates.
 func (f *File) checkControl() error {
 	c := &f.Control
 	if c.Start <= 0 || c.Results < 1 || c.Events < 1 {
 		return sexp.Errorf(c.At, "start, results and events are above 0")
 	}
-	// A unix socket's path has 108 bytes in the kernel.
+	// The kernel limits the path of a unix socket to 108 bytes.
 	if s := c.Socket(); len(s) > 100 {
 		return sexp.Errorf(c.At, "(run ...): %q is too long for a socket's path; 100 bytes are the most", s)
 	}
@@ -380,6 +384,7 @@
 	return nil
 }
 
+// checkClasses validates the classes and fills in the defaults of worth (1) and max-tokens (1024).
 func (f *File) checkClasses() error {
 	seen := map[string]bool{}
 	for i := range f.Classes {
@@ -407,7 +412,7 @@
 
 func toMillis(d time.Duration) gannethook.Millis { return gannethook.Millis(d.Seconds() * 1000) }
 
-// Module is what the decision module is told.
+// Module returns the settings of the decision module.
 func (f *File) Module() gannethook.Settings {
 	s := gannethook.Settings{
 		Routers: f.Routers, ColdFrom: f.Rules.ColdFrom, WarmAfter: toMillis(f.Rules.WarmAfter),
@@ -429,7 +434,7 @@
 	return s
 }
 
-// EngineLimits bound the engines' client.
+// EngineLimits returns the limits of the client for engines.
 func (f *File) EngineLimits() engine.Limits {
 	l := engine.DefaultLimits()
 	l.Dial, l.Idle, l.IdleConns, l.Spare = f.Engines.Dial, f.Engines.Idle, f.Engines.IdleConns, f.Engines.Spare
@@ -437,7 +442,7 @@
 	return l
 }
 
-// SessionLimits bound the clients' connections.
+// SessionLimits returns the limits of the WebSocket connections of clients.
 func (f *File) SessionLimits() ws.Limits {
 	l := ws.DefaultLimits()
 	l.Message, l.Pending, l.Idle = int(f.Sessions.Message), int(f.Sessions.Pending), f.Sessions.Idle
--- a/internal/sexp/decode.go
+++ b/internal/sexp/decode.go
@@ -18,17 +18,16 @@
 // Bytes is a size: "4096", "64KiB", "1MiB".
 type Bytes int
 
-// Decode binds the items of a list after its head, or the forms of a file, to
-// the struct that out points to. A field's tag `gann:"name"` names the form
-// (name value) that sets it; `gann:"#"` takes the next plain value of the list
-// itself; `gann:"name,need"` must be there. Slices of structs take repeated
-// forms, slices of values the rest of one. Unknown forms, repeats and values
-// that do not fit are errors with a place. at is the place of the whole.
+// Decode sets the struct that out points to from the items of a list after its head, or from the forms of a file. A form is
+// a list that starts with a name. The tag `gann:"name"` of a field names the form (name value) that sets it; the tag
+// `gann:"#"` takes the next scalar of the list itself; with ",need" the value is required. A slice of structs takes all
+// forms of its name, a slice of scalars the items of a single form. A field At of type Pos gets the position at, which is
+// that of the list or file. Unknown forms, repeated forms and values of the wrong type are errors with a position.
 func Decode(at Pos, items []*Node, out any) error {
 	return decodeStruct(at, items, reflect.ValueOf(out).Elem())
 }
 
-// ReadFile binds a whole file to the struct that out points to.
+// ReadFile sets the struct that out points to from a file.
 func ReadFile(path string, out any) error {
 	text, err := load(path)
 	if err != nil {
@@ -37,7 +36,7 @@
 	return Read(path, text, out)
 }
 
-// Read binds a text; name stands for its file in errors.
+// Read sets the struct that out points to from a text; name is its file name in errors.
 func Read(name, text string, out any) error {
 	forms, err := Parse(name, text)
 	if err != nil {
@@ -46,7 +45,7 @@
 	return Decode(Pos{File: name, Line: 1, Col: 1}, forms, out)
 }
 
-// Checked returns what was read, once its own check has passed.
+// Checked returns readErr, if there is one, or f with the error of its validation.
 func Checked[F any](f *F, readErr error, validate func() error) (*F, error) {
 	if readErr != nil {
 		return nil, readErr
@@ -54,12 +53,14 @@
 	return f, validate()
 }
 
+// field is a struct field that a form or a scalar sets.
 type field struct {
 	value    reflect.Value
 	required bool
 	seen     bool
 }
 
+// fields returns the tagged fields of a struct: those set by forms, and those set by scalars in their order.
 func fields(v reflect.Value) (byName map[string]*field, positional []*field) {
 	byName = map[string]*field{}
 	for i := range v.NumField() {
@@ -78,6 +79,7 @@
 	return byName, positional
 }
 
+// decodeStruct sets a struct from the items of a list or file at a position.
 func decodeStruct(at Pos, items []*Node, v reflect.Value) error {
 	byName, positional := fields(v)
 	if p := v.FieldByName("At"); p.IsValid() && p.Type() == reflect.TypeFor[Pos]() {
@@ -111,6 +113,7 @@
 	return nil
 }
 
+// decodeForm sets the field that the head of a list names.
 func decodeForm(n *Node, byName map[string]*field) error {
 	head := n.Head()
 	if head == "" {
@@ -141,6 +144,7 @@
 	return decodeStruct(n.Pos, args, f.value)
 }
 
+// decodeSlice appends one struct to a slice of structs, or sets a slice of scalars.
 func decodeSlice(n *Node, args []*Node, f *field) error {
 	elem := f.value.Type().Elem()
 	if !isScalar(elem) {
@@ -166,12 +170,14 @@
 	return nil
 }
 
-// isScalar tells whether a value of the type is one word or string.
+// isScalar reports whether a value of the type is written as one word or string. A slice counts as a scalar here; it is
+// handled before.
 func isScalar(t reflect.Type) bool {
 	return t.Kind() != reflect.Struct && t.Kind() != reflect.Pointer ||
 		reflect.PointerTo(t).Implements(reflect.TypeFor[encoding.TextUnmarshaler]())
 }
 
+// decodeValue sets a scalar from a word or string.
 func decodeValue(n *Node, v reflect.Value) error {
 	if n.List {
 		return Errorf(n.Pos, "a plain value is due here, not a list")
@@ -217,12 +223,14 @@
 	return nil
 }
 
+// unit is a suffix of a number and the factor that it stands for.
 type unit struct {
 	name   string
 	factor float64
 }
 
-// setNumber sets a number of any kind, with one of the units or none. Numbers below 0 are refused.
+// setNumber sets a number of any kind from a text with one of the units or none. Negative numbers are errors, and so are
+// integers above 2^53, which a float64 doesn't represent exactly. want completes the error "... is not".
 func setNumber(n *Node, v reflect.Value, want string, units ...unit) error {
 	text, factor := n.Text, 1.0
 	for _, u := range units {
@@ -248,7 +256,8 @@
 	return nil
 }
 
-// suggestion suggests the known name that takes the fewest edits, if few do.
+// suggestion returns the end of an error message that proposes the known name closest to an unknown one, or "" if none
+// differs from it in at most half of its characters.
 func suggestion(name string, byName map[string]*field) string {
 	best, least := "", len(name)/2+1
 	for known := range byName {
@@ -262,7 +271,7 @@
 	return `; is "` + best + `" meant?`
 }
 
-// levenshtein is the Levenshtein distance.
+// levenshtein returns the Levenshtein distance of two words, in bytes.
 func levenshtein(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
--- a/internal/sexp/parse.go
+++ b/internal/sexp/parse.go
@@ -1,6 +1,6 @@
-// Package sexp reads gannethook's files: S-expressions of words, quoted strings
-// and lists, with ';' comments. Every node knows its line and column, so that
-// whatever is wrong is told by place. Decode binds a file to Go structs.
+// Package sexp reads the configuration files of gannethook: S-expressions of words, quoted strings and lists, with comments
+// from ';' to the end of the line. Every node has its line and column, so that each error names its position. Decode sets
+// Go structs from a file.
 package sexp
 
 import (
@@ -14,13 +14,13 @@
 	"unicode/utf8"
 )
 
-// Bounds of a file; beyond them Parse gives an error.
+// Bounds of a file, which guard against exhausting memory or stack; Parse returns an error beyond them.
 const (
-	MaxBytes = 1 << 20
-	MaxDepth = 32
+	MaxBytes = 1 << 20 // size of the text
+	MaxDepth = 32      // nesting of lists
 )
 
-// Pos is a place in a file; lines and columns count from 1, columns in characters.
+// Pos is a position in a file. Lines and columns count from 1, columns in characters.
 type Pos struct {
 	File      string
 	Line, Col int
@@ -28,7 +28,7 @@
 
 func (p Pos) String() string { return fmt.Sprintf("%s:%d:%d", p.File, p.Line, p.Col) }
 
-// Error is a fault with its place.
+// Error is an error at a position in a file.
 type Error struct {
 	Pos Pos
 	Msg string
@@ -36,21 +36,21 @@
 
 func (e *Error) Error() string { return e.Pos.String() + ": " + e.Msg }
 
-// Errorf is a fault at a place.
+// Errorf returns an *Error at a position.
 func Errorf(p Pos, format string, args ...any) error {
 	return &Error{Pos: p, Msg: fmt.Sprintf(format, args...)}
 }
 
-// Node is a list, a word or a quoted string.
+// Node is a list, a word or a quoted string; a word has neither List nor Quoted set.
 type Node struct {
 	Pos    Pos
 	List   bool
 	Quoted bool
-	Text   string  // of a word or string
+	Text   string  // of a word or a string, without its quotes
 	Items  []*Node // of a list
 }
 
-// Head is the word that a list starts with, or "".
+// Head returns the word that a list starts with, or "".
 func (n *Node) Head() string {
 	if n.List && len(n.Items) > 0 && !n.Items[0].List && !n.Items[0].Quoted {
 		return n.Items[0].Text
@@ -58,7 +58,7 @@
 	return ""
 }
 
-// load reads a file up to one byte over the bound, which Parse then refuses.
+// load reads at most MaxBytes+1 bytes of a file: Parse rejects a longer file without its being read whole.
 func load(path string) (string, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -72,7 +72,7 @@
 	return string(text), nil
 }
 
-// Parse reads the forms of a text; file names it in errors.
+// Parse reads the top-level nodes of a text; file names it in errors.
 func Parse(file, text string) ([]*Node, error) {
 	p := &parser{text: text, pos: Pos{file, 1, 1}}
 	if len(text) > MaxBytes {
@@ -91,12 +91,13 @@
 	}
 }
 
+// parser reads nodes from a text.
 type parser struct {
-	text string
-	pos  Pos
+	text string // not yet read
+	pos  Pos    // of its first character
 }
 
-// peek is the next character, or -1 at the end.
+// peek returns the next character, or -1 at the end.
 func (p *parser) peek() rune {
 	if p.text == "" {
 		return -1
@@ -105,6 +106,7 @@
 	return c
 }
 
+// next consumes the next character and returns it.
 func (p *parser) next() rune {
 	c, size := utf8.DecodeRuneInString(p.text)
 	p.text = p.text[size:]
@@ -116,6 +118,7 @@
 	return c
 }
 
+// skipSpace consumes white space and comments.
 func (p *parser) skipSpace() {
 	for {
 		c := p.peek()
@@ -132,7 +135,7 @@
 	}
 }
 
-// node reads one form; io.EOF tells that there is none.
+// node reads one node inside depth lists. It returns io.EOF at the end of the text.
 func (p *parser) node(depth int) (*Node, error) {
 	p.skipSpace()
 	start := p.pos
@@ -150,6 +153,7 @@
 	}
 }
 
+// list reads a list from its opening parenthesis on.
 func (p *parser) list(depth int) (*Node, error) {
 	n := &Node{Pos: p.pos, List: true}
 	if depth >= MaxDepth {
@@ -173,6 +177,7 @@
 	}
 }
 
+// quoted reads a string on one line, with the escapes of Go.
 func (p *parser) quoted() (*Node, error) {
 	n := &Node{Pos: p.pos, Quoted: true}
 	rest := p.text
@@ -200,6 +205,7 @@
 	}
 }
 
+// word reads up to white space, a parenthesis, a quote or a comment.
 func (p *parser) word() (*Node, error) {
 	n := &Node{Pos: p.pos}
 	var b strings.Builder
--- a/internal/wire/codec.go
+++ b/internal/wire/codec.go
@@ -1,6 +1,5 @@
-// Package wire reads and writes the text protocol between the bench and the
-// decision module, and translates it into the module's own terms. It decides
-// nothing.
+// Package wire serves the simulator's text protocol: it decodes batches of events, passes them to decision modules and
+// encodes the actions that they return. It makes no routing decisions.
 package wire
 
 import (
@@ -10,17 +9,17 @@
 	"strings"
 )
 
-// textFields are the fields whose value runs to the line's end.
+// textFields are the fields whose value extends to the end of the line.
 var textFields = map[string]bool{"profileData": true, "line": true}
 
-// message is one line: a name and its fields.
+// message is one decoded line: the name of the message and its fields.
 type message struct {
 	name   string
 	fields map[string]string
 }
 
-// parseLine splits a line into its name and fields. Text that follows a key
-// which this version does not know is taken as part of that key's value.
+// parseLine splits a line into its name and fields. Words without "=" after a key that this version does not know belong
+// to the value of that key and are skipped; after a known key they are an error.
 func parseLine(line string) (message, error) {
 	name, rest, _ := strings.Cut(line, " ")
 	if name == "" || strings.Contains(name, "=") {
@@ -50,7 +49,7 @@
 	return m, nil
 }
 
-// fieldError tells which field of which message was missing or wrong.
+// fieldError describes a field that is missing or not what want says.
 func (m message) fieldError(key, want string) error {
 	if value, ok := m.fields[key]; ok {
 		return fmt.Errorf("%s: %s=%.40q is not %s", m.name, key, value, want)
@@ -58,19 +57,20 @@
 	return fmt.Errorf("%s: %s is missing", m.name, key)
 }
 
-// reader collects the first error over several fields of one message.
+// reader decodes the fields of one message and keeps the first error.
 type reader struct {
 	message
 	err error
 }
 
+// fail records an error about a field unless there is one already.
 func (r *reader) fail(key, want string) {
 	if r.err == nil {
 		r.err = r.fieldError(key, want)
 	}
 }
 
-// number reads a finite number that must be there.
+// number decodes a required finite number.
 func (r *reader) number(key string) float64 {
 	v, err := strconv.ParseFloat(r.fields[key], 64)
 	if err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
@@ -80,7 +80,7 @@
 	return v
 }
 
-// numberOr reads a number that may be absent.
+// numberOr decodes an optional finite number; absent is its default.
 func (r *reader) numberOr(key string, absent float64) float64 {
 	if v, ok := r.fields[key]; !ok || v == "" {
 		return absent
@@ -88,7 +88,7 @@
 	return r.number(key)
 }
 
-// whole reads a whole number from 0 up that must be there.
+// whole decodes a required integer that is not negative.
 func (r *reader) whole(key string) uint64 {
 	v, err := strconv.ParseUint(r.fields[key], 10, 63)
 	if err != nil {
@@ -97,7 +97,7 @@
 	return v
 }
 
-// wholeOr reads a whole number that may be absent.
+// wholeOr decodes an optional integer that is not negative; absent is its default.
 func (r *reader) wholeOr(key string, absent uint64) uint64 {
 	if v, ok := r.fields[key]; !ok || v == "" {
 		return absent
@@ -105,7 +105,7 @@
 	return r.whole(key)
 }
 
-// integer reads a whole number of either sign.
+// integer decodes a required integer of either sign.
 func (r *reader) integer(key string) int64 {
 	v, err := strconv.ParseInt(r.fields[key], 10, 64)
 	if err != nil {
@@ -114,7 +114,7 @@
 	return v
 }
 
-// flag reads a bool that may be absent.
+// flag decodes an optional bool, 0 or 1; the default is false.
 func (r *reader) flag(key string) bool {
 	switch r.fields[key] {
 	case "1":
@@ -126,7 +126,7 @@
 	return false
 }
 
-// text reads a token that must be there.
+// text decodes a required text that is not empty.
 func (r *reader) text(key string) string {
 	v := r.fields[key]
 	if v == "" {
@@ -135,7 +135,7 @@
 	return v
 }
 
-// index reads a whole number below limit; absent counts as 0.
+// index decodes an optional integer from 0 up to but not including limit; the default is 0.
 func (r *reader) index(key string, limit int) int {
 	v := r.wholeOr(key, 0)
 	if v >= uint64(limit) {
@@ -145,7 +145,7 @@
 	return int(v)
 }
 
-// knownKeys are the keys that this version reads.
+// knownKeys are the keys of the fields that this version knows.
 var knownKeys = func() map[string]bool {
 	known := make(map[string]bool)
 	for _, key := range strings.Fields(`momentMs serial routerId randomSeed profileData kind nodesList scale cell
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -12,25 +12,25 @@
 	"gannethook/internal/profile"
 )
 
-// instance is one hosted router with what is needed to translate for it.
+// instance is one decision module and the profile that translates indexes and units of the protocol for it.
 type instance struct {
 	router *gannethook.Router
 	*profile.Profile
 }
 
-// host translates between the pipe and its instances.
+// host serves the instances of one connection.
 type host struct {
 	in        *bufio.Scanner
 	out       *bufio.Writer
-	line      int
-	instances map[uint64]*instance
+	line      int                  // number of the last line read, for errors
+	instances map[uint64]*instance // by routerId
 }
 
-// maxLine bounds one line of input, in bytes.
+// maxLine bounds the length of an input line, in bytes.
 const maxLine = 64 << 20
 
-// Serve answers batches from in on out until in ends. Its error names the line
-// at which the input was wrong.
+// Serve reads batches from in and writes the replies to out until in ends. An error in the input is reported with its
+// line number.
 func Serve(in io.Reader, out io.Writer) error {
 	h := &host{in: bufio.NewScanner(in), out: bufio.NewWriterSize(out, 1<<16), instances: map[uint64]*instance{}}
 	h.in.Buffer(make([]byte, 1<<16), maxLine)
@@ -48,7 +48,7 @@
 	}
 }
 
-// next reads the next line that is not empty.
+// next reads the next line that is not empty. It returns false at the end of the input.
 func (h *host) next() (message, bool, error) {
 	for h.in.Scan() {
 		h.line++
@@ -60,12 +60,12 @@
 	return message{}, false, h.in.Err()
 }
 
-// batch reads one batch and writes its reply.
+// batch handles the events of one batch, whose first line is given, and writes the reply.
 func (h *host) batch(first message) error {
 	r := &reader{message: first}
 	now, serial := gannethook.Millis(r.number("momentMs")), r.whole("serial")
 	if first.name != "BATCH" {
-		return fmt.Errorf("%s where BATCH was due", first.name)
+		return fmt.Errorf("%s in place of BATCH", first.name)
 	}
 	if r.err != nil {
 		return r.err
@@ -82,7 +82,7 @@
 			fmt.Fprintf(h.out, "ACK serial=%d\n", serial)
 			return h.out.Flush()
 		case m.name == "WORKER" && unknown:
-			continue // belongs to a message that this version skips
+			continue // belongs to an unknown message, which is skipped
 		}
 		if unknown, err = h.event(m, now); err != nil {
 			return err
@@ -90,7 +90,8 @@
 	}
 }
 
-// event handles one event; it reports whether the event is of an unknown kind.
+// event handles one event and writes the actions that follow from it. unknown reports that this version does not know the
+// kind of event and skips it.
 func (h *host) event(m message, now gannethook.Millis) (unknown bool, err error) {
 	r := &reader{message: m}
 	id := r.whole("routerId")
@@ -107,7 +108,7 @@
 	}
 	inst := h.instances[id]
 	if inst == nil {
-		return false, fmt.Errorf("%s: instance %d is not known", m.name, id)
+		return false, fmt.Errorf("%s: unknown instance %d", m.name, id)
 	}
 	if m.name == "RETIRE" {
 		delete(h.instances, id)
@@ -125,7 +126,7 @@
 	return false, nil
 }
 
-// open starts an instance.
+// open creates an instance with the seed and the profile of an OPEN_INSTANCE message.
 func (h *host) open(id uint64, r *reader) error {
 	seed := r.integer("randomSeed")
 	text := r.text("profileData")
@@ -144,7 +145,8 @@
 	return nil
 }
 
-// events translate each kind of event; a nil event has no meaning to the module.
+// events decode the events of the module by the name of their message. A nil event is valid but has no meaning to the
+// module and is skipped.
 var events = map[string]func(*host, *instance, *reader) gannethook.Event{
 	"UPDATE":         (*host).update,
 	"ORDER":          order,
@@ -157,22 +159,25 @@
 	"TICK_DUE": func(_ *host, _ *instance, r *reader) gannethook.Event {
 		ref, err := strconv.ParseUint(r.text("ref"), 10, 64)
 		if err != nil {
-			return nil // not a timer of this module's
+			return nil // not a timer of this module
 		}
 		return gannethook.Wakeup{Ref: ref}
 	},
 	"WHISPER": func(*host, *instance, *reader) gannethook.Event { return nil },
 }
 
+// request decodes the id of a request.
 func request(r *reader) gannethook.RequestID { return gannethook.RequestID(r.whole("requestId")) }
 
+// server decodes the id of a server.
 func server(r *reader) gannethook.ServerID { return gannethook.ServerID(r.text("worker")) }
 
+// states are the values of the field readiness.
 var states = map[string]gannethook.ServerState{
 	"Ready": gannethook.Ready, "Terminating": gannethook.Draining, "Gone": gannethook.Gone,
 }
 
-// update reads a list event with the entries that follow it.
+// update decodes a change of the server list with the WORKER lines that follow it.
 func (h *host) update(inst *instance, r *reader) gannethook.Event {
 	kind := r.text("kind")
 	ev := gannethook.Membership{Whole: kind == "full" || kind == "cached", Failed: kind == "failed"}
@@ -183,7 +188,7 @@
 	for i := uint64(0); i < count && r.err == nil; i++ {
 		m, ok, err := h.next()
 		if err != nil || !ok || m.name != "WORKER" {
-			r.err = fmt.Errorf("UPDATE: entry %d of %d is not there", i+1, count)
+			r.err = fmt.Errorf("UPDATE: entry %d of %d is missing", i+1, count)
 			return nil
 		}
 		e := &reader{message: m}
@@ -193,7 +198,7 @@
 	return ev
 }
 
-// entry reads one line of a list.
+// entry decodes one WORKER line of a server list.
 func entry(inst *instance, e *reader) gannethook.Server {
 	state, ok := states[e.text("readiness")]
 	if !ok {
@@ -206,6 +211,7 @@
 	}
 }
 
+// order decodes a new request. weightHintMs is a duration; the pace of the class converts it to tokens.
 func order(_ *host, inst *instance, r *reader) gannethook.Event {
 	class := r.index("lane", len(inst.Settings.Classes))
 	ev := gannethook.Request{
@@ -220,24 +226,29 @@
 	return ev
 }
 
+// flowing decodes the first token of an attempt.
 func flowing(_ *host, _ *instance, r *reader) gannethook.Event {
 	return gannethook.Streaming{ID: request(r), Attempt: int(r.whole("leg")), Server: server(r)}
 }
 
+// booking decodes the answer to a hold: sort 1 accepts it, 2 rejects it.
 func booking(_ *host, _ *instance, r *reader) gannethook.Event {
 	sort := r.whole("sort")
 	if r.err == nil && sort != 1 && sort != 2 {
-		return nil // an answer that this version does not know
+		return nil // a kind of answer that this version does not know
 	}
 	return gannethook.Held{ID: request(r), Attempt: int(r.whole("leg")), OK: sort == 1}
 }
 
+// outcomes are the known values of the field outcome; others are decoded as UnknownEnd.
 var outcomes = map[uint64]gannethook.Outcome{
 	100: gannethook.Served, 102: gannethook.ReadDone, 301: gannethook.Failed, 302: gannethook.Full,
 	303: gannethook.TimedOut, 304: gannethook.ConnectFailed, 305: gannethook.Broken,
 	306: gannethook.Cancelled, 307: gannethook.Moot,
 }
 
+// closed decodes the end of an attempt. The field info holds the number of kept tokens after a read, and 1 after a rejection
+// for lack of the state to decode from.
 func closed(_ *host, inst *instance, r *reader) gannethook.Event {
 	code := r.whole("outcome")
 	outcome, ok := outcomes[code]
@@ -255,7 +266,7 @@
 	return ev
 }
 
-// report reads the memory share of a load report, if there is one; other values are skipped.
+// report decodes the memory share of a load report, if the message has one. Other columns are only checked to be numbers.
 func (inst *instance) report(r *reader) (share float64, ok bool) {
 	row := r.fields["report"]
 	if row == "" || row == "-" || inst.Memory < 0 {
@@ -277,7 +288,7 @@
 	return share, ok
 }
 
-// write writes one action of instance id.
+// write encodes one action of instance id.
 func (h *host) write(id uint64, action gannethook.Action) {
 	w := h.out
 	switch a := action.(type) {
