--- a/cmd/gannethook/cert.go
+++ b/cmd/gannethook/cert.go
@@ -68,7 +68,7 @@
 			fmt.Fprintf(cmd.OutOrStdout(), "%s and %s, valid for %v\n", cert, key, valid)
 			return nil
 		}}
-	cmd.Flags().StringVar(&out, "out", ".", "output directory")
+	cmd.Flags().StringVar(&out, "out", ".", "folder")
 	cmd.Flags().DurationVar(&valid, "valid", 90*24*time.Hour, "validity period")
 	return cmd
 }
--- a/cmd/gannethook/fleet.go
+++ b/cmd/gannethook/fleet.go
@@ -439,7 +439,7 @@
 			for seed := range seeds {
 				r.Seed = uint64(seed) + 1
 				result := r.Play()
-				fmt.Fprintf(cmd.OutOrStdout(), "seed %d: %v after %v, %.2f times the bound; %d restarts; at the least %.0f%% up, at the most %d down in a centre; limits broken %d times\n",
+				fmt.Fprintf(cmd.OutOrStdout(), "seed %d: %v after %v, %.2f times the bound; %d restarts; at least %.0f%% up, at most %d down in a centre; limits violated %d times\n",
 					r.Seed, result.How, result.Took.Round(time.Second), result.Took.Seconds()/max(plan.Bound.Seconds(), 1), result.Restarts, 100*result.LeastUp, result.MostDown, len(result.Broken))
 			}
 			return nil
--- a/cmd/gannethook/fleet_test.go
+++ b/cmd/gannethook/fleet_test.go
@@ -23,17 +23,18 @@
 	"gannethook/internal/standin"
 )
 
-// testFleet is a few routers as processes, before stand-ins in this one.
+// testFleet is a fleet of router processes in front of stand-in engines and roster in the test process.
 type testFleet struct {
-	t     *testing.T
-	dir   string
-	file  string
-	names []string
-	addrs map[string]string
-	start map[string]func()
+	t       *testing.T
+	dir     string
+	file    string            // the fleet file
+	routers []string          // of the routers
+	addrs   map[string]string // for clients, by router
+	start   map[string]func() // starts the process again, by router
 }
 
-// newTestFleet starts routers; extra goes into each one's (control ...), rollout into the fleet file.
+// newTestFleet starts n routers and waits until they are ready. extra is added to the (control ...) of each router, with
+// NAME replaced by its name; rollout is added to the fleet file.
 func newTestFleet(t *testing.T, n int, extra, rollout string) *testFleet {
 	t.Helper()
 	r := &testFleet{t: t, dir: t.TempDir(), addrs: map[string]string{}, start: map[string]func(){}}
@@ -55,7 +56,7 @@
 	text := "(fleet f)\n(times (call 2s) (drain 8s) (start 8s) (hang 2s) (again 4s))\n" + rollout + "\n"
 	for i := range n {
 		name := fmt.Sprintf("r%d", i)
-		r.names = append(r.names, name)
+		r.routers = append(r.routers, name)
 		text += fmt.Sprintf("(router %s (at %q) (centre %s))\n", name, "unix:"+filepath.Join(r.dir, name, "control.sock"), []string{"north", "south"}[i%2])
 		r.config(name, api, extra)
 		r.start[name] = func() { r.startRouter(name) }
@@ -69,7 +70,7 @@
 	return r
 }
 
-// freeAddr is a port that is the test's alone until it ends.
+// freeAddr returns an address whose port is reserved for the test until it ends.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	addr, release, err := standin.HoldPort()
@@ -80,8 +81,10 @@
 	return addr
 }
 
+// path returns the path of the settings file of a router.
 func (r *testFleet) path(name string) string { return filepath.Join(r.dir, name+".gann") }
 
+// config writes the settings file of a router: the default settings, with the roster at api.
 func (r *testFleet) config(name, api, extra string) {
 	r.addrs[name] = freeAddr(r.t)
 	text := strings.Replace(settings.Default, "(name demo)", "(name "+name+")", 1)
@@ -93,7 +96,8 @@
 	}
 }
 
-// startRouter starts a router in a process group of its own, which ends with the test.
+// startRouter starts a router in a process group of its own, which is killed when the test ends. If there is a release v1,
+// the router runs it.
 func (r *testFleet) startRouter(name string) {
 	r.t.Helper()
 	cmd := exec.Command(os.Args[0], "serve", "--config", r.path(name), "--log", "error")
@@ -112,21 +116,21 @@
 	})
 }
 
-// waitReady waits until every router is.
+// waitReady waits until every router is ready.
 func (r *testFleet) waitReady() {
 	r.t.Helper()
-	for end := time.Now().Add(10 * time.Second); ; time.Sleep(10 * time.Millisecond) {
+	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(10 * time.Millisecond) {
 		if _, code := r.fleet("status"); code == 0 {
 			return
 		}
-		if time.Now().After(end) {
+		if time.Now().After(deadline) {
 			out, _ := r.fleet("status")
 			r.t.Fatalf("not ready: %s", out)
 		}
 	}
 }
 
-// fleet runs the tool and returns what it prints and its exit status.
+// fleet runs the fleet command and returns its output and exit status.
 func (r *testFleet) fleet(args ...string) (string, int) {
 	r.t.Helper()
 	out, err := run(r.t, append([]string{"fleet", "--fleet", r.file}, args...)...)
@@ -136,7 +140,7 @@
 	return out, 0
 }
 
-// expect runs the tool and checks its exit status and a part of what it prints.
+// expect runs the fleet command and checks its exit status and that the output contains part.
 func (r *testFleet) expect(code int, part string, args ...string) string {
 	r.t.Helper()
 	out, got := r.fleet(args...)
@@ -146,6 +150,7 @@
 	return out
 }
 
+// pid returns the process ID of a router from its pid file.
 func (r *testFleet) pid(name string) int {
 	r.t.Helper()
 	text, err := os.ReadFile(filepath.Join(r.dir, name, "pid"))
@@ -157,7 +162,7 @@
 	return n
 }
 
-// status is one router's, as JSON has it.
+// status returns the status of a router, decoded from JSON.
 func (r *testFleet) status(name string) map[string]any {
 	r.t.Helper()
 	out, _ := r.fleet("--json", "status", name)
@@ -168,7 +173,8 @@
 	return list[0].Status
 }
 
-// startAnswer asks a router for tokens in a session of its own; the answer comes later.
+// startAnswer requests an answer of the given length in a new session, waits up to 5 s until the router counts it as open,
+// and returns a channel of the answer.
 func (r *testFleet) startAnswer(name string, tokens int) <-chan *client.Answer {
 	r.t.Helper()
 	s, err := client.Open(context.Background(), r.addrs[name], "m")
@@ -176,33 +182,33 @@
 		r.t.Fatal(err)
 	}
 	if s.Say("hello") != nil || s.Request(map[string]string{"class": "adjustment", "idempotency_key": fmt.Sprint(time.Now().UnixNano())}, tokens) != nil {
-		r.t.Fatal("the session takes nothing")
+		r.t.Fatal("the session accepts no request")
 	}
-	got := make(chan *client.Answer, 1)
+	answer := make(chan *client.Answer, 1)
 	go func() {
 		a, _ := s.Wait(nil)
-		got <- a
+		answer <- a
 		s.Cut()
 	}()
-	for end := time.Now().Add(5 * time.Second); r.status(name)["open"] == float64(0) && time.Now().Before(end); {
+	for deadline := time.Now().Add(5 * time.Second); r.status(name)["open"] == float64(0) && time.Now().Before(deadline); {
 	}
-	return got
+	return answer
 }
 
 func served(a *client.Answer) bool { return a != nil && a.Status == "completed" }
 
-// A restart hands the ports over: the answer under way ends at the old process,
-// new sessions open at the new one, and a second restart works as the first.
+// Guards against a restart that loses answers in flight or can't be repeated: the successor takes over the ports and new
+// sessions, while the old process completes its answers.
 func TestRestart(t *testing.T) {
 	r := newTestFleet(t, 1, "", "")
 	for range 2 {
 		before, a := r.pid("r0"), r.startAnswer("r0", 60)
 		r.expect(0, "done", "restart", "r0")
 		if !served(<-a) {
-			t.Error("the answer under way was not served")
+			t.Error("the answer in flight was not served")
 		}
 		if r.pid("r0") == before || !served(<-r.startAnswer("r0", 3)) {
-			t.Error("no new life, or it serves nothing")
+			t.Error("there is no new process, or it does not serve")
 		}
 	}
 	r.expect(0, "", "stop", "r0")
@@ -210,13 +216,13 @@
 	r.expect(fleet.ExitUnreachable, "unreachable", "drain", "r0")
 }
 
-// An adjustment is in flight when its router drains: it is served. What does
-// not end by the deadline is failed, and the tool says so.
+// Guards against a drain that loses a request in flight (an adjustment is not safe to repeat), that is undone by a restart,
+// or that exceeds its time limit without reporting the failed answers.
 func TestDrain(t *testing.T) {
 	r := newTestFleet(t, 1, "", "")
 	a := r.startAnswer("r0", 40)
 	out := make(chan int, 2)
-	for range 2 { // two operators
+	for range 2 { // two operators drain at the same time
 		go func() {
 			_, code := r.fleet("drain", "r0")
 			out <- code
@@ -226,23 +232,23 @@
 	}
 	r.expect(0, "gives up in", "status")
 	if !served(<-a) || <-out != 0 || <-out != 0 {
-		t.Error("the adjustment was not served, or a drain was not done")
+		t.Error("the adjustment was not served, or a drain did not succeed")
 	}
 	if _, err := client.Open(context.Background(), r.addrs["r0"], "m"); err == nil {
-		t.Error("a drained router opens a session")
+		t.Error("a drained router accepted a session")
 	}
 	r.expect(0, "done", "restart", "r0") // a restart does not undo the drain
 	if st := r.status("r0"); st["state"] != "drained" {
 		t.Errorf("after a restart: %v", st["state"])
 	}
 	r.expect(0, "done", "resume", "r0")
-	text, _ := os.ReadFile(r.path("r0")) // for the stop by a signal, below
+	text, _ := os.ReadFile(r.path("r0")) // for the stop by a signal below
 	os.WriteFile(r.path("r0"), []byte(strings.Replace(string(text), "(drain 8s)", "(drain 300ms)", 1)), 0o644)
 	r.expect(0, "done", "reload", "r0")
 	a = r.startAnswer("r0", 190)
 	r.expect(0, "some answers failed at the deadline", "drain", "r0", "--limit", "300ms")
 	if end := <-a; end == nil || end.Status == "completed" {
-		t.Errorf("%+v: an answer beyond the deadline", end)
+		t.Errorf("%+v: an answer was completed after the drain limit", end)
 	}
 	r.expect(0, "done", "resume", "r0")
 	a = r.startAnswer("r0", 190) // takes 3.8 s
@@ -253,8 +259,8 @@
 	}
 }
 
-// Broken settings change nothing: not by a reload, and not by a restart.
-func TestBrokenSettings(t *testing.T) {
+// Guards against a reload or a restart with invalid settings that affects the running router.
+func TestInvalidSettingsChangeNothing(t *testing.T) {
 	r := newTestFleet(t, 1, "(start 1s)", "")
 	before := r.pid("r0")
 	good, _ := os.ReadFile(r.path("r0"))
@@ -266,9 +272,9 @@
 	noRoster = noRoster[:strings.Index(noRoster, `(watch "`)] + `(watch "127.0.0.1:1"` + noRoster[strings.Index(noRoster, `") (service`)+1:]
 	os.WriteFile(r.path("r0"), []byte(noRoster), 0o644)
 	r.expect(fleet.ExitRefused, "the roster was not heard in time", "restart", "r0")
-	r.expect(0, "ready", "status", "r0") // its socket and pid are where they were
+	r.expect(0, "ready", "status", "r0") // its socket and pid file are still in place
 	if r.pid("r0") != before || !served(<-r.startAnswer("r0", 3)) {
-		t.Error("the router did not go on")
+		t.Error("the router did not continue to serve")
 	}
 	text := strings.Replace(string(good), "(aim 1500ms)", "(aim 1200ms)", 1)
 	text = strings.Replace(text, r.addrs["r0"], freeAddr(t), 1)
@@ -287,7 +293,8 @@
 	}
 }
 
-func TestViews(t *testing.T) {
+// Checks the output of the commands that only read, and that a command to several routers needs confirmation.
+func TestReadOnlyCommands(t *testing.T) {
 	r := newTestFleet(t, 2, "", "")
 	a := r.startAnswer("r0", 60)
 	r.expect(0, "r1", "list")
@@ -307,7 +314,7 @@
 	}
 }
 
-// makeReleases makes folders of releases: two that work, and one that does not come up.
+// makeReleases creates a directory of releases: v1 and v2 work, bad exits at once.
 func makeReleases(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -327,19 +334,21 @@
 	return dir
 }
 
+// fastRollout is a (rollout ...) form with short times.
 const fastRollout = "(rollout (share 0.5) (centre-share 0) (down 1) (canaries 1) (watch 300ms) (settle 200ms) (look 100ms) (silence 500ms) (expect 2s) (patience 20s) (service 0))"
 
+// expectRelease checks the release that all routers run.
 func (r *testFleet) expectRelease(want string) {
 	r.t.Helper()
-	for _, name := range r.names {
+	for _, name := range r.routers {
 		if got := r.status(name)["release"]; got != want {
 			r.t.Errorf("%s runs %q, want %q", name, got, want)
 		}
 	}
 }
 
-// A rollout over real routers: to a release that works, with the tool killed
-// half way, and to one that does not come up.
+// Guards against a rollout that can't be continued after the tool was killed, that repeats restarts, or that leaves routers
+// on a release that does not start.
 func TestRollout(t *testing.T) {
 	dir := makeReleases(t)
 	r := newTestFleet(t, 4, fmt.Sprintf("(releases %q)", dir), fastRollout)
@@ -371,11 +380,12 @@
 	r.expectRelease("v1")
 	r.expect(fleet.ExitRefused, "a name without / is due", "restart", "r0", "--release", "../v1")
 	if !served(<-r.startAnswer("r3", 3)) {
-		t.Error("not served after the rollouts")
+		t.Error("no answer was served after the rollouts")
 	}
 }
 
-// Certificates: who may do what, an end in the middle of a rollout, renewal.
+// Guards against roles that may do more than they should, a router that poses as another, and a rollout that does not
+// recover when an expired certificate of the operator is renewed.
 func TestCertificates(t *testing.T) {
 	dir := t.TempDir()
 	at := func(name string) string { return filepath.Join(dir, name) }
@@ -402,12 +412,12 @@
 	r.expect(fleet.ExitRefused, "PermissionDenied", "drain", "r0")
 	writeFleetFile("ann", "r0")
 	r.expect(0, "done", "restart", "r0")
-	writeFleetFile("ann", "r1") // another router answers there than the file says
+	writeFleetFile("ann", "r1") // the router at this address is not the one of the fleet file
 	r.expect(fleet.ExitUnreachable, "", "status")
-	writeFleetFile("r0", "r0") // a router's certificate is no operator's
+	writeFleetFile("r0", "r0") // a router's certificate does not permit what an operator's does
 	r.expect(fleet.ExitUnreachable, "PermissionDenied", "status")
 
-	// The operator's certificate ends before the rollout and is renewed in the middle of it.
+	// The operator's certificate has expired when the rollout starts and is renewed during it.
 	cert("operator", "eve", "--out", dir, "--valid", "-1s")
 	writeFleetFile("eve", "r0")
 	r.expect(fleet.ExitUnreachable, "", "status")
@@ -423,8 +433,9 @@
 	}
 }
 
-// A router that died is taken up by its next life; a second process is kept out.
-func TestLock(t *testing.T) {
+// Guards against two processes with the same run directory, and against files of a killed process that keep the next one
+// from starting.
+func TestRunDirectoryLock(t *testing.T) {
 	r := newTestFleet(t, 1, "", "")
 	second := selfCommand("serve", "--config", r.path("r0"), "--log", "error")
 	out, err := second.CombinedOutput()
@@ -439,11 +450,12 @@
 	r.start["r0"]()
 	r.waitReady()
 	if !served(<-r.startAnswer("r0", 3)) {
-		t.Error("not served after a death")
+		t.Error("no answer was served after the router was killed")
 	}
 }
 
-// As systemd has it: the socket is handed in, readiness and the new main process are told.
+// Checks the integration with systemd: a listener is passed by socket activation, and readiness, reloads, stops and the main
+// process after a restart are notified.
 func TestSystemd(t *testing.T) {
 	r := newTestFleet(t, 1, "", "")
 	r.expect(0, "done", "stop", "r0")
@@ -452,7 +464,7 @@
 		t.Fatal(err)
 	}
 	defer notifySocket.Close()
-	ln, err := net.Listen("tcp", "127.0.0.1:0") // not the settings' port: only the one handed in can answer here
+	ln, err := net.Listen("tcp", "127.0.0.1:0") // not the port of the settings: only the passed listener accepts here
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -477,7 +489,7 @@
 		for buf := make([]byte, 4096); ; {
 			n, err := notifySocket.Read(buf)
 			if err != nil {
-				t.Fatalf("%q was not told: %v", part, err)
+				t.Fatalf("no notification %q: %v", part, err)
 			}
 			if strings.Contains(string(buf[:n]), part) {
 				return
@@ -487,7 +499,7 @@
 	expectNotification(fmt.Sprintf("READY=1\nMAINPID=%d", cmd.Process.Pid))
 	r.waitReady()
 	if !served(<-r.startAnswer("r0", 3)) {
-		t.Error("the socket that was handed in serves nothing")
+		t.Error("the passed listener does not serve")
 	}
 	syscall.Kill(cmd.Process.Pid, syscall.SIGHUP)
 	expectNotification("RELOADING=1\nMONOTONIC_USEC=")
@@ -497,9 +509,9 @@
 	for end := time.Now().Add(5 * time.Second); r.status("r0")["predecessor"] != nil && time.Now().Before(end); {
 	}
 	if pid := r.pid("r0"); pid == cmd.Process.Pid || !served(<-r.startAnswer("r0", 3)) {
-		t.Errorf("process %d after SIGUSR2, or it serves nothing", pid)
+		t.Errorf("process %d after SIGUSR2, or it does not serve", pid)
 	}
-	// A second signal cuts a stop short.
+	// A second signal ends a drain at once.
 	a := r.startAnswer("r0", 190)
 	pid := r.pid("r0")
 	syscall.Kill(pid, syscall.SIGTERM)
--- a/cmd/gannethook/main_test.go
+++ b/cmd/gannethook/main_test.go
@@ -20,7 +20,8 @@
 	"gannethook/internal/settings"
 )
 
-// TestMain lets the test's binary be the routers that a day starts.
+// TestMain lets the test binary run as the program for the processes that tests start. Otherwise it checks for leaked
+// goroutines.
 func TestMain(m *testing.M) {
 	if os.Getenv(runProgramEnv) != "" {
 		main()
@@ -29,7 +30,7 @@
 	goleak.VerifyTestMain(m)
 }
 
-// run runs a command line and returns what it prints.
+// run executes a command line in this process and returns its output.
 func run(t *testing.T, args ...string) (string, error) {
 	t.Helper()
 	var out bytes.Buffer
@@ -63,51 +64,52 @@
 	}
 }
 
-// The embedded bad day, shortened: routers as processes, half of them killed.
-// Every rule is kept and no adjustment has its effect twice.
+// Runs the embedded scenario bad.gann, shortened, in which half of the router processes are killed: no rule may be broken,
+// and no adjustment may take effect twice.
 func TestBadScenarioShortened(t *testing.T) {
 	if testing.Short() {
 		t.Skip("takes half a minute")
 	}
-	playShortened(t, func() (*scenario.Script, error) { return scenario.Parse("bad.gann", scenario.Bad) }, 0.25)
+	runShortened(t, func() (*scenario.Script, error) { return scenario.Parse("bad.gann", scenario.Bad) }, 0.25)
 }
 
-// The day of all troubles, shortened.
+// Runs the scenario with all kinds of fault, shortened.
 func TestAllFaultsScenarioShortened(t *testing.T) {
 	if testing.Short() {
 		t.Skip("takes half a minute")
 	}
-	playShortened(t, func() (*scenario.Script, error) { return scenario.Load("../../internal/scenario/all.gann") }, 0.25)
+	runShortened(t, func() (*scenario.Script, error) { return scenario.Load("../../internal/scenario/all.gann") }, 0.25)
 }
 
-// Three fronts before one fleet, shortened: sessions, chat over HTTP, batches;
-// one tenant bursts, clients stop reading, half the routers die.
+// Runs the scenario with sessions, chat over HTTP and batches on one fleet, shortened: one tenant sends a burst, clients stop
+// reading, half of the routers are killed. Every class must be served.
 func TestFrontsScenarioShortened(t *testing.T) {
 	if testing.Short() {
 		t.Skip("takes a quarter of a minute")
 	}
-	r := playShortened(t, func() (*scenario.Script, error) { return scenario.Load("../../internal/scenario/fronts.gann") }, 0.25)
+	r := runShortened(t, func() (*scenario.Script, error) { return scenario.Load("../../internal/scenario/fronts.gann") }, 0.25)
 	for i, c := range r.Script.Classes {
 		if r.Class[i].Served == 0 {
-			t.Errorf("nothing of class %s was served", c.Name)
+			t.Errorf("no request of class %s was served", c.Name)
 		}
 	}
 }
 
-// Ops restarts and drains ten routers in turn under load, shortened; three are
-// killed in the middle of a command, one hangs. No answer is lost, nobody is
-// shut out of a ready router, and every exit status is what happened.
+// Runs the scenario in which ten routers are restarted and drained in turn under load, shortened; three are killed during a
+// command and one hangs. No answer may be lost, ready routers must accept clients, and each exit status must be correct.
 func TestRollScenarioShortened(t *testing.T) {
 	if testing.Short() {
 		t.Skip("takes most of a minute")
 	}
-	r := playShortened(t, func() (*scenario.Script, error) { return scenario.Load("../../internal/scenario/roll.gann") }, 0.2)
+	r := runShortened(t, func() (*scenario.Script, error) { return scenario.Load("../../internal/scenario/roll.gann") }, 0.2)
 	if r.Ops.Runs < 30 || r.Ops.Codes[fleet.ExitUnknown] < 3 {
-		t.Errorf("%d runs of the tool, by exit status %v: three kills and a hang are due", r.Ops.Runs, r.Ops.Codes)
+		t.Errorf("%d runs of the tool, by exit status %v: want 30 or more, and 3 or more unknown (three kills and a hang)", r.Ops.Runs, r.Ops.Codes)
 	}
 }
 
-func playShortened(t *testing.T, load func() (*scenario.Script, error), stretch float64) *scenario.Result {
+// runShortened runs a scenario with its times multiplied by stretch. It fails the test if a rule was broken or less than
+// half of the requests were served.
+func runShortened(t *testing.T, load func() (*scenario.Script, error), stretch float64) *scenario.Result {
 	t.Helper()
 	s, err := load()
 	if err != nil {
@@ -130,8 +132,8 @@
 	return r
 }
 
-// startProcess runs this program as a process of its own and returns the first line
-// that it prints; it is stopped by a signal when the test ends, and exits with 0.
+// startProcess runs this program as a separate process and returns the first line of its output. When the test ends, the
+// process gets SIGTERM and must exit with status 0.
 func startProcess(t *testing.T, args ...string) string {
 	t.Helper()
 	cmd := exec.Command(os.Args[0], args...)
@@ -156,8 +158,7 @@
 	return strings.TrimSpace(line)
 }
 
-// The stand-ins as processes of their own, a router that serves before them,
-// and a chat: what the README's commands do together.
+// Checks that the commands of the README work together: stand-ins and a router as separate processes, and a chat.
 func TestProcesses(t *testing.T) {
 	reader := startProcess(t, "engine", "--role", "reader")
 	writer := startProcess(t, "engine", "--role", "writer", "--token-gap", "1ms")
@@ -180,13 +181,13 @@
 			t.Errorf("serve: %v", err)
 		}
 	}()
-	for end := time.Now().Add(10 * time.Second); ; time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(5 * time.Millisecond) {
 		if nc, err := net.Dial("tcp", addr); err == nil {
 			nc.Close()
 			break
 		}
-		if time.Now().After(end) {
-			t.Fatal("the router never listens")
+		if time.Now().After(deadline) {
+			t.Fatal("the router does not listen within 10 s")
 		}
 	}
 	var out bytes.Buffer
--- a/cmd/gannethook/platform_test.go
+++ b/cmd/gannethook/platform_test.go
@@ -18,15 +18,15 @@
 	"gannethook/internal/platform/standin"
 )
 
-// platformRouter is the program itself under the platform's environment.
+// platformRouter is a process of this program in the environment of the platform.
 type platformRouter struct {
 	cmd  *exec.Cmd
 	addr string
-	file string
-	log  bytes.Buffer
+	file string       // the configuration
+	log  bytes.Buffer // standard output and standard error
 }
 
-// startOnPlatform starts the program with a configuration that change may spoil.
+// startOnPlatform starts the program with the configuration of a fleet, which change may modify.
 func startOnPlatform(t testing.TB, f *standin.Fleet, change func(map[string]any)) *platformRouter {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -52,7 +52,7 @@
 	return p
 }
 
-// post sends a request to a router or a worker.
+// post sends a request to a router or a worker and returns the status and body of the response.
 func post(client *http.Client, addr, id string) (int, string, error) {
 	req, err := http.NewRequest("POST", "http://"+addr+"/v1/chat/completions", strings.NewReader(`{"stream":true}`))
 	if err != nil {
@@ -71,12 +71,12 @@
 	return res.StatusCode, string(text), err
 }
 
-// ask sends a request on a connection of its own.
+// ask sends a request to the router on a new connection.
 func (p *platformRouter) ask(id string) (int, string, error) {
 	return post(&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}, p.addr, id)
 }
 
-// firstAnswer asks until the router is up.
+// firstAnswer sends a request repeatedly until the router responds, for at most 10 s.
 func (p *platformRouter) firstAnswer(t testing.TB, id string) (status int, text string) {
 	for started := time.Now(); time.Since(started) < 10*time.Second; time.Sleep(20 * time.Millisecond) {
 		var err error
@@ -84,11 +84,11 @@
 			return status, text
 		}
 	}
-	t.Fatalf("the router does not come up\n%s", p.log.String())
+	t.Fatalf("the router does not respond within 10 s\n%s", p.log.String())
 	return
 }
 
-// listeningSockets counts the sockets that the process listens on.
+// listeningSockets returns the number of TCP sockets that the process listens on.
 func (p *platformRouter) listeningSockets(t *testing.T) int {
 	inodes := map[string]bool{}
 	dir := fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid)
@@ -113,8 +113,8 @@
 	return n
 }
 
-// The program serves on the platform, listens on its one address, takes a signal for a new configuration and
-// ends well on the other.
+// Checks that the program serves on the platform and listens on its own address only, that SIGHUP with an invalid
+// configuration does not affect it, and that SIGTERM answers accepted requests and releases what workers hold.
 func TestPlatformProgram(t *testing.T) {
 	f := standin.New()
 	defer f.Close()
@@ -147,7 +147,7 @@
 	}
 }
 
-// A stop behind many signals for new configurations, which take a while to be taken up, is obeyed.
+// Guards against a SIGTERM that is lost after many SIGHUPs: reloads of a large file are still pending when it arrives.
 func TestStopAfterManyReloads(t *testing.T) {
 	const reloads = 40
 	f := standin.New()
@@ -155,7 +155,7 @@
 	f.Add(standin.Prompt, nil)
 	f.Add(standin.Answer, nil)
 	p := startOnPlatform(t, f, func(c map[string]any) {
-		c["unused"] = strings.Repeat("x", 16<<20) // a large file takes long to read
+		c["unused"] = strings.Repeat("x", 16<<20) // a large file, which takes long to read
 	})
 	if status, text := p.firstAnswer(t, "a"); status != 200 {
 		t.Fatalf("%d %q\n%s", status, text, p.log.String())
@@ -173,13 +173,13 @@
 			t.Errorf("ended with %v", err)
 		}
 	case <-time.After(30 * time.Second):
-		t.Error("SIGTERM is not obeyed")
+		t.Error("the router does not stop within 30 s of SIGTERM")
 		p.cmd.Process.Kill()
 		<-ended
 	}
 }
 
-// A configuration that can't be used ends the start with one line that names the field.
+// Checks that an invalid configuration ends the start with exit status 1 and one line that names the field.
 func TestPlatformBadConfiguration(t *testing.T) {
 	f := standin.New()
 	defer f.Close()
@@ -189,12 +189,12 @@
 		t.Errorf("ended with %v", err)
 	}
 	if got := p.log.String(); strings.Count(got, "\n") != 1 || !strings.Contains(got, "limits.sockets: -1 is under 64") {
-		t.Errorf("said %q", got)
+		t.Errorf("output %q", got)
 	}
 }
 
-// BenchmarkPlatform times requests read and written straight at the workers and through the router's process, in
-// turns, and tells the processor time of that process for each.
+// BenchmarkPlatform measures the time of a read and a write sent to the workers directly and of a request through the router
+// process, alternately, and the CPU time of that process per request.
 func BenchmarkPlatform(b *testing.B) {
 	f := standin.New()
 	defer f.Close()
@@ -225,8 +225,9 @@
 	b.ReportMetric(float64(routed)/float64(direct), "times")
 }
 
-// BenchmarkMemoryOverTime has new clients with new ids, some of whom keep their connection, and workers replaced by new
-// ones, and tells the router's memory and descriptors by quarters.
+// BenchmarkMemoryOverTime measures the memory and open descriptors of the router after each quarter of the requests, to show
+// leaks. Each request has a new client and id; one client in ten keeps its connection; workers are replaced every 500
+// requests.
 func BenchmarkMemoryOverTime(b *testing.B) {
 	f := standin.New()
 	defer f.Close()
--- a/internal/certs/certs_test.go
+++ b/internal/certs/certs_test.go
@@ -8,6 +8,7 @@
 	"time"
 )
 
+// issue issues a certificate in dir, with an authority that it creates there if there is none.
 func issue(t *testing.T, dir, name string, valid time.Duration) (cert, key, auth string) {
 	t.Helper()
 	a, err := LoadAuthority(dir)
@@ -23,7 +24,7 @@
 	return cert, key, filepath.Join(dir, AuthorityCert)
 }
 
-// Renewed files are taken up; half renewed or broken ones leave what was read.
+// Checks that renewed files are used, and that the last valid content remains in use while files are half renewed or missing.
 func TestRenewal(t *testing.T) {
 	dir := t.TempDir()
 	cert, key, auth := issue(t, dir, "a", time.Minute)
@@ -32,32 +33,32 @@
 		t.Fatal(err)
 	}
 	now := time.Now()
-	look := func() time.Duration { // as if a second had passed
+	remaining := func() time.Duration { // as if checkInterval had passed
 		f.lastCheck = time.Time{}
 		return f.Left(now).Round(time.Minute)
 	}
-	if got := look(); got != time.Minute {
-		t.Errorf("%v left, want 1m", got)
+	if got := remaining(); got != time.Minute {
+		t.Errorf("%v remaining, want 1m", got)
 	}
 	oldKey, _ := os.ReadFile(key)
 	issue(t, dir, "a", time.Hour)
 	newKey, _ := os.ReadFile(key)
-	os.WriteFile(key, oldKey, 0o600) // the certificate is new, the key is not yet
-	if got := look(); got != time.Minute || f.Check(now) == nil {
-		t.Errorf("%v left with half renewed files, %v", got, f.Check(now))
+	os.WriteFile(key, oldKey, 0o600) // the certificate is renewed, the key is not yet
+	if got := remaining(); got != time.Minute || f.Check(now) == nil {
+		t.Errorf("%v remaining with half renewed files, %v", got, f.Check(now))
 	}
 	os.WriteFile(key, newKey, 0o600)
-	if got := look(); got != time.Hour || f.Check(now) != nil {
-		t.Errorf("%v left after the renewal, %v", got, f.Check(now))
+	if got := remaining(); got != time.Hour || f.Check(now) != nil {
+		t.Errorf("%v remaining after the renewal, %v", got, f.Check(now))
 	}
 	os.Remove(cert)
-	if got := look(); got != time.Hour || f.Check(now) == nil {
-		t.Errorf("%v left without a file, %v", got, f.Check(now))
+	if got := remaining(); got != time.Hour || f.Check(now) == nil {
+		t.Errorf("%v remaining without a file, %v", got, f.Check(now))
 	}
 	issue(t, dir, "a", -time.Second)
-	look()
+	remaining()
 	if err := f.Check(now); err == nil || !strings.Contains(err.Error(), "has ended") {
-		t.Errorf("an ended certificate: %v", err)
+		t.Errorf("an expired certificate: %v", err)
 	}
 }
 
@@ -78,6 +79,6 @@
 		}
 	}
 	if _, err := NewAuthority(dir, "f.test", time.Hour, time.Now()); err == nil || !strings.Contains(err.Error(), "is there already") {
-		t.Errorf("a second authority in a folder: %v", err)
+		t.Errorf("a second authority in a directory: %v", err)
 	}
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -9,6 +9,7 @@
 	"gannethook/internal/limits"
 )
 
+// good is a minimal valid settings file.
 const good = `(name r) (listen "127.0.0.1:0") (class q (aim 1s) (give-up 5s) (effect safe))
 (kind p (role reader)) (kind a (role writer) (memory 20ktokens)) (roster (file "x"))`
 
@@ -18,7 +19,7 @@
 		t.Fatal(err)
 	}
 	if _, err := gannethook.New(f.Module(), 1); err != nil {
-		t.Errorf("the module refuses the default settings: %v", err)
+		t.Errorf("the module rejects the default settings: %v", err)
 	}
 }
 
@@ -109,12 +110,12 @@
 		file, err := Parse("f", in)
 		if err != nil {
 			if !strings.HasPrefix(err.Error(), "f:") {
-				t.Fatalf("the error has no place: %v", err)
+				t.Fatalf("the error has no position: %v", err)
 			}
 			return
 		}
 		if _, err := gannethook.New(file.Module(), 1); err != nil {
-			t.Fatalf("checked, but the module refuses it: %v", err)
+			t.Fatalf("valid settings are rejected by the module: %v", err)
 		}
 	})
 }
--- a/internal/sexp/sexp_test.go
+++ b/internal/sexp/sexp_test.go
@@ -14,7 +14,7 @@
 	Tags []string `gann:"tags"`
 }
 
-// Duration stands for time.Duration in the tests' tables.
+// Duration abbreviates time.Duration in the structs of these tests.
 type Duration = time.Duration
 
 type outer struct {
@@ -50,7 +50,7 @@
 	}
 }
 
-// Each fault has one message with its place.
+// Checks that each kind of error has its message and position.
 func TestErrors(t *testing.T) {
 	for in, want := range map[string]string{
 		`(name a`:                       `f:1:1: this '(' is never closed`,
@@ -89,7 +89,7 @@
 	f.Add("(name a) ; c\n(class x (aim 1s) (tags a \"b\"))")
 	f.Fuzz(func(t *testing.T, in string) {
 		if _, err := decode(in); err != nil && !strings.HasPrefix(err.Error(), "f:") {
-			t.Fatalf("the error has no place: %v", err)
+			t.Fatalf("the error has no position: %v", err)
 		}
 	})
 }
--- a/internal/wire/host_test.go
+++ b/internal/wire/host_test.go
@@ -9,7 +9,7 @@
 	"gannethook/internal/profile"
 )
 
-// profileText is a start-up object of two readers' and writers' worth of keys, with changes.
+// profileText returns a settings object with a reader and a writer kind, modified by change.
 func profileText(t testing.TB, change ...func(map[string]any)) string {
 	t.Helper()
 	p := map[string]any{
@@ -32,7 +32,7 @@
 	return string(text)
 }
 
-// opening is a first batch with one instance and two servers.
+// opening returns a first batch that creates an instance and lists a reader and a writer.
 func opening(t testing.TB, change ...func(map[string]any)) string {
 	return "BATCH momentMs=1000 serial=1\nOPEN_INSTANCE routerId=3 randomSeed=5 profileData=" +
 		profileText(t, change...) + "\nUPDATE routerId=3 kind=cached serial=1 nodesList=2\n" +
@@ -40,8 +40,10 @@
 		"WORKER worker=10.0.0.2:1 model=1 readiness=Ready area=0 cell=0 scale=1 sinceMs=0.0\nEND\n"
 }
 
+// ordering is the event of a new request.
 const ordering = "ORDER routerId=3 requestId=7 lane=0 dialogue=9 budgetMs=6000 promptLen=1000 prefixLen=0 maxOut=200\n"
 
+// serve returns the output for an input.
 func serve(in string) (string, error) {
 	var out strings.Builder
 	err := Serve(strings.NewReader(in), &out)
@@ -65,7 +67,8 @@
 	}
 }
 
-// TestKeptTokens: what a reader tells of kept tokens gets to the module with the end of a read, and with no other end.
+// TestKeptTokens checks that the number of cached prompt tokens that a reader reports reaches the module with the end of a
+// read, and with no other outcome.
 func TestKeptTokens(t *testing.T) {
 	for _, c := range []struct {
 		outcome, info string
@@ -133,15 +136,15 @@
 	}
 }
 
-// TestInstancesAreIndependent: two instances in one host act as each does alone.
+// TestInstancesAreIndependent checks that two instances in one host act as each does alone.
 func TestInstancesAreIndependent(t *testing.T) {
-	day := opening(t) + "BATCH momentMs=1004 serial=2\n" + ordering + "END\n"
-	alone, err := serve(day)
+	input := opening(t) + "BATCH momentMs=1004 serial=2\n" + ordering + "END\n"
+	alone, err := serve(input)
 	if err != nil {
 		t.Fatal(err)
 	}
-	other := strings.NewReplacer("routerId=3", "routerId=4").Replace(day)
-	both, err := serve(strings.Replace(other, "serial=2\n", "serial=9\n", 1) + day)
+	other := strings.NewReplacer("routerId=3", "routerId=4").Replace(input)
+	both, err := serve(strings.Replace(other, "serial=2\n", "serial=9\n", 1) + input)
 	if err != nil || !strings.HasSuffix(both, alone) {
 		t.Errorf("err %v: %q does not end with %q", err, both, alone)
 	}
