--- a/cmd/gannethook/platform_test.go
+++ b/cmd/gannethook/platform_test.go
@@ -18,15 +18,15 @@
 	"gannethook/internal/platform/standin"
 )
 
-// platformRouter is the program itself under the platform's environment.
+// platformRouter is a process of this program in the environment of the platform.
 type platformRouter struct {
 	cmd  *exec.Cmd
 	addr string
-	file string
-	log  bytes.Buffer
+	file string       // the configuration
+	log  bytes.Buffer // standard output and standard error
 }
 
-// startOnPlatform starts the program with a configuration that change may spoil.
+// startOnPlatform starts the program with the configuration of a fleet, which change may modify.
 func startOnPlatform(t testing.TB, f *standin.Fleet, change func(map[string]any)) *platformRouter {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -40,7 +40,7 @@
 	}
 	p.cmd = exec.Command(os.Args[0], "platform")
 	p.cmd.Dir = "/"
-	p.cmd.Env = []string{beRouter + "=1", "EDGE_CONFIG=" + p.file, "EDGE_NAME=n0", "EDGE_LISTEN=" + p.addr, "EDGE_DISCOVERY=" + f.Addr()}
+	p.cmd.Env = []string{runProgramEnv + "=1", "EDGE_CONFIG=" + p.file, "EDGE_NAME=n0", "EDGE_LISTEN=" + p.addr, "EDGE_DISCOVERY=" + f.Addr()}
 	p.cmd.Stdout, p.cmd.Stderr = &p.log, &p.log
 	if err := p.cmd.Start(); err != nil {
 		t.Fatal(err)
@@ -52,7 +52,7 @@
 	return p
 }
 
-// post sends a request to a router or a worker.
+// post sends a request to a router or a worker and returns the status and body of the response.
 func post(client *http.Client, addr, id string) (int, string, error) {
 	req, err := http.NewRequest("POST", "http://"+addr+"/v1/chat/completions", strings.NewReader(`{"stream":true}`))
 	if err != nil {
@@ -71,41 +71,41 @@
 	return res.StatusCode, string(text), err
 }
 
-// ask sends a request on a connection of its own.
+// ask sends a request to the router on a new connection.
 func (p *platformRouter) ask(id string) (int, string, error) {
 	return post(&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}, p.addr, id)
 }
 
-// first asks until the router is up.
-func (p *platformRouter) first(t testing.TB, id string) (status int, text string) {
-	for from := time.Now(); time.Since(from) < 10*time.Second; time.Sleep(20 * time.Millisecond) {
+// firstAnswer sends a request repeatedly until the router responds, for at most 10 s.
+func (p *platformRouter) firstAnswer(t testing.TB, id string) (status int, text string) {
+	for started := time.Now(); time.Since(started) < 10*time.Second; time.Sleep(20 * time.Millisecond) {
 		var err error
 		if status, text, err = p.ask(id); err == nil {
 			return status, text
 		}
 	}
-	t.Fatalf("the router does not come up\n%s", p.log.String())
+	t.Fatalf("the router does not respond within 10 s\n%s", p.log.String())
 	return
 }
 
-// listens counts the sockets that the process listens on.
-func (p *platformRouter) listens(t *testing.T) int {
-	own := map[string]bool{}
+// listeningSockets returns the number of TCP sockets that the process listens on.
+func (p *platformRouter) listeningSockets(t *testing.T) int {
+	inodes := map[string]bool{}
 	dir := fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid)
 	fds, err := os.ReadDir(dir)
 	if err != nil {
 		t.Skip("no /proc here")
 	}
 	for _, fd := range fds {
-		if to, err := os.Readlink(filepath.Join(dir, fd.Name())); err == nil && strings.HasPrefix(to, "socket:[") {
-			own[strings.Trim(to, "socket:[]")] = true
+		if target, err := os.Readlink(filepath.Join(dir, fd.Name())); err == nil && strings.HasPrefix(target, "socket:[") {
+			inodes[strings.Trim(target, "socket:[]")] = true
 		}
 	}
 	n := 0
 	for _, table := range []string{"tcp", "tcp6"} {
 		text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/net/%s", p.cmd.Process.Pid, table))
 		for line := range strings.SplitSeq(string(text), "\n") {
-			if f := strings.Fields(line); len(f) > 9 && f[3] == "0A" && own[f[9]] {
+			if f := strings.Fields(line); len(f) > 9 && f[3] == "0A" && inodes[f[9]] {
 				n++
 			}
 		}
@@ -113,19 +113,19 @@
 	return n
 }
 
-// The program serves on the platform, listens on its one address, takes a signal for a new configuration and
-// ends well on the other.
+// Checks that the program serves on the platform and listens on its own address only, that SIGHUP with an invalid
+// configuration does not affect it, and that SIGTERM answers accepted requests and releases what workers hold.
 func TestPlatformProgram(t *testing.T) {
 	f := standin.New()
 	defer f.Close()
 	f.Add(standin.Prompt, nil)
 	f.Add(standin.Answer, nil)
 	p := startOnPlatform(t, f, nil)
-	status, text := p.first(t, "a")
+	status, text := p.firstAnswer(t, "a")
 	if want := standin.Event("a", 0) + standin.Event("a", 1) + standin.Event("a", 2); status != 200 || text != want {
 		t.Fatalf("%d %q\n%s", status, text, p.log.String())
 	}
-	if n := p.listens(t); n != 1 {
+	if n := p.listeningSockets(t); n != 1 {
 		t.Errorf("listens on %d sockets", n)
 	}
 	if err := os.WriteFile(p.file, []byte("{"), 0o600); err != nil {
@@ -147,17 +147,17 @@
 	}
 }
 
-// A stop behind many signals for new configurations, which take a while to be taken up, is obeyed.
-func TestStopBehindManyReloads(t *testing.T) {
+// Guards against a SIGTERM that is lost after many SIGHUPs: reloads of a large file are still pending when it arrives.
+func TestStopAfterManyReloads(t *testing.T) {
 	const reloads = 40
 	f := standin.New()
 	defer f.Close()
 	f.Add(standin.Prompt, nil)
 	f.Add(standin.Answer, nil)
 	p := startOnPlatform(t, f, func(c map[string]any) {
-		c["unused"] = strings.Repeat("x", 16<<20) // a large file takes long to read
+		c["unused"] = strings.Repeat("x", 16<<20) // a large file, which takes long to read
 	})
-	if status, text := p.first(t, "a"); status != 200 {
+	if status, text := p.firstAnswer(t, "a"); status != 200 {
 		t.Fatalf("%d %q\n%s", status, text, p.log.String())
 	}
 	for range reloads {
@@ -173,13 +173,13 @@
 			t.Errorf("ended with %v", err)
 		}
 	case <-time.After(30 * time.Second):
-		t.Error("SIGTERM is not obeyed")
+		t.Error("the router does not stop within 30 s of SIGTERM")
 		p.cmd.Process.Kill()
 		<-ended
 	}
 }
 
-// A configuration that can't be used ends the start with one line that names the field.
+// Checks that an invalid configuration ends the start with exit status 1 and one line that names the field.
 func TestPlatformBadConfiguration(t *testing.T) {
 	f := standin.New()
 	defer f.Close()
@@ -189,45 +189,46 @@
 		t.Errorf("ended with %v", err)
 	}
 	if got := p.log.String(); strings.Count(got, "\n") != 1 || !strings.Contains(got, "limits.sockets: -1 is under 64") {
-		t.Errorf("said %q", got)
+		t.Errorf("output %q", got)
 	}
 }
 
-// BenchmarkPlatform times requests read and written straight at the workers and through the router's process, in
-// turns, and tells the processor time of that process for each.
+// BenchmarkPlatform measures the time of a read and a write sent to the workers directly and of a request through the router
+// process, alternately, and the CPU time of that process per request.
 func BenchmarkPlatform(b *testing.B) {
 	f := standin.New()
 	defer f.Close()
 	reader, writer := f.Add(standin.Prompt, nil), f.Add(standin.Answer, nil)
 	p := startOnPlatform(b, f, nil)
-	p.first(b, "up")
+	p.firstAnswer(b, "up")
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
 	timed := func(addr, id string) time.Duration {
-		from := time.Now()
+		started := time.Now()
 		if _, _, err := post(client, addr, id); err != nil {
 			b.Fatal(err)
 		}
-		return time.Since(from)
+		return time.Since(started)
 	}
-	var straight, through time.Duration
+	var direct, routed time.Duration
 	for i := range b.N {
 		id := fmt.Sprint("s", i)
-		straight += timed(reader.Addr(), id) + timed(writer.Addr(), id)
-		through += timed(p.addr, fmt.Sprint("t", i))
+		direct += timed(reader.Addr(), id) + timed(writer.Addr(), id)
+		routed += timed(p.addr, fmt.Sprint("t", i))
 	}
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	p.cmd.Wait()
 	used := p.cmd.ProcessState.UserTime() + p.cmd.ProcessState.SystemTime()
-	for unit, v := range map[string]time.Duration{"us-straight": straight, "us-through": through, "us-cpu": used} {
+	for unit, v := range map[string]time.Duration{"us-straight": direct, "us-through": routed, "us-cpu": used} {
 		b.ReportMetric(float64(v.Microseconds())/float64(b.N), unit)
 	}
-	b.ReportMetric(float64(through)/float64(straight), "times")
+	b.ReportMetric(float64(routed)/float64(direct), "times")
 }
 
-// BenchmarkLongDay has new clients with new ids, some of whom keep their connection, and workers replaced by new
-// ones, and tells the router's memory and descriptors by quarters.
-func BenchmarkLongDay(b *testing.B) {
+// BenchmarkMemoryOverTime measures the memory and open descriptors of the router after each quarter of the requests, to show
+// leaks. Each request has a new client and id; one client in ten keeps its connection; workers are replaced every 500
+// requests.
+func BenchmarkMemoryOverTime(b *testing.B) {
 	f := standin.New()
 	defer f.Close()
 	var old [2]*standin.Worker
@@ -242,7 +243,7 @@
 	}
 	replace()
 	p := startOnPlatform(b, f, nil)
-	p.first(b, "up")
+	p.firstAnswer(b, "up")
 	served := 0
 	for i := range b.N {
 		if i%500 == 499 {
@@ -255,7 +256,7 @@
 		}
 		if quarter := (i + 1) * 4 / b.N; quarter > i*4/b.N {
 			fds, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
-			b.ReportMetric(float64(resident(p.cmd.Process.Pid))/1024, fmt.Sprintf("MB-q%d", quarter))
+			b.ReportMetric(float64(residentKiB(p.cmd.Process.Pid))/1024, fmt.Sprintf("MB-q%d", quarter))
 			b.ReportMetric(float64(len(fds)), fmt.Sprintf("fds-q%d", quarter))
 		}
 	}
--- a/cmd/gannethook/serve.go
+++ b/cmd/gannethook/serve.go
@@ -19,6 +19,7 @@
 	"gannethook/internal/settings"
 )
 
+// serveCommand runs a router in the foreground.
 func serveCommand() *cobra.Command {
 	var config, level, policy, release string
 	cmd := &cobra.Command{
@@ -26,16 +27,17 @@
 		Short: "Run a router",
 		Long: `Run a router until a signal or an operator stops it.
 
-SIGTERM and SIGINT drain and stop, a second one cuts that short. SIGHUP reads
-the settings again. SIGUSR2 starts a successor that takes the ports over.`,
+SIGTERM and SIGINT drain and stop; a second one ends the drain at once. SIGHUP
+reloads the settings. SIGUSR2 starts a successor that takes over the ports.`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			// From the first moment on: a stop during the start is kept, however many others come.
-			stops, signals := make(chan os.Signal, 2), make(chan os.Signal, 2)
-			signal.Notify(stops, syscall.SIGTERM, os.Interrupt)
-			signal.Notify(signals, syscall.SIGHUP, syscall.SIGUSR2)
-			defer signal.Stop(stops)
-			defer signal.Stop(signals)
+			// Before anything else: a stop during the start is not lost. Stop signals have a channel of their own, which other
+			// signals can't fill.
+			stopSignals, commandSignals := make(chan os.Signal, 2), make(chan os.Signal, 2)
+			signal.Notify(stopSignals, syscall.SIGTERM, os.Interrupt)
+			signal.Notify(commandSignals, syscall.SIGHUP, syscall.SIGUSR2)
+			defer signal.Stop(stopSignals)
+			defer signal.Stop(commandSignals)
 			link, err := handover.Take()
 			if err != nil {
 				return err
@@ -47,7 +49,7 @@
 				}
 				return err
 			}
-			obey(d, stops, signals)
+			handleSignals(d, stopSignals, commandSignals)
 			d.Stop(context.Background())
 			if d.Code() != 0 {
 				return errors.New("the router failed")
@@ -58,25 +60,26 @@
 	cmd.Flags().StringVarP(&config, "config", "c", "", "settings file")
 	cmd.Flags().StringVar(&level, "log", "info", "level of the log: debug, info, warn, error or off")
 	cmd.Flags().StringVar(&policy, "policy", "module", "module, or a baseline for comparisons: random or round-robin")
-	cmd.Flags().StringVar(&release, "release", "", "what this program calls itself; by default its folder's name under (releases ...)")
+	cmd.Flags().StringVar(&release, "release", "", "release name of this program; by default the name of its directory under (releases ...)")
 	cmd.MarkFlagRequired("config")
 	return cmd
 }
 
+// startRouter loads the settings and starts a router. link is the connection to the predecessor, nil if there is none.
 func startRouter(config, level, policy, release string, link *handover.Link) (*daemon.Daemon, error) {
 	cfg, err := settings.Load(config)
 	if err != nil {
 		return nil, err
 	}
-	log, at, err := logger(level)
+	log, atomicLevel, err := newLogger(level)
 	if err != nil {
 		return nil, err
 	}
-	held, err := activation.ListenersWithNames()
+	listeners, err := activation.ListenersWithNames()
 	if err != nil {
 		return nil, fmt.Errorf("socket activation: %w", err)
 	}
-	argv, err := self()
+	argv, err := selfArgv()
 	if err != nil {
 		return nil, err
 	}
@@ -84,12 +87,12 @@
 		release = releaseOf(argv[0], cfg.Control.Releases)
 	}
 	return daemon.StartWith(cfg, daemon.Options{Policy: policy, Config: config, Release: release, Argv: argv, Link: link,
-		Held: held, Level: at}, log)
+		Held: listeners, Level: atomicLevel}, log)
 }
 
-// self is this program's path and arguments. The path is as it was called: a
-// link that a deployment moves leads a restart to the new program.
-func self() ([]string, error) {
+// selfArgv returns the absolute path of this program and its arguments. Symbolic links in the path are not resolved: after
+// a deployment has moved one, a restart runs the new program.
+func selfArgv() ([]string, error) {
 	path, err := exec.LookPath(os.Args[0])
 	if err == nil {
 		path, err = filepath.Abs(path)
@@ -100,7 +103,7 @@
 	return append([]string{path}, os.Args[1:]...), nil
 }
 
-// releaseOf names the release that a program under the releases' folder belongs to.
+// releaseOf returns the release of a program at RELEASES/RELEASE/NAME, or "" if it is not in a subdirectory of releases.
 func releaseOf(path, releases string) string {
 	dir := filepath.Dir(path)
 	if releases == "" || filepath.Dir(dir) != filepath.Clean(releases) {
@@ -109,14 +112,15 @@
 	return filepath.Base(dir)
 }
 
-// obey turns signals into commands until the router's life has ended.
-func obey(d *daemon.Daemon, stops, signals <-chan os.Signal) {
+// handleSignals turns signals into lifecycle commands until the router has ended: stop signals into Stop, SIGUSR2 into
+// Restart, others (SIGHUP) into Reload.
+func handleSignals(d *daemon.Daemon, stopSignals, commandSignals <-chan os.Signal) {
 	for n := 1; ; n++ {
 		c := lifecycle.Command{ID: fmt.Sprintf("signal %d of process %d", n, os.Getpid())}
 		select {
-		case <-stops:
+		case <-stopSignals:
 			c.Op = lifecycle.Stop
-		case s := <-signals:
+		case s := <-commandSignals:
 			c.Op = lifecycle.Reload
 			if s == syscall.SIGUSR2 {
 				c.Op = lifecycle.Restart
@@ -128,24 +132,25 @@
 	}
 }
 
+// checkCommand checks settings files and prints the first error of each.
 func checkCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check FILE...",
 		Short: "Check settings files",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, files []string) error {
-			bad := 0
+			invalid := 0
 			for _, path := range files {
 				f, err := settings.Load(path)
 				if err != nil {
 					fmt.Fprintln(cmd.ErrOrStderr(), err)
-					bad++
+					invalid++
 					continue
 				}
 				fmt.Fprintf(cmd.OutOrStdout(), "%s: router %s, %d classes, %d kinds\n", path, f.Name, len(f.Classes), len(f.Kinds))
 			}
-			if bad > 0 {
-				return fmt.Errorf("%d of %d files are wrong", bad, len(files))
+			if invalid > 0 {
+				return fmt.Errorf("%d of %d files are invalid", invalid, len(files))
 			}
 			return nil
 		},
--- a/internal/certs/files.go
+++ b/internal/certs/files.go
@@ -1,5 +1,5 @@
-// Package certs reads certificates from files that others renew, and makes a
-// fleet's first ones.
+// Package certs reads certificates from files that are renewed from outside while the process runs, and issues the first
+// certificates of a fleet. Identities are SPIFFE IDs.
 package certs
 
 import (
@@ -14,42 +14,42 @@
 	"github.com/spiffe/go-spiffe/v2/svid/x509svid"
 )
 
-// Files are a certificate, its key and the authorities to trust, in PEM files.
-// It is a go-spiffe source: handshakes use what the files hold then. Files that
-// can't be read leave what was read last.
+// Files is a certificate, its key and the authorities to trust, read from PEM files. It is a source of X.509 SVIDs and
+// bundles for go-spiffe: each TLS handshake uses the current content of the files. While the files can't be read, the last
+// content that could be read remains in use.
 type Files struct {
-	domain          spiffeid.TrustDomain
-	cert, key, auth string
+	domain               spiffeid.TrustDomain
+	cert, key, authority string
 
-	mu     sync.Mutex
-	looked time.Time
-	stamp  string
-	svid   *x509svid.SVID
-	bundle *x509bundle.Bundle
-	err    error // of the last look
+	mu          sync.Mutex
+	lastCheck   time.Time
+	fingerprint string
+	svid        *x509svid.SVID
+	bundle      *x509bundle.Bundle
+	err         error // of the last check
 }
 
-// lookEvery bounds how often the files' times are asked for.
-const lookEvery = time.Second
+// checkInterval is the minimum time between two checks of the files' modification times. Each use of Files may check.
+const checkInterval = time.Second
 
-// Open reads the files.
+// Open reads the files. The certificate must be of the trust domain.
 func Open(domain, cert, key, authority string) (*Files, error) {
 	td, err := spiffeid.TrustDomainFromString(domain)
 	if err != nil {
 		return nil, fmt.Errorf("certs: %w", err)
 	}
-	f := &Files{domain: td, cert: cert, key: key, auth: authority}
-	f.look(time.Now())
+	f := &Files{domain: td, cert: cert, key: key, authority: authority}
+	f.reloadIfChanged(time.Now())
 	if f.svid == nil {
 		return nil, f.err
 	}
 	return f, nil
 }
 
-// stampOf tells two states of the files apart.
-func (f *Files) stampOf() (string, error) {
+// currentFingerprint returns the modification times and sizes of the files, which change when the files do.
+func (f *Files) currentFingerprint() (string, error) {
 	s := ""
-	for _, path := range []string{f.cert, f.key, f.auth} {
+	for _, path := range []string{f.cert, f.key, f.authority} {
 		info, err := os.Stat(path)
 		if err != nil {
 			return "", fmt.Errorf("certs: %w", err)
@@ -59,22 +59,23 @@
 	return s, nil
 }
 
-func (f *Files) look(now time.Time) {
-	if now.Sub(f.looked) < lookEvery {
+// reloadIfChanged reads the files if they have changed, at most once per checkInterval. The caller holds the mutex.
+func (f *Files) reloadIfChanged(now time.Time) {
+	if now.Sub(f.lastCheck) < checkInterval {
 		return
 	}
-	f.looked = now
-	stamp, err := f.stampOf()
-	if err != nil || stamp == f.stamp {
+	f.lastCheck = now
+	fingerprint, err := f.currentFingerprint()
+	if err != nil || fingerprint == f.fingerprint {
 		f.err = err
 		return
 	}
 	svid, err := x509svid.Load(f.cert, f.key)
-	if err != nil { // perhaps half renewed: the next look sees both files
+	if err != nil { // certificate and key may be half renewed; the next check sees both
 		f.err = fmt.Errorf("certs: %w", err)
 		return
 	}
-	bundle, err := x509bundle.Load(f.domain, f.auth)
+	bundle, err := x509bundle.Load(f.domain, f.authority)
 	if err == nil && svid.ID.TrustDomain() != f.domain {
 		err = fmt.Errorf("%s: the certificate is of %s, not of %s", f.cert, svid.ID.TrustDomain(), f.domain)
 	}
@@ -82,39 +83,39 @@
 		f.err = fmt.Errorf("certs: %w", err)
 		return
 	}
-	f.stamp, f.svid, f.bundle, f.err = stamp, svid, bundle, nil
+	f.fingerprint, f.svid, f.bundle, f.err = fingerprint, svid, bundle, nil
 }
 
-// GetX509SVID is the certificate as of now.
+// GetX509SVID returns the current certificate with its key.
 func (f *Files) GetX509SVID() (*x509svid.SVID, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.look(time.Now())
+	f.reloadIfChanged(time.Now())
 	return f.svid, nil
 }
 
-// GetX509BundleForTrustDomain is what to trust as of now.
+// GetX509BundleForTrustDomain returns the current authorities of the own trust domain; no other domain is trusted.
 func (f *Files) GetX509BundleForTrustDomain(td spiffeid.TrustDomain) (*x509bundle.Bundle, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.look(time.Now())
+	f.reloadIfChanged(time.Now())
 	if td != f.domain {
-		return nil, fmt.Errorf("certs: %s is not trusted here", td)
+		return nil, fmt.Errorf("certs: trust domain %s is not trusted", td)
 	}
 	return f.bundle, nil
 }
 
-// Left is how long the certificate is still valid; below 0 it has ended.
+// Left returns the remaining validity of the certificate, which is negative once it has expired.
 func (f *Files) Left(now time.Time) time.Duration {
 	svid, _ := f.GetX509SVID()
 	return svid.Certificates[0].NotAfter.Sub(now)
 }
 
-// Check tells why the files as they are can't be used.
+// Check returns why the files can't be used in their current state, or nil: they can't be read, or the certificate has expired.
 func (f *Files) Check(now time.Time) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.look(now)
+	f.reloadIfChanged(now)
 	if f.err != nil {
 		return f.err
 	}
@@ -124,5 +125,5 @@
 	return nil
 }
 
-// Domain is the trust domain.
+// Domain returns the trust domain.
 func (f *Files) Domain() spiffeid.TrustDomain { return f.domain }
--- a/internal/settings/admit.go
+++ b/internal/settings/admit.go
@@ -9,7 +9,7 @@
 	"gannethook/internal/sexp"
 )
 
-// checkTenants tells what of the tenants' terms can't work.
+// checkTenants validates the tenants, their identities and their budgets.
 func (f *File) checkTenants() error {
 	seen, ids := map[string]bool{}, map[string]bool{}
 	for i := range f.Tenants {
@@ -33,7 +33,8 @@
 	return nil
 }
 
-// checkBudget also fills in bursts: a second's requests, ten seconds' tokens.
+// checkBudget validates a budget and fills in the default bursts: the requests of one second (at least 1) and the tokens of
+// ten seconds.
 func (f *File) checkBudget(b *Budget) error {
 	switch {
 	case b.Class != "" && f.ClassNamed(b.Class) < 0:
@@ -54,60 +55,62 @@
 	return nil
 }
 
-func (f *File) checkDoors() error {
+// checkFrontEnd validates admission control, the HTTP APIs, API keys, and TLS for clients.
+func (f *File) checkFrontEnd() error {
 	a, h, t := &f.Admit, &f.HTTP, &f.TLS
 	switch {
-	case a.Waiting < 1 || a.Least < 1 || a.Start < a.Least || a.Most < a.Start || a.Clients < 1:
+	case a.MaxWaiting < 1 || a.MinInFlight < 1 || a.StartInFlight < a.MinInFlight || a.MaxInFlight < a.StartInFlight || a.MaxClients < 1:
 		return sexp.Errorf(a.At, "waiting, clients and in-hand-least are 1 at the least; in-hand-start and in-hand-most no less than that")
 	case a.WaitPart <= 0 || a.WaitPart > 1:
 		return sexp.Errorf(a.At, "wait-part is above 0 and 1 at the most")
-	case h.Body < 1024 || h.Bodies < h.Body || h.Answer < 1024 || h.Part < 1 || h.PartItems < 1 || h.PartsOut < 1 || h.PartTries < 1:
+	case h.Body < 1024 || h.Bodies < h.Body || h.Answer < 1024 || h.PartTokens < 1 || h.PartItems < 1 || h.PartsInFlight < 1 || h.PartAttempts < 1:
 		return sexp.Errorf(f.At, "http: body and answer are 1KiB at the least, bodies no less than body; part, part-items, parts-out and part-tries 1")
 	case f.Keys.File != "" && f.Keys.Every <= 0:
 		return sexp.Errorf(f.At, "(every ...) of the keys is above 0")
 	}
-	set := 0
+	given := 0
 	for _, s := range []string{t.Domain, t.Cert, t.Key, t.Authority} {
 		if s != "" {
-			set++
+			given++
 		}
 	}
-	if set != 0 && set != 4 || t.Clients && set == 0 {
+	if given != 0 && given != 4 || t.Clients && given == 0 {
 		return sexp.Errorf(t.At, "tls needs (domain ...), (cert ...), (key ...) and (authority ...)")
 	}
 	for i := range f.Tenants {
-		if len(f.Tenants[i].Identity) > 0 && set == 0 {
+		if len(f.Tenants[i].Identity) > 0 && given == 0 {
 			return sexp.Errorf(f.Tenants[i].At, "(identity ...) needs (tls ...)")
 		}
 	}
 	return nil
 }
 
-// ClassNamed is the place of a class, or -1.
+// ClassNamed returns the index of the class of a name, or -1.
 func (f *File) ClassNamed(name string) int {
 	return slices.IndexFunc(f.Classes, func(c Class) bool { return c.Name == name })
 }
 
-// ClassOf is the place of the first class of a kind of work, or -1.
+// ClassOf returns the index of the first class of a kind of work, or -1.
 func (f *File) ClassOf(w Work) int {
 	return slices.IndexFunc(f.Classes, func(c Class) bool { return c.Work == w })
 }
 
-// TenantNamed is the place of a tenant, or -1.
+// TenantNamed returns the index of the tenant of a name, or -1.
 func (f *File) TenantNamed(name string) int {
 	return slices.IndexFunc(f.Tenants, func(t Tenant) bool { return t.Name == name })
 }
 
-// TenantOf is the place of the tenant that a SPIFFE id belongs to, or -1.
+// TenantOf returns the index of the tenant that a SPIFFE ID belongs to, or -1.
 func (f *File) TenantOf(id string) int {
 	return slices.IndexFunc(f.Tenants, func(t Tenant) bool { return slices.Contains(t.Identity, id) })
 }
 
-// Limiter is what package limits is told.
+// Limiter returns the settings of package limits. Without (admit (on yes)) its concurrency limit is unbounded, and it neither
+// sheds load nor limits retries.
 func (f *File) Limiter() limits.Settings {
 	a := &f.Admit
-	s := limits.Settings{Routers: f.Routers, MaxWaiting: a.Waiting, WaitPart: a.WaitPart, MinInFlight: a.Least, StartInFlight: a.Start,
-		MaxInFlight: a.Most, Retries: a.Retries, MaxClients: a.Clients, Shed: a.Shed, MinRetryAfter: a.Back, MaxRetryAfter: a.BackMost, Seed: f.Seed}
+	s := limits.Settings{Routers: f.Routers, MaxWaiting: a.MaxWaiting, WaitPart: a.WaitPart, MinInFlight: a.MinInFlight, StartInFlight: a.StartInFlight,
+		MaxInFlight: a.MaxInFlight, Retries: a.Retries, MaxClients: a.MaxClients, Shed: a.Shed, MinRetryAfter: a.MinRetryAfter, MaxRetryAfter: a.MaxRetryAfter, Seed: f.Seed}
 	if !a.On {
 		s.MinInFlight, s.StartInFlight, s.MaxInFlight, s.Shed, s.Retries = math.MaxInt32, math.MaxInt32, math.MaxInt32, false, 0
 	}
@@ -130,9 +133,10 @@
 	return s
 }
 
-// Batch sizes the parts of batches.
+// Batch returns the limits of the parts of batches. A part is not retried within the longest advised retry delay before the
+// deadline.
 func (f *File) Batch() batch.Limits {
 	h := &f.HTTP
-	return batch.Limits{Tokens: float64(h.Part), Items: h.PartItems, Out: h.PartsOut, Tries: h.PartTries,
+	return batch.Limits{Tokens: float64(h.PartTokens), Items: h.PartItems, Out: h.PartsInFlight, Tries: h.PartAttempts,
 		Margin: f.Limits.RetryAfter}
 }
--- a/internal/sexp/decode.go
+++ b/internal/sexp/decode.go
@@ -18,17 +18,16 @@
 // Bytes is a size: "4096", "64KiB", "1MiB".
 type Bytes int
 
-// Decode binds the items of a list after its head, or the forms of a file, to
-// the struct that out points to. A field's tag `gann:"name"` names the form
-// (name value) that sets it; `gann:"#"` takes the next plain value of the list
-// itself; `gann:"name,need"` must be there. Slices of structs take repeated
-// forms, slices of values the rest of one. Unknown forms, repeats and values
-// that do not fit are errors with a place. at is the place of the whole.
+// Decode sets the struct that out points to from the items of a list after its head, or from the forms of a file. A form is
+// a list that starts with a name. The tag `gann:"name"` of a field names the form (name value) that sets it; the tag
+// `gann:"#"` takes the next scalar of the list itself; with ",need" the value is required. A slice of structs takes all
+// forms of its name, a slice of scalars the items of a single form. A field At of type Pos gets the position at, which is
+// that of the list or file. Unknown forms, repeated forms and values of the wrong type are errors with a position.
 func Decode(at Pos, items []*Node, out any) error {
 	return decodeStruct(at, items, reflect.ValueOf(out).Elem())
 }
 
-// ReadFile binds a whole file to the struct that out points to.
+// ReadFile sets the struct that out points to from a file.
 func ReadFile(path string, out any) error {
 	text, err := load(path)
 	if err != nil {
@@ -37,7 +36,7 @@
 	return Read(path, text, out)
 }
 
-// Read binds a text; name stands for its file in errors.
+// Read sets the struct that out points to from a text; name is its file name in errors.
 func Read(name, text string, out any) error {
 	forms, err := Parse(name, text)
 	if err != nil {
@@ -46,110 +45,115 @@
 	return Decode(Pos{File: name, Line: 1, Col: 1}, forms, out)
 }
 
-// Checked returns what was read, once its own check has passed.
-func Checked[F any](f *F, read error, check func() error) (*F, error) {
-	if read != nil {
-		return nil, read
+// Checked returns readErr, if there is one, or f with the error of its validation.
+func Checked[F any](f *F, readErr error, validate func() error) (*F, error) {
+	if readErr != nil {
+		return nil, readErr
 	}
-	return f, check()
+	return f, validate()
 }
 
+// field is a struct field that a form or a scalar sets.
 type field struct {
-	v    reflect.Value
-	need bool
-	seen bool
+	value    reflect.Value
+	required bool
+	seen     bool
 }
 
-func fields(v reflect.Value) (named map[string]*field, plain []*field) {
-	named = map[string]*field{}
+// fields returns the tagged fields of a struct: those set by forms, and those set by scalars in their order.
+func fields(v reflect.Value) (byName map[string]*field, positional []*field) {
+	byName = map[string]*field{}
 	for i := range v.NumField() {
 		tag, ok := v.Type().Field(i).Tag.Lookup("gann")
 		if !ok {
 			continue
 		}
 		name, opt, _ := strings.Cut(tag, ",")
-		f := &field{v: v.Field(i), need: opt == "need"}
+		f := &field{value: v.Field(i), required: opt == "need"}
 		if name == "#" {
-			plain = append(plain, f)
+			positional = append(positional, f)
 		} else {
-			named[name] = f
+			byName[name] = f
 		}
 	}
-	return named, plain
+	return byName, positional
 }
 
+// decodeStruct sets a struct from the items of a list or file at a position.
 func decodeStruct(at Pos, items []*Node, v reflect.Value) error {
-	named, plain := fields(v)
+	byName, positional := fields(v)
 	if p := v.FieldByName("At"); p.IsValid() && p.Type() == reflect.TypeFor[Pos]() {
 		p.Set(reflect.ValueOf(at))
 	}
 	for _, n := range items {
 		if !n.List {
-			if len(plain) == 0 {
+			if len(positional) == 0 {
 				return Errorf(n.Pos, "the value %q has no place here", n.Text)
 			}
-			if err := decodeValue(n, plain[0].v); err != nil {
+			if err := decodeValue(n, positional[0].value); err != nil {
 				return err
 			}
-			plain = plain[1:]
+			positional = positional[1:]
 			continue
 		}
-		if err := decodeForm(n, named); err != nil {
+		if err := decodeForm(n, byName); err != nil {
 			return err
 		}
 	}
-	for _, f := range plain {
-		if f.need {
+	for _, f := range positional {
+		if f.required {
 			return Errorf(at, "a value is missing")
 		}
 	}
-	for name, f := range named {
-		if f.need && !f.seen {
+	for name, f := range byName {
+		if f.required && !f.seen {
 			return Errorf(at, "(%s ...) is missing", name)
 		}
 	}
 	return nil
 }
 
-func decodeForm(n *Node, named map[string]*field) error {
+// decodeForm sets the field that the head of a list names.
+func decodeForm(n *Node, byName map[string]*field) error {
 	head := n.Head()
 	if head == "" {
 		return Errorf(n.Pos, "a form starts with its name")
 	}
-	f := named[head]
+	f := byName[head]
 	if f == nil {
-		return Errorf(n.Items[0].Pos, "%q is not known here%s", head, nearest(head, named))
+		return Errorf(n.Items[0].Pos, "%q is not known here%s", head, suggestion(head, byName))
 	}
 	args := n.Items[1:]
-	if f.v.Kind() == reflect.Slice {
+	if f.value.Kind() == reflect.Slice {
 		return decodeSlice(n, args, f)
 	}
 	if f.seen {
 		return Errorf(n.Pos, "%q is given twice", head)
 	}
 	f.seen = true
-	if isPlain(f.v.Type()) {
+	if isScalar(f.value.Type()) {
 		if len(args) != 1 {
 			return Errorf(n.Pos, "%q takes one value", head)
 		}
-		return decodeValue(args[0], f.v)
+		return decodeValue(args[0], f.value)
 	}
-	if f.v.Kind() == reflect.Pointer {
-		f.v.Set(reflect.New(f.v.Type().Elem()))
-		return decodeStruct(n.Pos, args, f.v.Elem())
+	if f.value.Kind() == reflect.Pointer {
+		f.value.Set(reflect.New(f.value.Type().Elem()))
+		return decodeStruct(n.Pos, args, f.value.Elem())
 	}
-	return decodeStruct(n.Pos, args, f.v)
+	return decodeStruct(n.Pos, args, f.value)
 }
 
+// decodeSlice appends one struct to a slice of structs, or sets a slice of scalars.
 func decodeSlice(n *Node, args []*Node, f *field) error {
-	elem := f.v.Type().Elem()
-	if !isPlain(elem) {
+	elem := f.value.Type().Elem()
+	if !isScalar(elem) {
 		v := reflect.New(elem).Elem()
 		if err := decodeStruct(n.Pos, args, v); err != nil {
 			return err
 		}
 		f.seen = true
-		f.v.Set(reflect.Append(f.v, v))
+		f.value.Set(reflect.Append(f.value, v))
 		return nil
 	}
 	if f.seen {
@@ -161,17 +165,19 @@
 		if err := decodeValue(a, v); err != nil {
 			return err
 		}
-		f.v.Set(reflect.Append(f.v, v))
+		f.value.Set(reflect.Append(f.value, v))
 	}
 	return nil
 }
 
-// isPlain tells whether a value of the type is one word or string.
-func isPlain(t reflect.Type) bool {
+// isScalar reports whether a value of the type is written as one word or string. A slice counts as a scalar here; it is
+// handled before.
+func isScalar(t reflect.Type) bool {
 	return t.Kind() != reflect.Struct && t.Kind() != reflect.Pointer ||
 		reflect.PointerTo(t).Implements(reflect.TypeFor[encoding.TextUnmarshaler]())
 }
 
+// decodeValue sets a scalar from a word or string.
 func decodeValue(n *Node, v reflect.Value) error {
 	if n.List {
 		return Errorf(n.Pos, "a plain value is due here, not a list")
@@ -191,11 +197,11 @@
 		v.SetInt(int64(d))
 		return nil
 	case Tokens:
-		return number(n, v, "tokens; write 500, 500tokens or 20ktokens", unit{"ktokens", 1000}, unit{"tokens", 1})
+		return setNumber(n, v, "tokens; write 500, 500tokens or 20ktokens", unit{"ktokens", 1000}, unit{"tokens", 1})
 	case PerSecond:
-		return number(n, v, "a rate; write 10/s or 600/min", unit{"/s", 1}, unit{"/min", 1. / 60})
+		return setNumber(n, v, "a rate; write 10/s or 600/min", unit{"/s", 1}, unit{"/min", 1. / 60})
 	case Bytes:
-		return number(n, v, "a size; write 4096, 64KiB or 1MiB", unit{"KiB", 1 << 10}, unit{"MiB", 1 << 20})
+		return setNumber(n, v, "a size; write 4096, 64KiB or 1MiB", unit{"KiB", 1 << 10}, unit{"MiB", 1 << 20})
 	}
 	switch v.Kind() {
 	case reflect.String:
@@ -210,32 +216,34 @@
 			return Errorf(n.Pos, "%q is not yes or no", n.Text)
 		}
 	case reflect.Int, reflect.Int64, reflect.Uint64:
-		return number(n, v, "a whole number")
+		return setNumber(n, v, "a whole number")
 	default:
-		return number(n, v, "a number")
+		return setNumber(n, v, "a number")
 	}
 	return nil
 }
 
+// unit is a suffix of a number and the factor that it stands for.
 type unit struct {
-	name  string
-	times float64
+	name   string
+	factor float64
 }
 
-// number sets a number of any kind, with one of the units or none. Numbers below 0 are refused.
-func number(n *Node, v reflect.Value, what string, units ...unit) error {
-	text, times := n.Text, 1.0
+// setNumber sets a number of any kind from a text with one of the units or none. Negative numbers are errors, and so are
+// integers above 2^53, which a float64 doesn't represent exactly. want completes the error "... is not".
+func setNumber(n *Node, v reflect.Value, want string, units ...unit) error {
+	text, factor := n.Text, 1.0
 	for _, u := range units {
-		if cut, ok := strings.CutSuffix(text, u.name); ok {
-			text, times = cut, u.times
+		if digits, ok := strings.CutSuffix(text, u.name); ok {
+			text, factor = digits, u.factor
 			break
 		}
 	}
 	x, err := strconv.ParseFloat(text, 64)
-	x *= times
-	whole := v.Kind() != reflect.Float64
-	if err != nil || !(x >= 0) || math.IsInf(x, 0) || whole && (x != math.Trunc(x) || x > 1<<53) {
-		return Errorf(n.Pos, "%q is not %s", n.Text, what)
+	x *= factor
+	integral := v.Kind() != reflect.Float64
+	if err != nil || !(x >= 0) || math.IsInf(x, 0) || integral && (x != math.Trunc(x) || x > 1<<53) {
+		return Errorf(n.Pos, "%q is not %s", n.Text, want)
 	}
 	switch v.Kind() {
 	case reflect.Float64:
@@ -248,11 +256,12 @@
 	return nil
 }
 
-// nearest suggests the known name that takes the fewest edits, if few do.
-func nearest(name string, named map[string]*field) string {
+// suggestion returns the end of an error message that proposes the known name closest to an unknown one, or "" if none
+// differs from it in at most half of its characters.
+func suggestion(name string, byName map[string]*field) string {
 	best, least := "", len(name)/2+1
-	for known := range named {
-		if d := edits(name, known); d < least || d == least && best != "" && known < best {
+	for known := range byName {
+		if d := levenshtein(name, known); d < least || d == least && best != "" && known < best {
 			best, least = known, d
 		}
 	}
@@ -262,8 +271,8 @@
 	return `; is "` + best + `" meant?`
 }
 
-// edits is the Levenshtein distance.
-func edits(a, b string) int {
+// levenshtein returns the Levenshtein distance of two words, in bytes.
+func levenshtein(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
 		row[j] = j
