--- a/cmd/gannethook/cert.go
+++ b/cmd/gannethook/cert.go
@@ -41,7 +41,7 @@
 	for _, role := range []struct {
 		role  control.Role
 		short string
-	}{{control.AsRouter, "Issue or renew a router's certificate"}, {control.Operator, "Issue or renew an operator's certificate"},
+	}{{control.RouterRole, "Issue or renew a router's certificate"}, {control.Operator, "Issue or renew an operator's certificate"},
 		{control.ReadOnly, "Issue or renew a certificate with read-only access"}, {"client", "Issue or renew a client certificate of a tenant"}} {
 		cmd.AddCommand(issueCommand(&dir, string(role.role), role.short))
 	}
--- a/cmd/gannethook/day.go
+++ b/cmd/gannethook/day.go
@@ -30,7 +30,7 @@
 			"on the sockets; the exit status is not 0 if one was broken.",
 		Args: cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			load := func() (*scenario.Script, error) { return scenario.Parse("bad.gann", scenario.Bad) }
+			load := func() (*scenario.Script, error) { return scenario.Parse("bad.gann", scenario.BadScript) }
 			if len(args) > 0 {
 				load = func() (*scenario.Script, error) { return scenario.Load(args[0]) }
 			}
--- a/cmd/gannethook/demo.go
+++ b/cmd/gannethook/demo.go
@@ -44,8 +44,8 @@
 // demoEngineConfig is the configuration of a stand-in reader, or of a writer if writes is set.
 func demoEngineConfig(writes bool) standin.Config {
 	return standin.Config{Addr: "127.0.0.1:0", Writes: writes, Slots: 8, Queue: 32, Memory: 160000, ReadRate: 15000,
-		FetchRate: 200000, TokenGap: 15 * time.Millisecond, Early: 0.7, ColdFrom: 0.3, WarmAfter: 10 * time.Second,
-		Keep: 5 * time.Second, Extended: true, Seed: 7}
+		FetchRate: 200000, TokenGap: 15 * time.Millisecond, EarlyShare: 0.7, ColdFrom: 0.3, WarmAfter: 10 * time.Second,
+		StateLifetime: 5 * time.Second, Extended: true, Seed: 7}
 }
 
 func demo(ctx context.Context, out io.Writer, log *zap.Logger) error {
@@ -57,7 +57,7 @@
 		}
 		defer e.Kill()
 		kind := [...]string{"prompt", "prompt", "answer", "answer"}[i]
-		roster.Set(standin.Listed{Addr: e.Addr(), Kind: kind, Zone: [...]string{"north", "south"}[i%2], State: "ready"})
+		roster.Set(standin.Listing{Addr: e.Addr(), Kind: kind, Zone: [...]string{"north", "south"}[i%2], State: "ready"})
 		fmt.Fprintf(out, "stand-in %-6s %s\n", kind, e.Addr())
 	}
 	addr, err := roster.Start("127.0.0.1:0")
@@ -91,14 +91,14 @@
 		return err
 	}
 	defer s.Close()
-	defer context.AfterFunc(ctx, s.Cut)()
+	defer context.AfterFunc(ctx, s.Abort)()
 	for i, prompt := range []struct{ class, text string }{
 		{"question", "Why is my share of Friday's pool forty dollars short?"},
 		{"question", "And how were Saturday's hours counted?"},
 		{"adjustment", "Move two hours of Friday's closing shift to the kitchen pool."},
 	} {
 		fmt.Fprintf(out, "%s> %s\n", prompt.class, prompt.text)
-		if err := s.Say(prompt.text); err != nil {
+		if err := s.AddMessage(prompt.text); err != nil {
 			return err
 		}
 		if err := s.Request(map[string]string{"class": prompt.class, "idempotency_key": fmt.Sprintf("demo-%d", i)}, 24); err != nil {
@@ -108,10 +108,10 @@
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(out, "\n  %s: %d tokens, the first after %d ms, all in %d ms\n\n", a.Kind(), a.Tokens,
-			a.First.Milliseconds(), a.Whole.Milliseconds())
-		if a.Kind() != "served" {
-			return fmt.Errorf("prompt %d was %s: %s", i+1, a.Kind(), a.Reason)
+		fmt.Fprintf(out, "\n  %s: %d tokens, the first after %d ms, all in %d ms\n\n", a.Outcome(), a.Tokens,
+			a.TimeToFirstToken.Milliseconds(), a.Duration.Milliseconds())
+		if a.Outcome() != "served" {
+			return fmt.Errorf("prompt %d was %s: %s", i+1, a.Outcome(), a.Reason)
 		}
 	}
 	return nil
@@ -131,7 +131,7 @@
 				return err
 			}
 			defer s.Close()
-			defer context.AfterFunc(cmd.Context(), s.Cut)()
+			defer context.AfterFunc(cmd.Context(), s.Abort)()
 			return chat(cmd.InOrStdin(), cmd.OutOrStdout(), s, class, maxTokens)
 		},
 	}
@@ -151,7 +151,7 @@
 		if lines.Text() == "" {
 			continue
 		}
-		if err := s.Say(lines.Text()); err != nil {
+		if err := s.AddMessage(lines.Text()); err != nil {
 			return err
 		}
 		metadata := map[string]string{"idempotency_key": fmt.Sprintf("chat-%d-%d", os.Getpid(), time.Now().UnixNano())}
@@ -166,7 +166,7 @@
 			return err
 		}
 		fmt.Fprintln(out)
-		switch a.Kind() {
+		switch a.Outcome() {
 		case "refused":
 			return fmt.Errorf("refused: nothing has run; retry after %v (%s)", a.RetryAfter, a.Reason)
 		case "failed":
--- a/cmd/gannethook/fleet.go
+++ b/cmd/gannethook/fleet.go
@@ -87,7 +87,7 @@
 	if len(selectors) == 0 {
 		selectors = []string{"all"}
 	}
-	list, err := t.File.Pick(selectors)
+	list, err := t.File.Select(selectors)
 	return t, list, err
 }
 
@@ -133,8 +133,8 @@
 }
 
 // showStatus prints the statuses of routers as a table or as JSON. Routers that can't be reached determine the exit code.
-func (f *fleetFlags) showStatus(cmd *cobra.Command, t *fleet.Tool, list []fleet.Router, table func(io.Writer, []fleet.Line)) error {
-	lines := t.Look(cmd.Context(), list)
+func (f *fleetFlags) showStatus(cmd *cobra.Command, t *fleet.Tool, list []fleet.Router, table func(io.Writer, []fleet.StatusLine)) error {
+	lines := t.QueryStatus(cmd.Context(), list)
 	if f.json {
 		if err := fleet.WriteJSON(cmd.OutOrStdout(), fleet.StatusJSON(lines)); err != nil {
 			return err
@@ -150,11 +150,11 @@
 		}
 		reports = append(reports, r)
 	}
-	return fleet.Judge(reports)
+	return fleet.ExitStatus(reports)
 }
 
 // statusCommand returns a command that prints statuses with the given table.
-func (f *fleetFlags) statusCommand(name, short string, table func(io.Writer, []fleet.Line)) *cobra.Command {
+func (f *fleetFlags) statusCommand(name, short string, table func(io.Writer, []fleet.StatusLine)) *cobra.Command {
 	return &cobra.Command{Use: name + " [ROUTER...]", Short: short, ValidArgsFunction: f.completeSelectors,
 		RunE: func(cmd *cobra.Command, selectors []string) error {
 			t, list, err := f.selectRouters(cmd, selectors)
@@ -184,7 +184,7 @@
 
 // operationCommand returns a command that sends op to routers, one after another by default.
 func (f *fleetFlags) operationCommand(name, short string, op pb.Command_Op) *cobra.Command {
-	order := fleet.Order{Op: op}
+	order := fleet.Command{Op: op}
 	var parallel int
 	var continueOnFailure bool
 	cmd := &cobra.Command{Use: name + " ROUTER...", Short: short, Args: cobra.MinimumNArgs(1), ValidArgsFunction: f.completeSelectors,
@@ -204,7 +204,7 @@
 			} else {
 				fleet.WriteReports(cmd.OutOrStdout(), reports)
 			}
-			return fleet.Judge(reports)
+			return fleet.ExitStatus(reports)
 		}}
 	cmd.Flags().BoolVarP(&f.yes, "yes", "y", false, "do not ask for confirmation")
 	cmd.Flags().IntVar(&parallel, "at-once", 1, "number of routers at a time")
@@ -233,7 +233,7 @@
 			if err != nil {
 				return err
 			}
-			if err := t.File.Possible(list); err != nil {
+			if err := t.File.CheckFeasible(list); err != nil {
 				return err
 			}
 			if planOnly {
@@ -266,7 +266,7 @@
 		return err
 	}
 	defer j.Close()
-	outcome, err := t.Roll(cmd.Context(), list, release, j, func(at time.Duration, kind, router, text string) {
+	outcome, err := t.RunRollout(cmd.Context(), list, release, j, func(at time.Duration, kind, router, text string) {
 		switch {
 		case f.json:
 			fleet.WriteJSON(cmd.OutOrStdout(), map[string]any{"at_ms": at.Milliseconds(), "kind": kind, "router": router, "text": text})
@@ -300,7 +300,7 @@
 			}
 			var mu sync.Mutex
 			var reports []fleet.Report
-			t.Each(list, len(list), func(i int, l *fleet.Link, err error) {
+			t.Each(list, len(list), func(i int, l *fleet.ControlClient, err error) {
 				if err == nil {
 					err = l.Tail(cmd.Context(), !once, func(router string, at time.Time, e *pb.Event) {
 						mu.Lock()
@@ -320,7 +320,7 @@
 				}
 				reports = append(reports, r)
 			})
-			return fleet.Judge(reports)
+			return fleet.ExitStatus(reports)
 		}}
 	cmd.Flags().BoolVar(&once, "once", false, "print the events recorded so far and exit")
 	return cmd
@@ -358,7 +358,7 @@
 }
 
 // perRouterCommand returns a command that calls do for each selected router in turn.
-func (f *fleetFlags) perRouterCommand(use, short string, do func(ctx context.Context, cmd *cobra.Command, l *fleet.Link) error) *cobra.Command {
+func (f *fleetFlags) perRouterCommand(use, short string, do func(ctx context.Context, cmd *cobra.Command, l *fleet.ControlClient) error) *cobra.Command {
 	return &cobra.Command{Use: use + " ROUTER...", Short: short, Args: cobra.MinimumNArgs(1), ValidArgsFunction: f.completeSelectors,
 		RunE: func(cmd *cobra.Command, selectors []string) error {
 			t, list, err := f.selectRouters(cmd, selectors)
@@ -366,7 +366,7 @@
 				return err
 			}
 			var reports []fleet.Report
-			t.Each(list, 1, func(i int, l *fleet.Link, err error) {
+			t.Each(list, 1, func(i int, l *fleet.ControlClient, err error) {
 				if err == nil {
 					err = do(cmd.Context(), cmd, l)
 				}
@@ -377,19 +377,19 @@
 				}
 				reports = append(reports, r)
 			})
-			return fleet.Judge(reports)
+			return fleet.ExitStatus(reports)
 		}}
 }
 
 func (f *fleetFlags) engines() *cobra.Command {
-	return f.perRouterCommand("engines", "Show the engines as seen by routers", func(ctx context.Context, cmd *cobra.Command, l *fleet.Link) error {
+	return f.perRouterCommand("engines", "Show the engines as seen by routers", func(ctx context.Context, cmd *cobra.Command, l *fleet.ControlClient) error {
 		return l.Engines(ctx, cmd.OutOrStdout())
 	})
 }
 
 func (f *fleetFlags) sessions() *cobra.Command {
 	var limit int
-	cmd := f.perRouterCommand("sessions", "Show open sessions", func(ctx context.Context, cmd *cobra.Command, l *fleet.Link) error {
+	cmd := f.perRouterCommand("sessions", "Show open sessions", func(ctx context.Context, cmd *cobra.Command, l *fleet.ControlClient) error {
 		return l.Sessions(ctx, cmd.OutOrStdout(), limit)
 	})
 	cmd.Flags().IntVar(&limit, "most", 100, "maximum number of sessions shown")
@@ -397,14 +397,14 @@
 }
 
 func (f *fleetFlags) diff() *cobra.Command {
-	return f.perRouterCommand("diff", "Compare the active settings with the settings files", func(ctx context.Context, cmd *cobra.Command, l *fleet.Link) error {
+	return f.perRouterCommand("diff", "Compare the active settings with the settings files", func(ctx context.Context, cmd *cobra.Command, l *fleet.ControlClient) error {
 		return l.Diff(ctx, cmd.OutOrStdout())
 	})
 }
 
 func (f *fleetFlags) logLevel() *cobra.Command {
 	var level string
-	cmd := f.perRouterCommand("log-level", "Show or set the log level", func(ctx context.Context, cmd *cobra.Command, l *fleet.Link) error {
+	cmd := f.perRouterCommand("log-level", "Show or set the log level", func(ctx context.Context, cmd *cobra.Command, l *fleet.ControlClient) error {
 		got, err := l.LogLevel(ctx, level)
 		if err == nil {
 			fmt.Fprintf(cmd.OutOrStdout(), "%s: %s\n", l.Name, got)
@@ -417,7 +417,7 @@
 
 // rehearse returns the command that simulates a rollout with faults and checks its limits.
 func (f *fleetFlags) rehearse() *cobra.Command {
-	r := rollout.Rehearsal{Target: "new"}
+	r := rollout.Simulation{Target: "new"}
 	var seeds, synthetic int
 	cmd := &cobra.Command{Use: "rehearse [ROUTER...]", Short: "Simulate a rollout with simulated routers, in simulated time", ValidArgsFunction: f.completeSelectors,
 		RunE: func(cmd *cobra.Command, selectors []string) error {
@@ -425,32 +425,32 @@
 			if err != nil {
 				return err
 			}
-			r.All, r.Todo, r.Lim = t.File.Members(t.File.Routers), t.File.Members(list), t.File.Limits()
+			r.All, r.Todo, r.Limits = t.File.RolloutRouters(t.File.Routers), t.File.RolloutRouters(list), t.File.Limits()
 			if synthetic > 0 {
-				r.All = rollout.MadeUp(synthetic, 2, t.File.Rollout.Expect, 1)
+				r.All = rollout.GenerateFleet(synthetic, 2, t.File.Rollout.Expect, 1)
 				r.Todo = r.All
-			} else if err := t.File.Possible(list); err != nil {
+			} else if err := t.File.CheckFeasible(list); err != nil {
 				return err
 			}
-			plan := rollout.Plan(r.All, r.Todo, r.Lim, 2000, 1)
+			plan := rollout.Plan(r.All, r.Todo, r.Limits, 2000, 1)
 			r.Order = plan.Order()
-			r.Every = t.File.Rollout.Look
+			r.PollInterval = t.File.Rollout.Look
 			fmt.Fprintf(cmd.OutOrStdout(), "plan %v, no order is shorter than %v (simulated)\n", plan.Length.Round(time.Second), plan.Bound.Round(time.Second))
 			for seed := range seeds {
 				r.Seed = uint64(seed) + 1
-				result := r.Play()
+				result := r.Run()
 				fmt.Fprintf(cmd.OutOrStdout(), "seed %d: %v after %v, %.2f times the bound; %d restarts; at least %.0f%% up, at most %d down in a centre; limits violated %d times\n",
-					r.Seed, result.How, result.Took.Round(time.Second), result.Took.Seconds()/max(plan.Bound.Seconds(), 1), result.Restarts, 100*result.LeastUp, result.MostDown, len(result.Broken))
+					r.Seed, result.Ending, result.Duration.Round(time.Second), result.Duration.Seconds()/max(plan.Bound.Seconds(), 1), result.Restarts, 100*result.MinUpShare, result.MaxDown, len(result.Violations))
 			}
 			return nil
 		}}
 	cmd.Flags().IntVar(&seeds, "seeds", 3, "number of simulations")
 	cmd.Flags().IntVar(&synthetic, "made-up", 0, "number of synthetic routers in two centres that replace those of the fleet file")
 	cmd.Flags().Float64Var(&r.Spread, "spread", 0.2, "fraction by which the duration of restarts varies around the expected one")
-	cmd.Flags().IntVar(&r.Lose, "lose", 0, "number of routers that crash during their restart")
-	cmd.Flags().DurationVar(&r.Back, "back", time.Minute, "time after which crashed routers are back")
-	cmd.Flags().DurationVar(&r.Kill, "kill-tool", 0, "time after which the tool is killed and run again; 0: never")
-	cmd.Flags().BoolVar(&r.Bad, "bad", false, "the new release does not start")
-	cmd.Flags().Float64Var(&r.Worse, "worse", 0, "fraction by which the new release serves fewer requests")
+	cmd.Flags().IntVar(&r.RoutersToCrash, "lose", 0, "number of routers that crash during their restart")
+	cmd.Flags().DurationVar(&r.RecoveryTime, "back", time.Minute, "time after which crashed routers are back")
+	cmd.Flags().DurationVar(&r.CrashToolAt, "kill-tool", 0, "time after which the tool is killed and run again; 0: never")
+	cmd.Flags().BoolVar(&r.BadRelease, "bad", false, "the new release does not start")
+	cmd.Flags().Float64Var(&r.FailureShare, "worse", 0, "fraction by which the new release serves fewer requests")
 	return cmd
 }
--- a/cmd/gannethook/fleet_test.go
+++ b/cmd/gannethook/fleet_test.go
@@ -41,12 +41,12 @@
 	roster := standin.NewRoster("engines", nil)
 	for i, kind := range []string{"prompt", "answer"} {
 		e := standin.NewEngine(standin.Config{Addr: "127.0.0.1:0", Writes: i == 1, Slots: 64, Queue: 64, Memory: 1e6, ReadRate: 1e6,
-			FetchRate: 1e7, TokenGap: 20 * time.Millisecond, Early: 0.7, Keep: 2 * time.Second, Extended: true, Seed: 3}, nil, nil)
+			FetchRate: 1e7, TokenGap: 20 * time.Millisecond, EarlyShare: 0.7, StateLifetime: 2 * time.Second, Extended: true, Seed: 3}, nil, nil)
 		if err := e.Start(false); err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(e.Kill)
-		roster.Set(standin.Listed{Addr: e.Addr(), Kind: kind, Zone: "north", State: "ready"})
+		roster.Set(standin.Listing{Addr: e.Addr(), Kind: kind, Zone: "north", State: "ready"})
 	}
 	api, err := roster.Start("127.0.0.1:0")
 	if err != nil {
@@ -181,14 +181,14 @@
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	if s.Say("hello") != nil || s.Request(map[string]string{"class": "adjustment", "idempotency_key": fmt.Sprint(time.Now().UnixNano())}, tokens) != nil {
+	if s.AddMessage("hello") != nil || s.Request(map[string]string{"class": "adjustment", "idempotency_key": fmt.Sprint(time.Now().UnixNano())}, tokens) != nil {
 		r.t.Fatal("the session accepts no request")
 	}
 	answer := make(chan *client.Answer, 1)
 	go func() {
 		a, _ := s.Wait(nil)
 		answer <- a
-		s.Cut()
+		s.Abort()
 	}()
 	for deadline := time.Now().Add(5 * time.Second); r.status(name)["open"] == float64(0) && time.Now().Before(deadline); {
 	}
--- a/cmd/gannethook/idle.go
+++ b/cmd/gannethook/idle.go
@@ -30,7 +30,7 @@
 				if err != nil {
 					return fmt.Errorf("session %d: %w", i+1, err)
 				}
-				defer s.Cut()
+				defer s.Abort()
 			}
 			out := cmd.OutOrStdout()
 			fmt.Fprintf(out, "%d sessions open after %v\n", count, time.Since(started).Round(time.Millisecond))
--- a/cmd/gannethook/load.go
+++ b/cmd/gannethook/load.go
@@ -23,7 +23,7 @@
 			"script, the embedded overload scenario runs.",
 		Args: cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			load := func() (*scenario.Script, error) { return scenario.Parse("overload.gann", scenario.OverloadDay) }
+			load := func() (*scenario.Script, error) { return scenario.Parse("overload.gann", scenario.OverloadScript) }
 			if len(args) > 0 {
 				load = func() (*scenario.Script, error) { return scenario.Load(args[0]) }
 			}
@@ -54,7 +54,7 @@
 				if err != nil {
 					return err
 				}
-				r.Times = multiple
+				r.LoadFactor = multiple
 				r.Write(cmd.OutOrStdout())
 				fmt.Fprintln(cmd.OutOrStdout())
 				results = append(results, r)
--- a/cmd/gannethook/main_test.go
+++ b/cmd/gannethook/main_test.go
@@ -70,7 +70,7 @@
 	if testing.Short() {
 		t.Skip("takes half a minute")
 	}
-	runShortened(t, func() (*scenario.Script, error) { return scenario.Parse("bad.gann", scenario.Bad) }, 0.25)
+	runShortened(t, func() (*scenario.Script, error) { return scenario.Parse("bad.gann", scenario.BadScript) }, 0.25)
 }
 
 // Runs the scenario with all kinds of fault, shortened.
@@ -122,8 +122,8 @@
 	}
 	var out strings.Builder
 	r.Write(&out)
-	for i := range r.Verdict.Breaks {
-		r.Verdict.Breaks[i].Write(&out)
+	for i := range r.Verdict.Violations {
+		r.Verdict.Violations[i].Write(&out)
 	}
 	if !r.OK() || r.All.Served < r.All.Offered/2 {
 		t.Errorf("%s", out.String())
--- a/cmd/gannethook/platform.go
+++ b/cmd/gannethook/platform.go
@@ -33,7 +33,7 @@
 			if err != nil {
 				return err
 			}
-			platform.Bound(cfg)
+			platform.ApplyLimits(cfg)
 			r, err := platform.New(cfg, os.Getenv, log)
 			if err != nil {
 				return err
--- a/cmd/gannethook/platform_test.go
+++ b/cmd/gannethook/platform_test.go
@@ -142,7 +142,7 @@
 	if err := p.cmd.Wait(); err != nil {
 		t.Errorf("ended with %v\n%s", err, p.log.String())
 	}
-	if left, breaks := f.Left(), f.Breaks(); len(left)+len(breaks) > 0 {
+	if left, breaks := f.Held(), f.Violations(); len(left)+len(breaks) > 0 {
 		t.Errorf("held %v, broken %v", left, breaks)
 	}
 }
--- a/cmd/gannethook/serve.go
+++ b/cmd/gannethook/serve.go
@@ -38,7 +38,7 @@
 			signal.Notify(commandSignals, syscall.SIGHUP, syscall.SIGUSR2)
 			defer signal.Stop(stopSignals)
 			defer signal.Stop(commandSignals)
-			link, err := handover.Take()
+			link, err := handover.Receive()
 			if err != nil {
 				return err
 			}
@@ -51,7 +51,7 @@
 			}
 			handleSignals(d, stopSignals, commandSignals)
 			d.Stop(context.Background())
-			if d.Code() != 0 {
+			if d.ExitCode() != 0 {
 				return errors.New("the router failed")
 			}
 			return nil
@@ -66,7 +66,7 @@
 }
 
 // startRouter loads the settings and starts a router. link is the connection to the predecessor, nil if there is none.
-func startRouter(config, level, policy, release string, link *handover.Link) (*daemon.Daemon, error) {
+func startRouter(config, level, policy, release string, link *handover.Predecessor) (*daemon.Daemon, error) {
 	cfg, err := settings.Load(config)
 	if err != nil {
 		return nil, err
@@ -84,10 +84,10 @@
 		return nil, err
 	}
 	if release == "" {
-		release = releaseOf(argv[0], cfg.Control.Releases)
+		release = releaseOf(argv[0], cfg.Control.ReleaseDir)
 	}
-	return daemon.StartWith(cfg, daemon.Options{Policy: policy, Config: config, Release: release, Argv: argv, Link: link,
-		Held: listeners, Level: atomicLevel}, log)
+	return daemon.StartWith(cfg, daemon.Options{Policy: policy, Config: config, Release: release, Argv: argv, Predecessor: link,
+		SystemdListeners: listeners, Level: atomicLevel}, log)
 }
 
 // selfArgv returns the absolute path of this program and its arguments. Symbolic links in the path are not resolved: after
--- a/cmd/gannethook/soak.go
+++ b/cmd/gannethook/soak.go
@@ -63,7 +63,7 @@
 	flags.BoolVar(&f.allowStarved, "allow-starved", false, "a seed for which the machine was too busy each time fails only by checks that need no clock")
 	flags.StringVar(&f.keepDir, "keep", "", "directory that keeps the logs of failed seeds")
 	flags.StringVar(&f.cfg.Program, "program", "", "other build of the router to run; by default this program")
-	flags.StringVar(&f.cfg.Break, "break", "", "guard that the routers omit, to test the checks; only in a build with the tag faults")
+	flags.StringVar(&f.cfg.DisabledGuard, "break", "", "guard that the routers omit, to test the checks; only in a build with the tag faults")
 	flags.BoolVar(&f.cfg.Strict, "strict", false, "fail also for known failures (KNOWN-RED.txt)")
 	return cmd
 }
@@ -85,7 +85,7 @@
 		}
 	}
 	if !faults.Enabled {
-		if f.cfg.Break != "" {
+		if f.cfg.DisabledGuard != "" {
 			return errors.New("--break: this build injects no faults: build it with -tags faults")
 		}
 		fmt.Fprintln(out, "this build injects no faults of system calls, files and the clock: build it with -tags faults")
@@ -135,13 +135,13 @@
 }
 
 // parseKinds checks the names of --only.
-func parseKinds(names []string) ([]soak.Kind, error) {
-	var list []soak.Kind
+func parseKinds(names []string) ([]soak.FaultKind, error) {
+	var list []soak.FaultKind
 	for _, name := range names {
-		if !slices.Contains(soak.Kinds, soak.Kind(name)) {
+		if !slices.Contains(soak.Kinds, soak.FaultKind(name)) {
 			return nil, fmt.Errorf("--only: %q is not a kind of fault; known are %v", name, soak.Kinds)
 		}
-		list = append(list, soak.Kind(name))
+		list = append(list, soak.FaultKind(name))
 	}
 	return list, nil
 }
@@ -163,7 +163,7 @@
 // is kept if it failed.
 func (f *soakFlags) runSeed(ctx context.Context, dir string, seed uint64) seedResult {
 	cfg := f.cfg
-	cfg.Dir = soak.DirOf(dir, seed)
+	cfg.Dir = soak.SeedDir(dir, seed)
 	r := seedResult{rerunCommand: f.rerunCommand(seed)}
 	for r.runs < maxStarvedRuns && ctx.Err() == nil {
 		r.runs++
@@ -173,7 +173,7 @@
 		}
 	}
 	if r.Starved && f.allowStarved {
-		r.Breaks = slices.DeleteFunc(r.Breaks, func(b soak.Break) bool { return !slices.Contains(soak.Untimed, b.Invariant) })
+		r.Violations = slices.DeleteFunc(r.Violations, func(b soak.Violation) bool { return !slices.Contains(soak.UntimedInvariants, b.Invariant) })
 		r.untimed = true
 	}
 	if r.ok() {
@@ -193,8 +193,8 @@
 	if f.cfg.Strict {
 		c += " --strict"
 	}
-	if f.cfg.Break != "" {
-		c += " --break " + f.cfg.Break
+	if f.cfg.DisabledGuard != "" {
+		c += " --break " + f.cfg.DisabledGuard
 	}
 	return c
 }
@@ -202,8 +202,8 @@
 // writeBreaks writes the plan of a run and the invariants that it violated to breaks.txt.
 func (f *soakFlags) writeBreaks(dir string, r seedResult) {
 	var b strings.Builder
-	fmt.Fprintln(&b, r.Plan.String())
-	for _, br := range r.Breaks {
+	fmt.Fprintln(&b, r.Schedule.String())
+	for _, br := range r.Violations {
 		fmt.Fprintf(&b, "%s: %s\n", br.Invariant, br.Detail)
 	}
 	os.WriteFile(filepath.Join(dir, "breaks.txt"), []byte(b.String()), 0o644)
@@ -211,7 +211,7 @@
 
 // ok reports whether the seed was run, could be judged and violated no invariant.
 func (r *seedResult) ok() bool {
-	return r.err == nil && (r.untimed || !r.Starved) && len(r.Breaks) == 0
+	return r.err == nil && (r.untimed || !r.Starved) && len(r.Violations) == 0
 }
 
 // pairCount counts the seeds in which a pair of fault kinds overlapped, and those of them that failed.
@@ -240,19 +240,19 @@
 	case r.err != nil:
 		verdict = "NOT PLAYED: " + r.err.Error()
 	case r.ok() && r.untimed:
-		verdict = fmt.Sprintf("ok, its times not judged: timers %v late", r.Latest)
+		verdict = fmt.Sprintf("ok, its times not judged: timers %v late", r.MaxTimerDelay)
 	case r.Starved && !r.untimed:
-		verdict = fmt.Sprintf("STARVED: timers %v late", r.Latest)
-	case len(r.Breaks) > 0:
-		verdict = fmt.Sprintf("FAILED %d: %s: %.300s", len(r.Breaks), r.Breaks[0].Invariant, r.Breaks[0].Detail)
+		verdict = fmt.Sprintf("STARVED: timers %v late", r.MaxTimerDelay)
+	case len(r.Violations) > 0:
+		verdict = fmt.Sprintf("FAILED %d: %s: %.300s", len(r.Violations), r.Violations[0].Invariant, r.Violations[0].Detail)
 	}
-	fmt.Fprintf(t.out, "seed %d: %s; %s: %d requests, %d served, %d refused, %d releases, %d connections turned away, %d went on behind a lost close, %d keyed begun late and run again, late %v, tries %d: %s\n", r.Plan.Seed, r.Plan.String(), r.Terms, r.Requests, r.Served,
-		r.Refused, r.Releases, r.Turned, r.WentOn, r.LateRuns, r.Latest.Round(time.Millisecond), r.runs, verdict)
+	fmt.Fprintf(t.out, "seed %d: %s; %s: %d requests, %d served, %d refused, %d releases, %d connections turned away, %d went on behind a lost close, %d keyed begun late and run again, late %v, tries %d: %s\n", r.Schedule.Seed, r.Schedule.String(), r.Settings, r.Requests, r.Served,
+		r.Refused, r.Releases, r.RejectedConns, r.OutlivedCloses, r.LateKeyedRuns, r.MaxTimerDelay.Round(time.Millisecond), r.runs, verdict)
 	if !r.ok() {
 		t.failed++
 		fmt.Fprintln(t.out, "  again:", r.rerunCommand)
 	}
-	for _, pair := range r.Plan.Pairs() {
+	for _, pair := range r.Schedule.Pairs() {
 		n := t.pairs[pair]
 		if n == nil {
 			n = &pairCount{}
@@ -273,7 +273,7 @@
 	var missing []string
 	for i, a := range soak.Kinds {
 		for _, b := range soak.Kinds[i+1:] {
-			pair := soak.PairOf(a, b)
+			pair := soak.PairName(a, b)
 			if n := t.pairs[pair]; n != nil {
 				fmt.Fprintf(t.out, "pair %s: %d seeds, %d failed\n", pair, n.seeds, n.failed)
 			} else {
--- a/cmd/gannethook/standins.go
+++ b/cmd/gannethook/standins.go
@@ -47,12 +47,12 @@
 	f.Float64Var(&c.ReadRate, "read-rate", 15000, "prompt tokens read per second in one slot")
 	f.Float64Var(&c.FetchRate, "fetch-rate", 200000, "transfer rate of a state, in tokens per second")
 	f.DurationVar(&c.TokenGap, "token-gap", 30*time.Millisecond, "time between two tokens of an answer")
-	f.Float64Var(&c.Early, "early", 0.7, "fraction of a state that is transferred during the read if a place is held")
+	f.Float64Var(&c.EarlyShare, "early", 0.7, "fraction of a state that is transferred during the read if a place is held")
 	f.Float64Var(&c.ColdFrom, "cold-from", 0.3, "fraction of its speed at which slow start begins")
 	f.DurationVar(&c.WarmAfter, "warm-after", 10*time.Second, "duration of slow start")
-	f.Float64Var(&c.Overload, "overload", 3, "multiple of its speed at which an engine in slow start crashes")
-	f.DurationVar(&c.Fall, "fall", 3*time.Second, "duration of such an overload that crashes it; 0: never")
-	f.DurationVar(&c.Keep, "keep", 5*time.Second, "time after which a state that is not fetched is dropped")
+	f.Float64Var(&c.OverloadFactor, "overload", 3, "multiple of its speed at which an engine in slow start crashes")
+	f.DurationVar(&c.OverloadWindow, "fall", 3*time.Second, "duration of such an overload that crashes it; 0: never")
+	f.DurationVar(&c.StateLifetime, "keep", 5*time.Second, "time after which a state that is not fetched is dropped")
 	f.BoolVar(&c.Extended, "extension", true, "support the protocol extension for places and releases")
 	f.Uint64Var(&c.Seed, "seed", 1, "seed of the random generator")
 	f.BoolVar(&cold, "cold", false, "begin with slow start")
@@ -70,10 +70,10 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			r := standin.NewRoster(service, nil)
 			for _, a := range readers {
-				r.Set(standin.Listed{Addr: a, Kind: "prompt", State: "ready"})
+				r.Set(standin.Listing{Addr: a, Kind: "prompt", State: "ready"})
 			}
 			for _, a := range writers {
-				r.Set(standin.Listed{Addr: a, Kind: "answer", State: "ready"})
+				r.Set(standin.Listing{Addr: a, Kind: "answer", State: "ready"})
 			}
 			addr, err := r.Start(listen)
 			if err != nil {
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -19,10 +19,10 @@
 // Job is a request with the attributes that the limiter needs.
 type Job struct {
 	driver.Job
-	Client uint64 // whose retries are counted; 0: unknown
-	Retry  bool   // the client marks the request as a retry
-	Paid   bool   // a part of a batch that Charge has charged already
-	Begun  bool   // other parts of the batch have run
+	Client   uint64 // whose retries are counted; 0: unknown
+	Retry    bool   // the client marks the request as a retry
+	Charged  bool   // a part of a batch that Charge has charged already
+	PartsRun bool   // other parts of the batch have run
 }
 
 // Controller submits requests to one driver as the limiter admits them. It is safe for concurrent use.
@@ -72,7 +72,7 @@
 func (c *Controller) limitsRequest(id uint64, job *Job) limits.Request {
 	tokens := job.PromptSize + float64(job.MaxTokens)
 	return limits.Request{ID: id, Tenant: job.Tenant, Class: job.Class, Client: job.Client, Retry: job.Retry,
-		Charged: job.Paid, PartsRun: job.Begun,
+		Charged: job.Charged, PartsRun: job.PartsRun,
 		Prompt: job.PromptSize, Tokens: tokens, TimeLeft: job.Timeout,
 		Price: gannethook.Price(job.PromptSize) + gannethook.Price(float64(job.MaxTokens))}
 }
@@ -165,7 +165,7 @@
 		return false
 	}
 	if clientGone && call != nil {
-		call.Abandon()
+		call.Cancel()
 	}
 	return true
 }
@@ -239,7 +239,7 @@
 		c.mu.Unlock()
 	case t.call != nil:
 		c.mu.Unlock()
-		t.call.Abandon()
+		t.call.Cancel()
 	case t.dispatched: // being submitted to the driver
 		t.clientGone = true
 		c.mu.Unlock()
@@ -291,11 +291,11 @@
 	c.stopped = true
 	c.timer.Stop()
 	c.mu.Unlock()
-	c.Refuse()
+	c.RefuseQueued()
 }
 
-// Refuse refuses all queued requests, for instance when the time for a drain is over.
-func (c *Controller) Refuse() {
+// RefuseQueued refuses all queued requests, for instance when the time for a drain is over.
+func (c *Controller) RefuseQueued() {
 	c.mu.Lock()
 	var queued []*Ticket
 	for id, t := range c.tickets {
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -69,7 +69,7 @@
 }
 
 func testSettings(concurrency, waiting int) limits.Settings {
-	return limits.Settings{Routers: 1, Classes: []limits.Class{{Aim: time.Second, Worth: 1}}, MaxWaiting: waiting, WaitPart: 0.5,
+	return limits.Settings{Routers: 1, Classes: []limits.Class{{Aim: time.Second, Worth: 1}}, MaxQueued: waiting, MaxWaitFraction: 0.5,
 		MinInFlight: concurrency, StartInFlight: concurrency, MaxInFlight: concurrency, MaxClients: 10, MinRetryAfter: 100 * time.Millisecond, MaxRetryAfter: time.Second}
 }
 
@@ -96,7 +96,7 @@
 		synctest.Wait()
 		d.wg.Wait()
 		c.Stop()
-		if v := c.View(); v.Waiting != 0 || v.Hands != 0 || len(c.tickets) != 0 {
+		if v := c.View(); v.Queued != 0 || v.InFlight != 0 || len(c.tickets) != 0 {
 			t.Errorf("at the end %+v, %d tickets", v, len(c.tickets))
 		}
 		if refused+len(d.jobs) != n {
--- a/internal/apikeys/keys.go
+++ b/internal/apikeys/keys.go
@@ -139,8 +139,8 @@
 	return k, true
 }
 
-// Good reports whether the key of an id exists and is valid.
-func (t *Table) Good(now time.Time, id string) bool {
+// Valid reports whether the key of an id exists and is valid.
+func (t *Table) Valid(now time.Time, id string) bool {
 	k := t.keys[id]
 	return k != nil && k.valid(now)
 }
@@ -149,7 +149,7 @@
 func (t *Table) Invalidated(now time.Time, before *Table) []*Key {
 	var invalidated []*Key
 	for id, k := range before.keys {
-		if k.valid(now) && !t.Good(now, id) {
+		if k.valid(now) && !t.Valid(now, id) {
 			invalidated = append(invalidated, k)
 		}
 	}
@@ -172,7 +172,7 @@
 // Open reads a keys file; it fails if the file can't be read or parsed.
 func Open(path string, knownTenant func(tenant string) bool) (*File, error) {
 	f := &File{path: path, knownTenant: knownTenant}
-	_, err := f.Look(time.Now())
+	_, err := f.Reload(time.Now())
 	if f.table.Load() == nil {
 		return nil, err
 	}
@@ -182,9 +182,9 @@
 // Table returns the keys as of the last successful Look.
 func (f *File) Table() *Table { return f.table.Load() }
 
-// Look reads the file again if it has changed, and lists the keys that are no longer valid. It must not be called
+// Reload reads the file again if it has changed, and lists the keys that are no longer valid. It must not be called
 // concurrently.
-func (f *File) Look(now time.Time) (invalidated []*Key, err error) {
+func (f *File) Reload(now time.Time) (invalidated []*Key, err error) {
 	info, err := os.Stat(f.path)
 	if err != nil {
 		return nil, fmt.Errorf("keys: %w", err)
--- a/internal/apikeys/keys_test.go
+++ b/internal/apikeys/keys_test.go
@@ -70,11 +70,11 @@
 		t.Fatal(err)
 	}
 	write(1, oldLine, nextLine)
-	if invalidated, err := f.Look(now); err != nil || len(invalidated) != 0 || f.Table().Len() != 2 {
+	if invalidated, err := f.Reload(now); err != nil || len(invalidated) != 0 || f.Table().Len() != 2 {
 		t.Fatalf("%v, %v", invalidated, err)
 	}
 	write(2, strings.TrimSuffix(oldLine, ")")+" (revoked yes))", nextLine)
-	invalidated, err := f.Look(now)
+	invalidated, err := f.Reload(now)
 	if err != nil || len(invalidated) != 1 || !strings.Contains(oldLine, invalidated[0].ID) {
 		t.Fatalf("%v, %v", invalidated, err)
 	}
@@ -82,13 +82,13 @@
 		t.Error("a revoked key is accepted")
 	}
 	write(3, "(key")
-	if _, err := f.Look(now); err == nil {
+	if _, err := f.Reload(now); err == nil {
 		t.Error("a malformed file is not reported")
 	}
 	if _, ok := f.Table().Find(now, next); !ok {
 		t.Error("a malformed file invalidated a key")
 	}
-	if _, err := f.Look(now); err != nil {
+	if _, err := f.Reload(now); err != nil {
 		t.Errorf("a malformed file is reported twice: %v", err)
 	}
 	if _, err := Open(path, anyTenant); err == nil {
--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -51,7 +51,7 @@
 	Detail         string          // reason, for the log
 	Interrupted    bool            // the connection ended before the answer was complete: the server may not have observed the close
 	ClosedByServer bool            // the server closed the connection: it does not continue the attempt
-	BegunBy        time.Time       // latest time at which the server began the attempt, if it arrived; zero: unknown
+	StartedBy      time.Time       // latest time at which the server began the attempt, if it arrived; zero: unknown
 }
 
 // Held identifies state or a place that a server may hold for a request. With an empty Addr any server may be asked to release it.
--- a/internal/batch/batch.go
+++ b/internal/batch/batch.go
@@ -10,11 +10,11 @@
 
 // Limits bounds the parts of a batch.
 type Limits struct {
-	Tokens float64       // maximum tokens of a part, unless it is a single longer text
-	Items  int           // maximum texts of a part
-	Out    int           // maximum parts in flight
-	Tries  int           // maximum attempts of a part that is refused; the delay doubles with each
-	Margin time.Duration // no part is retried within this time before the deadline
+	MaxTokens   float64       // maximum tokens of a part, unless it is a single longer text
+	MaxTexts    int           // maximum texts of a part
+	MaxInFlight int           // maximum parts in flight
+	MaxAttempts int           // maximum attempts of a part that is refused; the delay doubles with each
+	RetryMargin time.Duration // no part is retried within this time before the deadline
 }
 
 // Part is the texts from index From up to but not including To.
@@ -34,13 +34,13 @@
 	if whole || len(sizes) == 0 {
 		return []Part{{0, len(sizes), total}}
 	}
-	count := max(math.Ceil(total/limits.Tokens), math.Ceil(float64(len(sizes))/float64(limits.Items)), 1)
+	count := max(math.Ceil(total/limits.MaxTokens), math.Ceil(float64(len(sizes))/float64(limits.MaxTexts)), 1)
 	tokens, items := total/count, int(math.Ceil(float64(len(sizes))/count))
 	var list []Part
 	p := Part{}
 	for i, n := range sizes {
 		// Within the bounds, a part ends where its size is nearest to the mean size of a part.
-		cut := p.Tokens+n > limits.Tokens || p.Tokens+n/2 > tokens && p.Tokens > 0 || i-p.From >= min(limits.Items, max(items, 1)*2)
+		cut := p.Tokens+n > limits.MaxTokens || p.Tokens+n/2 > tokens && p.Tokens > 0 || i-p.From >= min(limits.MaxTexts, max(items, 1)*2)
 		if i > p.From && cut {
 			p.To = i
 			list = append(list, p)
@@ -76,24 +76,24 @@
 
 // The actions.
 type (
-	// Ask submits a part.
-	Ask struct {
-		Part  int
-		Again bool // the part was refused before: a retry
-		Begun bool // other parts may have run
+	// Submit submits a part.
+	Submit struct {
+		Part     int
+		Retry    bool // the part was refused before: a retry
+		PartsRun bool // other parts may have run
 	}
-	// Drop cancels a part that is in flight.
-	Drop struct{ Part int }
+	// Cancel cancels a part that is in flight.
+	Cancel struct{ Part int }
 	// Wake requests a call of Machine.Wake at the given time.
 	Wake struct{ At time.Duration }
 	// Final is the one answer of the batch; only Drop actions follow it.
 	Final struct{ End }
 )
 
-func (Ask) isAction()   {}
-func (Drop) isAction()  {}
-func (Wake) isAction()  {}
-func (Final) isAction() {}
+func (Submit) isAction() {}
+func (Cancel) isAction() {}
+func (Wake) isAction()   {}
+func (Final) isAction()  {}
 
 // partState is the state of a part.
 type partState int
@@ -137,11 +137,11 @@
 // waits for them.
 func (m *Machine) submitParts(now time.Duration, actions []Action) []Action {
 	for i := range m.parts {
-		if p := &m.parts[i]; m.inFlight < m.limits.Out && p.state == partBackoff && p.retryAt <= now {
+		if p := &m.parts[i]; m.inFlight < m.limits.MaxInFlight && p.state == partBackoff && p.retryAt <= now {
 			actions = m.submit(i, true, actions)
 		}
 	}
-	for ; m.next < len(m.parts) && m.inFlight < m.limits.Out; m.next++ {
+	for ; m.next < len(m.parts) && m.inFlight < m.limits.MaxInFlight; m.next++ {
 		actions = m.submit(m.next, false, actions)
 	}
 	return actions
@@ -151,7 +151,7 @@
 	m.parts[i].state = partInFlight
 	m.parts[i].attempts++
 	m.inFlight++
-	return append(actions, Ask{i, retry, m.mayHaveRun})
+	return append(actions, Submit{i, retry, m.mayHaveRun})
 }
 
 // Wake submits the retries that are due.
@@ -181,7 +181,7 @@
 		// A batch of which nothing has run is refused at once: its client learns of the overload early and no work is
 		// lost. A batch that has begun retries the part, since a refusal would waste what has run.
 		if retryAt := now + e.RetryAfter<<min(p.attempts-1, 6); (m.mayHaveRun || m.inFlight > 0) &&
-			p.attempts < m.limits.Tries && retryAt < m.deadline-m.limits.Margin {
+			p.attempts < m.limits.MaxAttempts && retryAt < m.deadline-m.limits.RetryMargin {
 			p.state, p.retryAt = partBackoff, retryAt
 			return m.submitParts(now, []Action{Wake{retryAt}})
 		}
@@ -201,8 +201,8 @@
 	return part
 }
 
-// Left cancels the batch because its client disconnected.
-func (m *Machine) Left() []Action {
+// ClientDisconnected cancels the batch because its client disconnected.
+func (m *Machine) ClientDisconnected() []Action {
 	if m.finished {
 		return nil
 	}
@@ -214,7 +214,7 @@
 	actions := []Action{Final{e}}
 	for i := range m.parts {
 		if m.parts[i].state == partInFlight {
-			actions = append(actions, Drop{i})
+			actions = append(actions, Cancel{i})
 		}
 	}
 	return actions
--- a/internal/batch/batch_test.go
+++ b/internal/batch/batch_test.go
@@ -14,7 +14,7 @@
 // Parts cover all texts in order and within the bounds, and their number is at most 2 more than twice the minimum.
 func TestSplit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		limits := Limits{Tokens: rapid.Float64Range(10, 1000).Draw(t, "tokens"), Items: rapid.IntRange(1, 50).Draw(t, "items")}
+		limits := Limits{MaxTokens: rapid.Float64Range(10, 1000).Draw(t, "tokens"), MaxTexts: rapid.IntRange(1, 50).Draw(t, "items")}
 		sizes := rapid.SliceOfN(rapid.Float64Range(0, 300), 1, 200).Draw(t, "sizes")
 		parts, at, total := Split(sizes, limits, false), 0, 0.0
 		for i, p := range parts {
@@ -23,7 +23,7 @@
 				sum += n
 			}
 			total += sum
-			if p.From != at || p.To <= p.From || p.To-p.From > limits.Items || sum > limits.Tokens+1e-9 && p.To-p.From > 1 || sum != p.Tokens {
+			if p.From != at || p.To <= p.From || p.To-p.From > limits.MaxTexts || sum > limits.MaxTokens+1e-9 && p.To-p.From > 1 || sum != p.Tokens {
 				t.Fatalf("part %d of %d: %+v, %g tokens", i, len(parts), p, sum)
 			}
 			at = p.To
@@ -31,11 +31,11 @@
 		if at != len(sizes) {
 			t.Fatalf("%d of %d texts", at, len(sizes))
 		}
-		if least := max(total/limits.Tokens, float64(len(sizes))/float64(limits.Items)); float64(len(parts)) > 2*least+2 {
+		if least := max(total/limits.MaxTokens, float64(len(sizes))/float64(limits.MaxTexts)); float64(len(parts)) > 2*least+2 {
 			t.Fatalf("%d parts, the minimum is %g", len(parts), least)
 		}
 	})
-	if parts := Split([]float64{5, 5, 5}, Limits{Tokens: 6, Items: 1}, true); len(parts) != 1 || parts[0].To != 3 || parts[0].Tokens != 15 {
+	if parts := Split([]float64{5, 5, 5}, Limits{MaxTokens: 6, MaxTexts: 1}, true); len(parts) != 1 || parts[0].To != 3 || parts[0].Tokens != 15 {
 		t.Errorf("%+v; the batch must not be split", parts)
 	}
 }
@@ -43,7 +43,7 @@
 // simulate runs a batch with drawn outcomes of its parts and checks each action and the final answer.
 func simulate(t *rapid.T) {
 	n := rapid.IntRange(1, 12).Draw(t, "parts")
-	limits := Limits{Out: rapid.IntRange(1, 4).Draw(t, "out"), Tries: rapid.IntRange(1, 3).Draw(t, "tries"), Margin: 100 * time.Millisecond}
+	limits := Limits{MaxInFlight: rapid.IntRange(1, 4).Draw(t, "out"), MaxAttempts: rapid.IntRange(1, 3).Draw(t, "tries"), RetryMargin: 100 * time.Millisecond}
 	repeatable := rapid.Bool().Draw(t, "free")
 	deadline := 5 * time.Second
 	m := New(n, limits, deadline, repeatable)
@@ -54,21 +54,21 @@
 	apply := func(actions []Action) {
 		for _, a := range actions {
 			switch a := a.(type) {
-			case Ask:
-				if final != nil || inFlight[a.Part] || served[a.Part] || a.Again != (attempts[a.Part] > 0) {
+			case Submit:
+				if final != nil || inFlight[a.Part] || served[a.Part] || a.Retry != (attempts[a.Part] > 0) {
 					t.Fatalf("%+v after %+v", a, final)
 				}
 				inFlight[a.Part] = true
-				if attempts[a.Part]++; attempts[a.Part] > limits.Tries || len(inFlight) > limits.Out {
+				if attempts[a.Part]++; attempts[a.Part] > limits.MaxAttempts || len(inFlight) > limits.MaxInFlight {
 					t.Fatalf("part %d, attempt %d, %d in flight", a.Part, attempts[a.Part], len(inFlight))
 				}
-			case Drop:
+			case Cancel:
 				if final == nil || !inFlight[a.Part] {
 					t.Fatalf("%+v", a)
 				}
 				delete(inFlight, a.Part)
 			case Wake:
-				if a.At >= deadline-limits.Margin {
+				if a.At >= deadline-limits.RetryMargin {
 					t.Fatalf("a part is retried at %v", a.At)
 				}
 				wakes = append(wakes, a.At)
@@ -129,10 +129,10 @@
 // A refused part is retried after its delay while the other parts continue. A batch of which nothing has run is refused
 // at once. A batch whose client disconnects is answered and its parts in flight are cancelled.
 func TestRefusedPart(t *testing.T) {
-	if acts := started(New(3, Limits{Out: 1, Tries: 2}, time.Minute, true)).Ended(1, 0, End{Kind: Refused}); len(acts) != 1 {
+	if acts := started(New(3, Limits{MaxInFlight: 1, MaxAttempts: 2}, time.Minute, true)).Ended(1, 0, End{Kind: Refused}); len(acts) != 1 {
 		t.Fatalf("the first part was refused and nothing has run: %v", acts)
 	}
-	m := New(4, Limits{Out: 1, Tries: 2}, time.Minute, true)
+	m := New(4, Limits{MaxInFlight: 1, MaxAttempts: 2}, time.Minute, true)
 	m.Start(0)
 	m.Ended(0, 0, End{Kind: Served, MayHaveRun: true})
 	steps := []struct {
@@ -153,9 +153,9 @@
 	if f, ok := steps[4].acts[0].(Final); !ok || f.Kind != Served || !f.MayHaveRun {
 		t.Errorf("%v", steps[4].acts)
 	}
-	disconnected := New(3, Limits{Out: 2, Tries: 1}, time.Minute, true)
+	disconnected := New(3, Limits{MaxInFlight: 2, MaxAttempts: 1}, time.Minute, true)
 	disconnected.Start(0)
-	if acts := disconnected.Left(); len(acts) != 3 {
+	if acts := disconnected.ClientDisconnected(); len(acts) != 3 {
 		t.Errorf("the client disconnected: %v, want a final answer and two cancelled parts", acts)
 	}
 }
--- a/internal/certs/certs_test.go
+++ b/internal/certs/certs_test.go
@@ -35,7 +35,7 @@
 	now := time.Now()
 	remaining := func() time.Duration { // as if checkInterval had passed
 		f.lastCheck = time.Time{}
-		return f.Left(now).Round(time.Minute)
+		return f.Remaining(now).Round(time.Minute)
 	}
 	if got := remaining(); got != time.Minute {
 		t.Errorf("%v remaining, want 1m", got)
--- a/internal/certs/files.go
+++ b/internal/certs/files.go
@@ -105,8 +105,8 @@
 	return f.bundle, nil
 }
 
-// Left returns the remaining validity of the certificate, which is negative once it has expired.
-func (f *Files) Left(now time.Time) time.Duration {
+// Remaining returns the remaining validity of the certificate, which is negative once it has expired.
+func (f *Files) Remaining(now time.Time) time.Duration {
 	svid, _ := f.GetX509SVID()
 	return svid.Certificates[0].NotAfter.Sub(now)
 }
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -38,14 +38,14 @@
 
 // Answer is the result of a response.
 type Answer struct {
-	Status     string // completed, failed or cancelled
-	Code       string // of a failed response: refused or failed
-	Reason     string
-	RetryAfter time.Duration
-	Text       string
-	Tokens     int
-	First      time.Duration // from the call of Wait to the first token; 0: no token
-	Whole      time.Duration
+	Status           string // completed, failed or cancelled
+	Code             string // of a failed response: refused or failed
+	Reason           string
+	RetryAfter       time.Duration
+	Text             string
+	Tokens           int
+	TimeToFirstToken time.Duration // from the call of Wait to the first token; 0: no token
+	Duration         time.Duration
 }
 
 // ErrClosed is returned if the session ended before the final answer.
@@ -68,7 +68,7 @@
 		err = fmt.Errorf("first event from the router is %q, not session.created", ev.Type)
 	}
 	if err != nil {
-		s.Cut()
+		s.Abort()
 		return nil, err
 	}
 	s.Info = *ev.Session
@@ -76,7 +76,7 @@
 }
 
 // Close ends the session with a closing handshake.
-func (s *Session) Close() { s.CloseWith(func(*realtime.Server) {}) }
+func (s *Session) Close() { s.CloseWith(func(*realtime.ServerEvent) {}) }
 
 func (s *Session) readLoop() {
 	for {
@@ -93,8 +93,8 @@
 }
 
 // CloseWith is Close, and passes the events that the router still sends to seen.
-func (s *Session) CloseWith(seen func(*realtime.Server)) {
-	defer s.Cut()
+func (s *Session) CloseWith(seen func(*realtime.ServerEvent)) {
+	defer s.Abort()
 	s.conn.Close(ws.CloseNormal, "")
 	for {
 		ev, err := s.Next()
@@ -105,14 +105,14 @@
 	}
 }
 
-// Cut closes the connection at once, without a closing handshake.
-func (s *Session) Cut() {
+// Abort closes the connection at once, without a closing handshake.
+func (s *Session) Abort() {
 	s.closeOnce.Do(func() { close(s.closed) })
-	s.conn.Cut()
+	s.conn.Abort()
 }
 
 // Next returns the next event from the router.
-func (s *Session) Next() (*realtime.Server, error) {
+func (s *Session) Next() (*realtime.ServerEvent, error) {
 	if s.err != nil {
 		return nil, s.err
 	}
@@ -125,7 +125,7 @@
 	if s.err = r.err; s.err != nil {
 		return nil, s.err
 	}
-	var ev realtime.Server
+	var ev realtime.ServerEvent
 	if err := json.Unmarshal(r.msg, &ev); err != nil {
 		return nil, fmt.Errorf("event from the router: %w", err)
 	}
@@ -140,14 +140,14 @@
 	return s.conn.Send(b)
 }
 
-// Say adds a user message to the conversation.
-func (s *Session) Say(text string) error {
+// AddMessage adds a user message to the conversation.
+func (s *Session) AddMessage(text string) error {
 	return s.send(map[string]any{"type": realtime.ItemCreate, "item": realtime.Item{Type: "message", Role: "user",
 		Content: []realtime.Part{{Type: "input_text", Text: text}}}})
 }
 
-// Delete deletes an item of the conversation.
-func (s *Session) Delete(id string) error {
+// DeleteItem deletes an item of the conversation.
+func (s *Session) DeleteItem(id string) error {
 	return s.send(map[string]any{"type": realtime.ItemDelete, "item_id": id})
 }
 
@@ -160,8 +160,8 @@
 	return s.send(map[string]any{"type": realtime.ResponseCreate, "response": response})
 }
 
-// RequestApart starts a response outside of the default conversation (out-of-band), with its own prompt.
-func (s *Session) RequestApart(text string, metadata map[string]string, maxTokens int) error {
+// RequestOutOfBand starts a response outside of the default conversation (out-of-band), with its own prompt.
+func (s *Session) RequestOutOfBand(text string, metadata map[string]string, maxTokens int) error {
 	return s.send(map[string]any{"type": realtime.ResponseCreate, "response": map[string]any{
 		"conversation": "none", "metadata": metadata, "max_output_tokens": maxTokens,
 		"input": []realtime.Item{{Type: "message", Role: "user", Content: []realtime.Part{{Type: "input_text", Text: text}}}}}})
@@ -183,7 +183,7 @@
 		switch ev.Type {
 		case realtime.TextDelta:
 			if a.Tokens++; a.Tokens == 1 {
-				a.First = time.Since(from)
+				a.TimeToFirstToken = time.Since(from)
 			}
 			a.Text += ev.Delta
 			if token != nil {
@@ -192,7 +192,7 @@
 		case realtime.ErrorType:
 			return a, fmt.Errorf("error event from the router: %s: %s", ev.Error.Code, ev.Error.Message)
 		case realtime.ResponseDone:
-			a.Whole, a.Status = time.Since(from), ev.Response.Status
+			a.Duration, a.Status = time.Since(from), ev.Response.Status
 			if d := ev.Response.Details; d != nil && d.Error != nil {
 				a.Code, a.Reason = d.Error.Code, d.Error.Message
 				if d.Error.RetryAfterMS != nil {
@@ -204,8 +204,8 @@
 	}
 }
 
-// Kind returns the outcome: served, cancelled, refused or failed.
-func (a *Answer) Kind() string {
+// Outcome returns the outcome: served, cancelled, refused or failed.
+func (a *Answer) Outcome() string {
 	switch {
 	case a.Status == "completed":
 		return "served"
--- a/internal/client/http.go
+++ b/internal/client/http.go
@@ -33,12 +33,12 @@
 	return &HTTP{nc: nc, br: bufio.NewReader(nc), host: addr}, nil
 }
 
-// ErrOutOfTurn is returned if the router sent bytes without a request.
-var ErrOutOfTurn = errors.New("the router sent bytes without a request")
+// ErrUnsolicited is returned if the router sent bytes without a request.
+var ErrUnsolicited = errors.New("the router sent bytes without a request")
 
-// Stands returns nil if the connection can be reused, io.EOF if the router closes it, and ErrOutOfTurn if it sent
+// CheckReusable returns nil if the connection can be reused, io.EOF if the router closes it, and ErrUnsolicited if it sent
 // unsolicited bytes.
-func (h *HTTP) Stands() error {
+func (h *HTTP) CheckReusable() error {
 	if h.closing {
 		return io.EOF
 	}
@@ -47,7 +47,7 @@
 	_, err := h.br.Peek(1)
 	switch {
 	case err == nil:
-		return ErrOutOfTurn
+		return ErrUnsolicited
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return nil
 	}
@@ -63,8 +63,8 @@
 	return bw.Flush()
 }
 
-// Head reads the head of the answer, skipping interim (1xx) responses, and returns it with the body.
-func (h *HTTP) Head() (*http1.Response, *http1.Body, error) {
+// ReadHead reads the head of the answer, skipping interim (1xx) responses, and returns it with the body.
+func (h *HTTP) ReadHead() (*http1.Response, *http1.Body, error) {
 	for {
 		res, err := http1.ReadResponse(h.br)
 		if err != nil {
@@ -79,10 +79,10 @@
 	}
 }
 
-// Cut closes the connection at once.
-func (h *HTTP) Cut() { h.nc.Close() }
+// Abort closes the connection at once.
+func (h *HTTP) Abort() { h.nc.Close() }
 
-// Close closes the connection, and returns ErrOutOfTurn if the router still sent bytes on it.
+// Close closes the connection, and returns ErrUnsolicited if the router still sent bytes on it.
 func (h *HTTP) Close() error {
 	defer h.nc.Close()
 	if c, ok := h.nc.(*net.TCPConn); ok {
@@ -90,7 +90,7 @@
 	}
 	h.nc.SetReadDeadline(time.Now().Add(2 * time.Second))
 	if rest, _ := io.ReadAll(io.LimitReader(h.br, 1<<10)); len(rest) > 0 {
-		return fmt.Errorf("%w: %.40q", ErrOutOfTurn, rest)
+		return fmt.Errorf("%w: %.40q", ErrUnsolicited, rest)
 	}
 	return nil
 }
--- a/internal/control/dial.go
+++ b/internal/control/dial.go
@@ -41,7 +41,7 @@
 	case files == nil:
 		return nil, nil, fmt.Errorf("%s: a port needs a certificate, a key and an authority", addr)
 	default:
-		id, err := spiffeid.FromSegments(files.Domain(), string(AsRouter), name)
+		id, err := spiffeid.FromSegments(files.Domain(), string(RouterRole), name)
 		if err != nil {
 			return nil, nil, fmt.Errorf("router %q: %w", name, err)
 		}
--- a/internal/control/roles.go
+++ b/internal/control/roles.go
@@ -21,9 +21,9 @@
 // The roles. A certificate's SPIFFE ID has the role as the first segment of its
 // path: spiffe://fleet.example/operator/night-shift.
 const (
-	ReadOnly Role = "read-only" // may make the calls that change nothing
-	Operator Role = "operator"  // may make all calls
-	AsRouter Role = "router"    // of a router's own certificate; may make no calls
+	ReadOnly   Role = "read-only" // may make the calls that change nothing
+	Operator   Role = "operator"  // may make all calls
+	RouterRole Role = "router"    // of a router's own certificate; may make no calls
 )
 
 // requiredRole returns the least role that may call a method.
@@ -38,7 +38,7 @@
 // RoleOf returns the role in an ID, or "" if it has none.
 func RoleOf(id spiffeid.ID) Role {
 	path := id.Path()
-	for _, r := range []Role{ReadOnly, Operator, AsRouter} {
+	for _, r := range []Role{ReadOnly, Operator, RouterRole} {
 		if prefix := "/" + string(r) + "/"; len(path) > len(prefix) && path[:len(prefix)] == prefix {
 			return r
 		}
--- a/internal/daemon/apis_test.go
+++ b/internal/daemon/apis_test.go
@@ -249,7 +249,7 @@
 	}
 	tb := newTestbed(t, func(cfg *settings.File) {
 		cfg.Tenants = []settings.Tenant{{Name: "a"}}
-		cfg.Keys = settings.Keys{File: path, Every: 5 * time.Millisecond}
+		cfg.Keys = settings.Keys{File: path, PollInterval: 5 * time.Millisecond}
 	}, func(c *standin.Config) { c.TokenGap = 20 * time.Millisecond })
 	chat := func(key string) error {
 		c := tb.openAIClient(option.WithAPIKey(key), option.WithMaxRetries(0))
--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -88,8 +88,8 @@
 func routerToInstantEngines(t testing.TB, tokens int, most int, change ...func(*settings.File)) (d *daemon.Daemon, writer string) {
 	roster := standin.NewRoster("engines", nil)
 	writer = instantEngine(t, true, tokens)
-	roster.Set(standin.Listed{Addr: instantEngine(t, false, 0), Kind: "prompt", Zone: "north", State: "ready"})
-	roster.Set(standin.Listed{Addr: writer, Kind: "answer", Zone: "north", State: "ready"})
+	roster.Set(standin.Listing{Addr: instantEngine(t, false, 0), Kind: "prompt", Zone: "north", State: "ready"})
+	roster.Set(standin.Listing{Addr: writer, Kind: "answer", Zone: "north", State: "ready"})
 	addr, err := roster.Start("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -99,7 +99,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg.Roster.Watch, cfg.Sessions.Most = addr, most
+	cfg.Roster.Watch, cfg.Sessions.MaxSessions = addr, most
 	cfg.Classes[0].MaxTokens = 1 << 20
 	for _, c := range change {
 		c(cfg)
@@ -156,12 +156,12 @@
 		{"proxy-write", func() time.Duration { return firstToken(ln.Addr().String(), "") }, hdrhistogram.New(1, 1e7, 3)},
 		{"proxy-read+write", func() time.Duration { return firstToken(ln.Addr().String(), reader) }, hdrhistogram.New(1, 1e7, 3)},
 		{"router", func() time.Duration {
-			s.RequestApart("hello", map[string]string{"prompt_tokens": "100"}, 4)
+			s.RequestOutOfBand("hello", map[string]string{"prompt_tokens": "100"}, 4)
 			a, err := s.Wait(nil)
-			if err != nil || a.Kind() != "served" {
+			if err != nil || a.Outcome() != "served" {
 				b.Fatalf("%+v, %v", a, err)
 			}
-			return a.First
+			return a.TimeToFirstToken
 		}, hdrhistogram.New(1, 1e7, 3)},
 	}
 	for b.Loop() {
@@ -284,7 +284,7 @@
 // BenchmarkControl measures requests with and without 100 status calls per second
 // on the control plane, in alternating blocks.
 func BenchmarkControl(b *testing.B) {
-	d, _ := routerToInstantEngines(b, 32, 100, func(cfg *settings.File) { cfg.Control.Run = b.TempDir() })
+	d, _ := routerToInstantEngines(b, 32, 100, func(cfg *settings.File) { cfg.Control.RunDir = b.TempDir() })
 	ctl, closeControl, err := control.Dial("unix:"+d.Settings().Control.Socket(), "demo", nil)
 	if err != nil {
 		b.Fatal(err)
@@ -296,12 +296,12 @@
 	}
 	defer s.Close()
 	serveOne := func(h *hdrhistogram.Histogram) {
-		s.RequestApart("hello", map[string]string{"prompt_tokens": "100"}, 32)
+		s.RequestOutOfBand("hello", map[string]string{"prompt_tokens": "100"}, 32)
 		a, err := s.Wait(nil)
-		if err != nil || a.Kind() != "served" {
+		if err != nil || a.Outcome() != "served" {
 			b.Fatalf("%+v, %v", a, err)
 		}
-		h.RecordValue(max(a.Whole.Microseconds(), 1))
+		h.RecordValue(max(a.Duration.Microseconds(), 1))
 	}
 	quiet, withStatus, calls := hdrhistogram.New(1, 1e7, 3), hdrhistogram.New(1, 1e7, 3), 0
 	measure := func(h *hdrhistogram.Histogram) {
--- a/internal/daemon/clientauth.go
+++ b/internal/daemon/clientauth.go
@@ -19,7 +19,7 @@
 // openClientAuth reads the API keys and the certificates of the port for clients.
 func (d *Daemon) openClientAuth(cfg *settings.File) (err error) {
 	if cfg.Keys.File != "" {
-		known := func(tenant string) bool { return d.Settings().TenantNamed(tenant) >= 0 }
+		known := func(tenant string) bool { return d.Settings().TenantIndex(tenant) >= 0 }
 		if d.keys, err = apikeys.Open(cfg.Keys.File, known); err != nil {
 			return err
 		}
@@ -33,16 +33,16 @@
 // enableClientAuth makes the front check API keys and certificates, and starts to watch the key file for changes.
 func (d *Daemon) enableClientAuth() {
 	if d.clientCerts != nil {
-		d.front.Secure(clientTLS(d.clientCerts, d.cfg.TLS.Clients))
+		d.front.SetTLS(clientTLS(d.clientCerts, d.cfg.TLS.RequireClientCert))
 	}
 	if d.keys == nil {
 		return
 	}
-	d.front.Keys(d.keys.Table(), nil)
+	d.front.SetAPIKeys(d.keys.Table(), nil)
 	ctx, cancel := context.WithCancel(context.Background())
 	d.stopKeys = cancel
 	d.background.Go(func() {
-		tick := time.NewTicker(d.cfg.Keys.Every)
+		tick := time.NewTicker(d.cfg.Keys.PollInterval)
 		defer tick.Stop()
 		for {
 			select {
@@ -66,12 +66,12 @@
 // reloadKeys applies the key file if it has changed.
 func (d *Daemon) reloadKeys(now time.Time) {
 	before := d.keys.Table()
-	revoked, err := d.keys.Look(now)
+	revoked, err := d.keys.Reload(now)
 	switch {
 	case err != nil:
 		d.reportFault("keys")(err)
 	case d.keys.Table() != before:
-		d.front.Keys(d.keys.Table(), revoked)
+		d.front.SetAPIKeys(d.keys.Table(), revoked)
 		d.log.Info("keys", zap.Int("keys", d.keys.Table().Len()), zap.Int("gone", len(revoked)))
 		d.events.Add("keys", fmt.Sprintf("%d keys, %d gone", d.keys.Table().Len(), len(revoked)))
 	}
--- a/internal/daemon/controlapi.go
+++ b/internal/daemon/controlapi.go
@@ -27,14 +27,14 @@
 func (a *controlAPI) Status() *pb.Status {
 	now := time.Now()
 	a.mu.Lock()
-	s := &pb.Status{Name: a.cfg.Name, Boot: a.front.Boot(), Pid: int64(os.Getpid()), Release: a.opt.Release, State: a.state.String(),
+	s := &pb.Status{Name: a.cfg.Name, Boot: a.front.Incarnation(), Pid: int64(os.Getpid()), Release: a.opt.Release, State: a.state.String(),
 		UpMs: now.Sub(a.lifecycle.started).Milliseconds(), InStateMs: now.Sub(a.stateSince).Milliseconds(), WallUnixMs: now.UnixMilli(),
 		Listen: a.listener.Addr().String(), NeedsRestart: a.needRestart}
 	if p := a.predecessor; p != nil {
 		s.Predecessor = &pb.Predecessor{Pid: int64(p.pid), Boot: p.boot, Open: int32(p.open), SinceMs: now.Sub(p.since).Milliseconds()}
 	}
 	a.mu.Unlock()
-	s.Sessions, s.Open, s.Counts = int32(a.front.Sessions()), int32(a.driver.Open()), a.counts.list()
+	s.Sessions, s.Open, s.Counts = int32(a.front.SessionCount()), int32(a.driver.Open()), a.counts.list()
 	select {
 	case <-a.listed:
 		s.Listed = true
@@ -44,7 +44,7 @@
 		s.DeadlineMs = max(at-a.lifecycle.now(), time.Millisecond).Milliseconds()
 	}
 	if a.controlCerts != nil {
-		s.CertLeftMs = a.controlCerts.Left(now).Milliseconds()
+		s.CertLeftMs = a.controlCerts.Remaining(now).Milliseconds()
 	}
 	s.LogLevel, _ = a.LogLevel("")
 	s.Limits = limitsMessage(a.admission.View())
@@ -53,19 +53,19 @@
 
 // limitsMessage returns the state of admission as a message, with the reasons in order.
 func limitsMessage(v limits.View) *pb.Limits {
-	out := &pb.Limits{Waiting: int32(v.Waiting), InHand: v.InHand, Room: v.Room, Level: v.Level, Routers: int32(v.Routers), Passed: v.Passed}
-	for _, reason := range slices.Sorted(maps.Keys(v.Turned)) {
-		out.Turned = append(out.Turned, &pb.Turned{Reason: reason.String(), Count: v.Turned[reason]})
+	out := &pb.Limits{Waiting: int32(v.Queued), InHand: v.InFlightSize, Room: v.ConcurrencyLimit, Level: v.BrownoutLevel, Routers: int32(v.Routers), Passed: v.Admitted}
+	for _, reason := range slices.Sorted(maps.Keys(v.Refused)) {
+		out.Turned = append(out.Turned, &pb.Turned{Reason: reason.String(), Count: v.Refused[reason]})
 	}
 	return out
 }
 
 // Sessions returns up to limit open sessions and the number of all.
 func (a *controlAPI) Sessions(limit int) *pb.Sessions {
-	list := &pb.Sessions{All: int32(a.front.Sessions())}
-	for _, s := range a.front.Sights(limit) {
+	list := &pb.Sessions{All: int32(a.front.SessionCount())}
+	for _, s := range a.front.SessionInfos(limit) {
 		list.Sessions = append(list.Sessions, &pb.Session{Id: s.ID, AgeMs: time.Since(s.Since).Milliseconds(),
-			Open: int32(s.Open), Asked: int32(s.Made), Going: s.Going})
+			Open: int32(s.OpenResponses), Asked: int32(s.Responses), Going: s.Draining})
 	}
 	return list
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -36,13 +36,13 @@
 
 // Options are the parameters of a router besides its settings.
 type Options struct {
-	Policy  string                    // baseline policy that replaces the module in comparisons; "" is the module
-	Config  string                    // path of the settings file, for reloads; "" if there is none
-	Release string                    // release name of this program
-	Argv    []string                  // command line of a successor, the program first; nil disables restarts
-	Link    *handover.Link            // connection to the predecessor; nil if there is none
-	Held    map[string][]net.Listener // listeners from systemd socket activation, by name: "listen", "control"
-	Level   *zap.AtomicLevel          // of the log; nil if it can't be changed
+	Policy           string                    // baseline policy that replaces the module in comparisons; "" is the module
+	Config           string                    // path of the settings file, for reloads; "" if there is none
+	Release          string                    // release name of this program
+	Argv             []string                  // command line of a successor, the program first; nil disables restarts
+	Predecessor      *handover.Predecessor     // connection to the predecessor; nil if there is none
+	SystemdListeners map[string][]net.Listener // listeners from systemd socket activation, by name: "listen", "control"
+	Level            *zap.AtomicLevel          // of the log; nil if it can't be changed
 }
 
 // Daemon is a running router.
@@ -99,14 +99,14 @@
 // first membership wait in the module. A successor first waits for the membership,
 // because its predecessor serves meanwhile.
 func StartWith(cfg *settings.File, opt Options, log *zap.Logger) (*Daemon, error) {
-	d := &Daemon{cfg: cfg, opt: opt, log: log, listed: make(chan struct{}), events: control.NewEventLog(cfg.Control.Events),
+	d := &Daemon{cfg: cfg, opt: opt, log: log, listed: make(chan struct{}), events: control.NewEventLog(cfg.Control.MaxEvents),
 		counts: newCounts(cfg), stateSince: time.Now(), state: lifecycle.Starting}
 	if err := d.build(cfg); err != nil {
 		d.closeAll()
 		return nil, fmt.Errorf("start: %w", err)
 	}
-	d.lifecycle = newLifecycleRunner(lifecycle.Limits{Start: cfg.Control.Start, Drain: cfg.Sessions.Drain, CloseGrace: closeGrace,
-		MaxResults: cfg.Control.Results}, (*daemonEffects)(d))
+	d.lifecycle = newLifecycleRunner(lifecycle.Limits{Start: cfg.Control.StartTimeout, Drain: cfg.Sessions.DrainTimeout, CloseGrace: closeGrace,
+		MaxResults: cfg.Control.MaxResults}, (*daemonEffects)(d))
 	ctx, cancel := context.WithCancel(context.Background())
 	d.stopBackground = cancel
 	d.background.Go(func() { d.driver.Run(ctx) })
@@ -127,7 +127,7 @@
 
 // build creates the parts and opens the ports.
 func (d *Daemon) build(cfg *settings.File) (err error) {
-	link := d.opt.Link
+	link := d.opt.Predecessor
 	if d.files, err = openRunFiles(&cfg.Control, link); err != nil {
 		return err
 	}
@@ -142,8 +142,8 @@
 	}
 	d.client = engine.NewClient(cfg.EngineLimits())
 	d.driver, err = driver.New(driver.Config{Settings: cfg.Module(), Decider: decider, Name: cfg.Name, Seed: cfg.Seed,
-		Inbox: cfg.Limits.Inbox, MaxOpen: cfg.Limits.Open, Engines: d.client, OnSummary: d.onSummary,
-		Guard: guard.NewMonitor(d.onDenial), OnPendingRelease: d.onPendingRelease, OnAbandoned: d.onAbandoned, OnSilence: d.onSilence})
+		InboxSize: cfg.Limits.InboxSize, MaxOpen: cfg.Limits.MaxOpen, Engines: d.client, OnSummary: d.onSummary,
+		Guard: guard.NewMonitor(d.onDenial), OnPendingRelease: d.onPendingRelease, OnAbandoned: d.onAbandoned, OnUnanswered: d.onSilence})
 	if err != nil {
 		return err
 	}
@@ -151,10 +151,10 @@
 	if err := d.openClientAuth(cfg); err != nil {
 		return err
 	}
-	if d.listener, err = openPort(link, d.opt.Held, "tcp", listenName, cfg.Listen); err != nil {
+	if d.listener, err = openPort(link, d.opt.SystemdListeners, "tcp", listenName, cfg.Listen); err != nil {
 		return err
 	}
-	if cfg.Control.Run != "" {
+	if cfg.Control.RunDir != "" {
 		ln, err := openPort(link, nil, "unix", socketName, cfg.Control.Socket())
 		if err != nil {
 			return err
@@ -162,7 +162,7 @@
 		d.controlListeners = append(d.controlListeners, ln)
 	}
 	if d.controlCerts != nil {
-		ln, err := openPort(link, d.opt.Held, "tcp", controlName, cfg.Control.Listen)
+		ln, err := openPort(link, d.opt.SystemdListeners, "tcp", controlName, cfg.Control.Listen)
 		if err != nil {
 			return err
 		}
@@ -173,7 +173,7 @@
 
 // inheritState takes over the predecessor's state and waits for the first membership.
 func (d *Daemon) inheritState() error {
-	link := d.opt.Link
+	link := d.opt.Predecessor
 	if link == nil {
 		return nil
 	}
@@ -181,7 +181,7 @@
 	select {
 	case <-d.listed:
 		return nil
-	case <-time.After(d.cfg.Control.Start):
+	case <-time.After(d.cfg.Control.StartTimeout):
 		return errors.New("the roster was not heard in time")
 	}
 }
@@ -190,7 +190,7 @@
 func (d *Daemon) serve() {
 	d.front = front.NewServer(d.cfg, d.admission, d.onSummary)
 	d.enableClientAuth()
-	d.front.OnLeave(d.lifecycle.notifyOpenChanged)
+	d.front.OnConnectionEnd(d.lifecycle.notifyOpenChanged)
 	if len(d.controlListeners) > 0 {
 		d.controlServer = control.NewServer((*controlAPI)(d), d.controlCerts)
 	}
@@ -213,17 +213,17 @@
 	if err := d.files.writePID(); err != nil {
 		d.log.Warn("run folder: writing the pid file failed", zap.Error(err))
 	}
-	if link := d.opt.Link; link != nil {
+	if link := d.opt.Predecessor; link != nil {
 		d.predecessor = &predecessorInfo{pid: link.Pid, boot: link.Boot, since: time.Now()}
-		link.Ready(d.front.Boot())
+		link.Ready(d.front.Incarnation())
 		d.background.Go(func() { d.watchPredecessor(link) })
 	}
 	sd.SdNotify(false, fmt.Sprintf("READY=1\nMAINPID=%d\nSTATUS=%v", os.Getpid(), d.State()))
-	d.log.Info("ready", zap.String("router", d.cfg.Name), zap.String("listen", d.Addr()), zap.String("boot", d.front.Boot()))
+	d.log.Info("ready", zap.String("router", d.cfg.Name), zap.String("listen", d.Addr()), zap.String("boot", d.front.Incarnation()))
 }
 
 // watchPredecessor follows the predecessor's number of open requests until it has ended.
-func (d *Daemon) watchPredecessor(link *handover.Link) {
+func (d *Daemon) watchPredecessor(link *handover.Predecessor) {
 	link.Follow(func(n int) {
 		d.mu.Lock()
 		d.predecessor.open = n
@@ -250,25 +250,25 @@
 		names.Kinds = append(names.Kinds, k.Name)
 	}
 	roster := d.cfg.Roster
-	if roster.Routers != "" {
-		watch := &endpoints.Watch{Addr: roster.Watch, Namespace: roster.Namespace, Service: roster.Routers, Agent: d.cfg.Name,
-			Silence: roster.Silence, Seed: d.cfg.Seed + 1, Names: endpoints.Names{Any: true}, Report: d.reportFault("routers"), Keep: d.onRouters,
+	if roster.RouterService != "" {
+		watch := &endpoints.Watch{Addr: roster.Watch, Namespace: roster.Namespace, Service: roster.RouterService, RouterName: d.cfg.Name,
+			IdleTimeout: roster.SilenceLimit, Seed: d.cfg.Seed + 1, Names: endpoints.Names{AnyKind: true}, Report: d.reportFault("routers"), SaveList: d.onRouters,
 			Publish: func(gannethook.Membership) {}}
 		d.background.Go(func() { watch.Run(ctx) })
 	}
 	if roster.File != "" {
-		file := &endpoints.File{Path: roster.File, Every: roster.Every, Names: names, Publish: d.onMembership, Report: d.reportFault("roster")}
+		file := &endpoints.File{Path: roster.File, PollInterval: roster.PollInterval, Names: names, Publish: d.onMembership, Report: d.reportFault("roster")}
 		d.background.Go(func() { file.Run(ctx) })
 		return
 	}
-	watch := &endpoints.Watch{Addr: roster.Watch, Namespace: roster.Namespace, Service: roster.Service, Agent: d.cfg.Name,
-		Silence: roster.Silence, Seed: d.cfg.Seed, Names: names, Publish: d.onMembership, Report: d.reportFault("roster")}
+	watch := &endpoints.Watch{Addr: roster.Watch, Namespace: roster.Namespace, Service: roster.Service, RouterName: d.cfg.Name,
+		IdleTimeout: roster.SilenceLimit, Seed: d.cfg.Seed, Names: names, Publish: d.onMembership, Report: d.reportFault("roster")}
 	if roster.Cache != "" {
 		var err error
-		if watch.Start, err = endpoints.LoadCache(roster.Cache, names); err != nil {
+		if watch.Cached, err = endpoints.LoadCache(roster.Cache, names); err != nil {
 			d.log.Warn("the cached list of engines can't be used", zap.Error(err))
 		}
-		watch.Keep = func(list []gannethook.Server) {
+		watch.SaveList = func(list []gannethook.Server) {
 			if err := endpoints.SaveCache(roster.Cache, list); err != nil {
 				d.log.Warn("the list of engines can't be cached", zap.Error(err))
 			}
@@ -337,7 +337,7 @@
 // Command executes a command and waits for its result or the end of the context.
 func (d *Daemon) Command(ctx context.Context, c lifecycle.Command) (lifecycle.Result, error) {
 	if c.Limit <= 0 { // the settings in force; the machine has those of the start
-		c.Limit = d.Settings().Sessions.Drain
+		c.Limit = d.Settings().Sessions.DrainTimeout
 	}
 	d.events.Add("command", fmt.Sprintf("%v, id %s", c.Op, c.ID))
 	r, err := d.lifecycle.command(ctx, c, false)
@@ -359,7 +359,7 @@
 
 func (d *Daemon) stop(ctx context.Context) {
 	started := time.Now()
-	limit := d.Settings().Sessions.Drain
+	limit := d.Settings().Sessions.DrainTimeout
 	go d.lifecycle.command(context.Background(), lifecycle.Command{ID: "stop", Op: lifecycle.Stop, Limit: limit}, false)
 	select {
 	case <-d.lifecycle.ended:
@@ -368,7 +368,7 @@
 		<-d.lifecycle.ended
 	}
 	d.closeListeners()
-	d.front.End()
+	d.front.Shutdown()
 	d.admission.Stop()
 	if d.controlServer != nil {
 		d.controlServer.Stop()
@@ -377,8 +377,8 @@
 	if d.stopKeys != nil {
 		d.stopKeys()
 	}
-	if d.opt.Link != nil {
-		d.opt.Link.Close()
+	if d.opt.Predecessor != nil {
+		d.opt.Predecessor.Close()
 	}
 	d.background.Wait()
 	d.lifecycle.stop()
@@ -386,8 +386,8 @@
 	d.log.Info("stopped", zap.String("router", d.cfg.Name), zap.Duration("took", time.Since(started)))
 }
 
-// Code returns the exit code of the process once Ended is closed.
-func (d *Daemon) Code() int { return d.lifecycle.exitCode }
+// ExitCode returns the exit code of the process once Ended is closed.
+func (d *Daemon) ExitCode() int { return d.lifecycle.exitCode }
 
 // onRouters takes a list of routers. Admission and the module divide the quotas by
 // the number of ready ones.
@@ -403,7 +403,7 @@
 	cfg := d.cfg
 	d.mu.Unlock()
 	d.admission.SetRouters(ready)
-	d.driver.Swap(d.moduleSettings(cfg), cfg.Limits.Open)
+	d.driver.ReplaceSettings(d.moduleSettings(cfg), cfg.Limits.MaxOpen)
 	d.events.Add("routers", fmt.Sprint(ready))
 }
 
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -48,7 +48,7 @@
 	}
 	for i := range 3 {
 		c := standin.Config{Addr: "127.0.0.1:0", Writes: i > 0, Slots: 64, Queue: 64, Memory: 1e6,
-			ReadRate: 1e6, FetchRate: 1e7, TokenGap: 2 * time.Millisecond, Early: 0.7, Keep: 2 * time.Second,
+			ReadRate: 1e6, FetchRate: 1e7, TokenGap: 2 * time.Millisecond, EarlyShare: 0.7, StateLifetime: 2 * time.Second,
 			Extended: true, Seed: 3}
 		for _, change := range engines {
 			change(&c)
@@ -63,7 +63,7 @@
 		} else {
 			tb.reader = e
 		}
-		tb.roster.Set(standin.Listed{Addr: e.Addr(), Kind: kind, Zone: "north", State: "ready"})
+		tb.roster.Set(standin.Listing{Addr: e.Addr(), Kind: kind, Zone: "north", State: "ready"})
 	}
 	addr, err := tb.roster.Start("127.0.0.1:0")
 	must(err)
@@ -71,7 +71,7 @@
 	cfg, err := settings.Parse("default.gann", settings.Default)
 	must(err)
 	cfg.Roster.Watch = addr
-	cfg.Sessions.Drain = 3 * time.Second
+	cfg.Sessions.DrainTimeout = 3 * time.Second
 	if change != nil {
 		change(cfg)
 	}
@@ -95,7 +95,7 @@
 	if err != nil {
 		tb.t.Fatal(err)
 	}
-	tb.t.Cleanup(s.Cut)
+	tb.t.Cleanup(s.Abort)
 	return s
 }
 
@@ -103,7 +103,7 @@
 func (tb *testbed) startResponse(m map[string]string, max int) *client.Session {
 	tb.t.Helper()
 	s := tb.openSession()
-	if s.Say("hello") != nil || s.Request(m, max) != nil {
+	if s.AddMessage("hello") != nil || s.Request(m, max) != nil {
 		tb.t.Fatal("the session accepts no request")
 	}
 	return s
@@ -121,7 +121,7 @@
 // request adds a user message, requests a response and waits for it.
 func request(t testing.TB, s *client.Session, m map[string]string, max int) *client.Answer {
 	t.Helper()
-	if err := s.Say("hello there"); err != nil {
+	if err := s.AddMessage("hello there"); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.Request(m, max); err != nil {
@@ -166,7 +166,7 @@
 	for i := range 3 {
 		key := fmt.Sprint("k", i)
 		a := request(t, s, meta("adjustment", key), 20)
-		if a.Kind() != "served" || a.Tokens == 0 || !strings.HasPrefix(a.Text, " t0 t1") || tb.applied(key) != 1 {
+		if a.Outcome() != "served" || a.Tokens == 0 || !strings.HasPrefix(a.Text, " t0 t1") || tb.applied(key) != 1 {
 			t.Fatalf("turn %d: %+v, applied %d", i, a, tb.applied(key))
 		}
 	}
@@ -176,7 +176,7 @@
 // Engines without the extension work with holds switched off; held state is then freed by the write.
 func TestWithoutExtension(t *testing.T) {
 	tb := newTestbed(t, func(cfg *settings.File) { cfg.Engines.Holds = false }, func(c *standin.Config) { c.Extended = false })
-	if a := request(t, tb.openSession(), meta("adjustment", "a"), 10); a.Kind() != "served" || tb.applied("a") != 1 {
+	if a := request(t, tb.openSession(), meta("adjustment", "a"), 10); a.Outcome() != "served" || tb.applied("a") != 1 {
 		t.Errorf("%+v", a)
 	}
 	for _, e := range tb.log.Events() {
@@ -193,7 +193,7 @@
 			cfg.Kinds[i].Role = settings.Role(gannethook.Mixed)
 		}
 	}, func(c *standin.Config) { c.Writes, c.Mixed = true, true })
-	if a := request(t, tb.openSession(), meta("question", "a"), 10); a.Kind() != "served" {
+	if a := request(t, tb.openSession(), meta("question", "a"), 10); a.Outcome() != "served" {
 		t.Errorf("%+v", a)
 	}
 	for _, e := range tb.log.Events() {
@@ -219,7 +219,7 @@
 		}
 	}
 	var order []string
-	var last realtime.Server
+	var last realtime.ServerEvent
 	until := func(kind string) {
 		t.Helper()
 		for {
@@ -227,7 +227,7 @@
 			if err != nil {
 				t.Fatalf("after %v: %v", order, err)
 			}
-			last = realtime.Server{}
+			last = realtime.ServerEvent{}
 			if err := json.Unmarshal(msg, &last); err != nil || last.EventID == "" {
 				t.Fatalf("%s: %v", msg, err)
 			}
@@ -288,7 +288,7 @@
 	} {
 		c.Write(ctx, websocket.MessageText, []byte(in))
 		_, msg, err := c.Read(ctx)
-		var ev realtime.Server
+		var ev realtime.ServerEvent
 		if json.Unmarshal(msg, &ev); err != nil || ev.Type != "error" {
 			t.Fatalf("%s: %s, %v", in, msg, err)
 		}
@@ -301,12 +301,12 @@
 
 // A conversation is bounded by the size of its texts and items; deleting an item makes room.
 func TestConversationBound(t *testing.T) {
-	tb := newTestbed(t, func(cfg *settings.File) { cfg.Sessions.Conversation = 1000 })
+	tb := newTestbed(t, func(cfg *settings.File) { cfg.Sessions.MaxConversation = 1000 })
 	for _, text := range []string{"", strings.Repeat("x", 200)} {
 		s := tb.openSession()
 		added, full, first := 0, false, ""
 		for range 10 {
-			s.Say(text)
+			s.AddMessage(text)
 			ev, err := s.Next()
 			if err != nil {
 				t.Fatal(err)
@@ -323,11 +323,11 @@
 		if !full || added < 2 || added > 7 {
 			t.Errorf("%d bytes each: %d items, full %v", len(text), added, full)
 		}
-		s.Delete(first)
+		s.DeleteItem(first)
 		if ev, err := s.Next(); err != nil || ev.Type != realtime.ItemDeleted {
 			t.Errorf("%+v, %v", ev, err)
 		}
-		s.Say(text)
+		s.AddMessage(text)
 		if ev, err := s.Next(); err != nil || ev.Type != realtime.ItemAdded {
 			t.Errorf("after deleting: %+v, %v", ev, err)
 		}
@@ -358,7 +358,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var ev realtime.Server
+		var ev realtime.ServerEvent
 		json.Unmarshal(msg, &ev)
 		switch ev.Type {
 		case "error":
@@ -387,17 +387,17 @@
 	s := tb.startResponse(meta("adjustment", "adj"), 100)
 	tb.waitForEvent("the effect applied", kind(record.Apply, ""))
 	again := tb.openSession()
-	if a := request(t, again, meta("adjustment", "adj"), 5); a.Kind() != "failed" || !strings.Contains(a.Reason, "open") {
+	if a := request(t, again, meta("adjustment", "adj"), 5); a.Outcome() != "failed" || !strings.Contains(a.Reason, "open") {
 		t.Errorf("retry while the first attempt runs: %+v", a)
 	}
-	s.Cut()
+	s.Abort()
 	tb.waitForEvent("the old attempt's end", kind(record.End, "called off"))
 	for _, more := range [][]string{nil, {"retry", "true"}} {
-		if a := request(t, again, meta("adjustment", "adj", more...), 5); a.Kind() != "failed" || !strings.Contains(a.Reason, "ran") {
+		if a := request(t, again, meta("adjustment", "adj", more...), 5); a.Outcome() != "failed" || !strings.Contains(a.Reason, "ran") {
 			t.Errorf("retry after the first attempt, %v: %+v", more, a)
 		}
 	}
-	if a := request(t, again, meta("adjustment", "elsewhere", "retry", "true"), 5); a.Kind() != "failed" {
+	if a := request(t, again, meta("adjustment", "elsewhere", "retry", "true"), 5); a.Outcome() != "failed" {
 		t.Errorf("retry of a request to another router: %+v", a)
 	}
 	if tb.applied("adj") != 1 || tb.applied("elsewhere") != 0 {
@@ -411,12 +411,12 @@
 	tb.setWriterFaults(func(f *standin.Faults) { f.Throttle = "adjustment" })
 	s := tb.openSession()
 	a := request(t, s, meta("adjustment", "adj"), 5)
-	if a.Kind() != "refused" || a.RetryAfter <= 0 || tb.applied("adj") != 0 {
+	if a.Outcome() != "refused" || a.RetryAfter <= 0 || tb.applied("adj") != 0 {
 		t.Fatalf("%+v", a)
 	}
 	tb.setWriterFaults(func(f *standin.Faults) { f.Throttle = "" })
-	for end := time.Now().Add(20 * time.Second); a.Kind() != "served" && time.Now().Before(end); {
-		if a = request(t, s, meta("adjustment", "adj"), 5); a.Kind() == "failed" {
+	for end := time.Now().Add(20 * time.Second); a.Outcome() != "served" && time.Now().Before(end); {
+		if a = request(t, s, meta("adjustment", "adj"), 5); a.Outcome() == "failed" {
 			t.Fatalf("%+v", a)
 		}
 	}
@@ -431,11 +431,11 @@
 	tb.setWriterFaults(func(f *standin.Faults) { f.Slow = 50 })
 	s := tb.startResponse(meta("question", "q"), 100)
 	a, err := s.Wait(func(string) { s.Cancel() })
-	if err != nil || a.Kind() != "cancelled" {
+	if err != nil || a.Outcome() != "cancelled" {
 		t.Fatalf("%+v, %v", a, err)
 	}
 	tb.waitForEvent("the end of the attempt", kind(record.End, "called off"))
-	if a := request(t, s, meta("question", "q2"), 2); a.Kind() != "served" {
+	if a := request(t, s, meta("question", "q2"), 2); a.Outcome() != "served" {
 		t.Errorf("next request of the session: %+v", a)
 	}
 }
@@ -446,10 +446,10 @@
 		"broken":  func(f *standin.Faults) { f.BreakAfter = 3 },
 		"stalled": func(f *standin.Faults) { f.StallAfter = 3 },
 	} {
-		tb := newTestbed(t, func(cfg *settings.File) { cfg.Engines.StreamIdle = 200 * time.Millisecond })
+		tb := newTestbed(t, func(cfg *settings.File) { cfg.Engines.StreamIdleTimeout = 200 * time.Millisecond })
 		tb.setWriterFaults(fault)
 		a := request(t, tb.openSession(), meta("adjustment", name), 50)
-		if a.Kind() != "failed" || a.Tokens != 3 || tb.applied(name) != 1 {
+		if a.Outcome() != "failed" || a.Tokens != 3 || tb.applied(name) != 1 {
 			t.Errorf("%s: %+v, applied %d", name, a, tb.applied(name))
 		}
 	}
@@ -461,7 +461,7 @@
 	tb.setWriterFaults(func(f *standin.Faults) { f.Hang = true })
 	safe, unsafe := tb.openSession(), tb.openSession()
 	for s, class := range map[*client.Session]string{safe: "question", unsafe: "adjustment"} {
-		s.Say("hello")
+		s.AddMessage("hello")
 		s.Request(meta(class, class), 5)
 	}
 	writerOf := map[string]string{}
@@ -483,13 +483,13 @@
 		}
 	}
 	kill(writerOf["question"])
-	if a, err := safe.Wait(nil); err != nil || a.Kind() != "served" {
+	if a, err := safe.Wait(nil); err != nil || a.Outcome() != "served" {
 		t.Errorf("safe: %+v, %v", a, err)
 	}
 	if writerOf["adjustment"] != writerOf["question"] {
 		kill(writerOf["adjustment"])
 	}
-	if a, err := unsafe.Wait(nil); err != nil || a.Kind() != "failed" || tb.applied("adjustment") != 0 {
+	if a, err := unsafe.Wait(nil); err != nil || a.Outcome() != "failed" || tb.applied("adjustment") != 0 {
 		t.Errorf("unsafe: %+v, %v", a, err)
 	}
 }
@@ -500,16 +500,16 @@
 	tb.setWriterFaults(func(f *standin.Faults) { f.Hang = true })
 	s := tb.startResponse(meta("adjustment", "a"), 5)
 	tb.waitForEvent("the attempt", func(e record.Event) bool { return e.Kind == record.Arrive && e.Note == "write" })
-	s.Cut()
+	s.Abort()
 	tb.waitForEvent("the end of the attempt, long before the deadline of the request", kind(record.End, "hung"))
 }
 
 // A session without requests outlasts the idle time because the client answers pings.
 func TestPingsKeepIdleSession(t *testing.T) {
-	tb := newTestbed(t, func(cfg *settings.File) { cfg.Sessions.Idle = 400 * time.Millisecond })
+	tb := newTestbed(t, func(cfg *settings.File) { cfg.Sessions.IdleTimeout = 400 * time.Millisecond })
 	s := tb.openSession()
 	time.Sleep(1300 * time.Millisecond) // about three idle times
-	if a := request(t, s, meta("question", "q"), 2); a.Kind() != "served" {
+	if a := request(t, s, meta("question", "q"), 2); a.Outcome() != "served" {
 		t.Errorf("%+v", a)
 	}
 }
@@ -527,13 +527,13 @@
 	}()
 	<-first
 	removed := tb.waitForEvent("the stream", kind(record.Apply, "")).Who
-	tb.roster.Set(standin.Listed{Addr: removed, Kind: "answer", Zone: "north", State: "gone"})
+	tb.roster.Set(standin.Listing{Addr: removed, Kind: "answer", Zone: "north", State: "gone"})
 	tb.waitForEvent("the router received the update", func(e record.Event) bool { return e.Kind == record.Told && e.Key == removed && e.Note == "gone" })
 	other := tb.openSession()
 	for i := range 10 {
 		request(t, other, meta("question", fmt.Sprint("n", i)), 1)
 	}
-	if a := <-done; a.Kind() != "served" {
+	if a := <-done; a.Outcome() != "served" {
 		t.Errorf("the stream: %+v", a)
 	}
 	for _, e := range tb.log.Events() {
@@ -561,7 +561,7 @@
 			close(started)
 		}
 	})
-	if err != nil || a.Kind() != "served" || tb.applied("a") != 1 {
+	if err != nil || a.Outcome() != "served" || tb.applied("a") != 1 {
 		t.Fatalf("%+v, %v", a, err)
 	}
 	if _, err := s.Next(); err == nil || !strings.Contains(err.Error(), "1001") {
@@ -575,13 +575,13 @@
 
 // At the end of the drain time of a stop, every open request gets a failed response.
 func TestStopCutShort(t *testing.T) {
-	tb := newTestbed(t, func(cfg *settings.File) { cfg.Sessions.Drain = 50 * time.Millisecond })
+	tb := newTestbed(t, func(cfg *settings.File) { cfg.Sessions.DrainTimeout = 50 * time.Millisecond })
 	tb.setWriterFaults(func(f *standin.Faults) { f.Hang = true })
 	s := tb.startResponse(meta("adjustment", "a"), 20)
 	tb.waitForEvent("the attempt", func(e record.Event) bool { return e.Kind == record.Arrive && e.Note == "write" })
 	go tb.d.Stop(context.Background())
 	a, err := s.Wait(nil)
-	if err != nil || a.Kind() != "failed" {
+	if err != nil || a.Outcome() != "failed" {
 		t.Errorf("%+v, %v", a, err)
 	}
 }
@@ -605,7 +605,7 @@
 
 // The router closes connections with malformed, oversized or incomplete input and goes on serving.
 func TestHostileConnections(t *testing.T) {
-	tb := newTestbed(t, func(cfg *settings.File) { cfg.Sessions.Handshake = 500 * time.Millisecond })
+	tb := newTestbed(t, func(cfg *settings.File) { cfg.Sessions.HandshakeTimeout = 500 * time.Millisecond })
 	upgrade := "GET /v1/realtime HTTP/1.1\r\nHost: x\r\nUpgrade: websocket\r\nConnection: Upgrade\r\nSec-WebSocket-Version: 13\r\n" +
 		"Sec-WebSocket-Key: dGhlIHNhbXBsZSBub25jZQ==\r\n\r\n"
 	for name, c := range map[string]struct{ send, want string }{
@@ -632,7 +632,7 @@
 		t.Errorf("half-closed: %v", err)
 	}
 	nc.Close()
-	if a := request(t, tb.openSession(), meta("question", "q"), 2); a.Kind() != "served" {
+	if a := request(t, tb.openSession(), meta("question", "q"), 2); a.Outcome() != "served" {
 		t.Errorf("request afterwards: %+v", a)
 	}
 }
--- a/internal/daemon/effects.go
+++ b/internal/daemon/effects.go
@@ -23,13 +23,13 @@
 
 func (e *daemonEffects) daemon() *Daemon { return (*Daemon)(e) }
 
-func (e *daemonEffects) openCount() int { return e.front.Open() + e.driver.Open() }
+func (e *daemonEffects) openCount() int { return e.front.OpenConnections() + e.driver.Open() }
 
-func (e *daemonEffects) accept() { e.front.Accept() }
+func (e *daemonEffects) accept() { e.front.Resume() }
 
 func (e *daemonEffects) stopAccepting() {
 	if e.state != lifecycle.Stopping { // then stateChanged has called Turn; only it writes the state, on this goroutine
-		e.front.Turn(false)
+		e.front.Drain(false)
 	}
 	e.lifecycle.notifyOpenChanged()
 }
@@ -37,14 +37,14 @@
 func (e *daemonEffects) failOpenRequests() {
 	e.events.Add("give up", fmt.Sprintf("%d requests are failed at the deadline", e.driver.Open()))
 	go func() {
-		e.admission.Refuse()
+		e.admission.RefuseQueued()
 		e.driver.FailOpenRequests() // waits until the driver takes it from its inbox
 	}()
 }
 
 func (e *daemonEffects) closeConnections() {
-	e.events.Add("cut", fmt.Sprintf("%d connections", e.front.Open()))
-	e.front.Cut()
+	e.events.Add("cut", fmt.Sprintf("%d connections", e.front.OpenConnections()))
+	e.front.CloseAll()
 }
 
 // stateChanged records and logs a new state. Stopping closes the listeners: a
@@ -61,7 +61,7 @@
 		return
 	}
 	e.daemon().closeListeners()
-	e.front.Turn(true)
+	e.front.Drain(true)
 	if successor == nil {
 		sd.SdNotify(false, sd.SdNotifyStopping)
 		return
@@ -135,8 +135,8 @@
 	d.mu.Lock()
 	d.cfg, d.needRestart = merged, needRestart
 	d.mu.Unlock()
-	d.front.Swap(merged)
-	d.driver.Swap(newModule, merged.Limits.Open)
+	d.front.SetSettings(merged)
+	d.driver.ReplaceSettings(newModule, merged.Limits.MaxOpen)
 	d.admission.Reload(d.limiterSettings(merged))
 	d.log.Info("reloaded", zap.Int("changes", len(changes)), zap.Strings("need_restart", needRestart))
 	return nil
@@ -153,7 +153,7 @@
 	e.background.Go(func() {
 		if err == nil {
 			// The successor fails by itself after Control.Start; the 2 s leave it time to report that.
-			_, err = successor.WaitReady(e.daemon().Settings().Control.Start + 2*time.Second)
+			_, err = successor.WaitReady(e.daemon().Settings().Control.StartTimeout + 2*time.Second)
 		}
 		e.lifecycle.post(func() {
 			if err != nil {
@@ -196,7 +196,7 @@
 	}
 	// A successor that serves proves that this restart succeeded, so its result is passed on before it is known.
 	results = append(results, lifecycle.Result{ID: spawn.ID, Done: true})
-	return handover.Start(argv, handover.State{Pid: os.Getpid(), Boot: d.front.Boot(), Results: results, Drained: spawn.Drained}, descriptors)
+	return handover.Start(argv, handover.State{Pid: os.Getpid(), Boot: d.front.Incarnation(), Results: results, Drained: spawn.Drained}, descriptors)
 }
 
 // successorArgv returns the command line of a successor: that of this process, or with the program of a named release.
@@ -204,16 +204,16 @@
 	if len(d.opt.Argv) == 0 {
 		return nil, fmt.Errorf("this router can't be restarted")
 	}
-	if release == "" || release == d.opt.Release && cfg.Control.Releases == "" {
+	if release == "" || release == d.opt.Release && cfg.Control.ReleaseDir == "" {
 		return d.opt.Argv, nil
 	}
-	if cfg.Control.Releases == "" {
+	if cfg.Control.ReleaseDir == "" {
 		return nil, fmt.Errorf("release %q: the settings have no (releases ...)", release)
 	}
 	if strings.ContainsAny(release, "/\x00") || strings.HasPrefix(release, ".") {
 		return nil, fmt.Errorf("release %q: a name without / is due", release)
 	}
-	path := filepath.Join(cfg.Control.Releases, release, "gannethook")
+	path := filepath.Join(cfg.Control.ReleaseDir, release, "gannethook")
 	if err := unix.Access(path, unix.X_OK); err != nil {
 		return nil, fmt.Errorf("release %q: %s: %w", release, path, err)
 	}
--- a/internal/daemon/holdreports.go
+++ b/internal/daemon/holdreports.go
@@ -20,7 +20,7 @@
 // onSilence logs a request for which state may be held and of which no engine has answered for a while. It logs at debug
 // level because long prompts can legitimately take that long.
 func (d *Daemon) onSilence(report holdmonitor.Report) {
-	d.log.Debug("nothing heard", zap.String("request", report.Request), zap.Duration("silent", report.SilentFor),
+	d.log.Debug("nothing heard", zap.String("request", report.Request), zap.Duration("silent", report.UnansweredFor),
 		zap.Strings("calls", report.Calls))
 }
 
--- a/internal/daemon/http_test.go
+++ b/internal/daemon/http_test.go
@@ -154,7 +154,7 @@
 // A malformed or oversized request gets its error status and reaches no engine.
 func TestBadHTTP(t *testing.T) {
 	tb := newTestbed(t, func(cfg *settings.File) {
-		cfg.HTTP.Body, cfg.HTTP.Read, cfg.Sessions.Handshake = 2000, 100*time.Millisecond, 300*time.Millisecond
+		cfg.HTTP.MaxBody, cfg.HTTP.ReadTimeout, cfg.Sessions.HandshakeTimeout = 2000, 100*time.Millisecond, 300*time.Millisecond
 	})
 	big := fmt.Sprintf(`{"model":"m","input":"%s"}`, strings.Repeat("x", 3000))
 	for _, c := range []struct {
@@ -198,7 +198,7 @@
 
 // A response over the limit of the settings fails, and a request body over the limit of all bodies is refused.
 func TestTooLarge(t *testing.T) {
-	tb := newTestbed(t, func(cfg *settings.File) { cfg.HTTP.Answer, cfg.HTTP.Bodies = 30, 300 })
+	tb := newTestbed(t, func(cfg *settings.File) { cfg.HTTP.MaxAnswer, cfg.HTTP.MaxBodies = 30, 300 })
 	c := tb.dial(t)
 	c.send(post("/v1/chat/completions", `{"model":"m","max_tokens":200,"messages":[{"role":"user","content":"x"}]}`))
 	if res, body := c.readResponse(); res.StatusCode != 500 || !strings.Contains(body, "too large") {
@@ -231,7 +231,7 @@
 				ended++
 			}
 		}
-		if v.Hands == 0 && v.Waiting == 0 && ended >= 4 {
+		if v.InFlight == 0 && v.Queued == 0 && ended >= 4 {
 			return
 		}
 		if time.Now().After(end) {
@@ -244,7 +244,7 @@
 // which cancels its stream at the writer; other clients are served meanwhile.
 func TestClientStopsReading(t *testing.T) {
 	tb := newTestbed(t, func(cfg *settings.File) {
-		cfg.HTTP.Write = 200 * time.Millisecond
+		cfg.HTTP.WriteTimeout = 200 * time.Millisecond
 		cfg.Classes[0].MaxTokens = 1 << 20
 	}, func(c *standin.Config) { c.TokenGap, c.Memory = 0, 1e8 })
 	c := tb.dial(t)
--- a/internal/daemon/runfiles.go
+++ b/internal/daemon/runfiles.go
@@ -38,8 +38,8 @@
 }
 
 // openRunFiles creates the run folder and takes the lock, or the predecessor's copy of it.
-func openRunFiles(c *settings.Control, link *handover.Link) (*runFiles, error) {
-	dir := c.Run
+func openRunFiles(c *settings.Control, link *handover.Predecessor) (*runFiles, error) {
+	dir := c.RunDir
 	if dir == "" {
 		return &runFiles{}, nil
 	}
@@ -112,7 +112,7 @@
 }
 
 // openPort returns the listener that the predecessor or systemd passed, or opens one.
-func openPort(link *handover.Link, inherited map[string][]net.Listener, network, name, addr string) (net.Listener, error) {
+func openPort(link *handover.Predecessor, inherited map[string][]net.Listener, network, name, addr string) (net.Listener, error) {
 	if ln, err := link.Listener(name + addr); ln != nil || err != nil {
 		return ln, err
 	}
--- a/internal/driver/call.go
+++ b/internal/driver/call.go
@@ -64,9 +64,9 @@
 	connection string // the connection that carried it
 }
 
-// Abandon reports that the client cancelled the request or disconnected. The final answer is Cancelled unless another answer
+// Cancel reports that the client cancelled the request or disconnected. The final answer is Cancelled unless another answer
 // came first.
-func (c *Call) Abandon() {
+func (c *Call) Cancel() {
 	c.d.post(func() {
 		if c.answered {
 			return
@@ -208,9 +208,9 @@
 		a.recordClose(r, closedAt)
 		c.reportRepeat(a.index, string(a.server), a.isRead, a.written.Time())
 		if a.cancelResult != nil && r.Outcome == gannethook.Cancelled {
-			begunBy := r.BegunBy
+			begunBy := r.StartedBy
 			r = *a.cancelResult
-			r.BegunBy = begunBy
+			r.StartedBy = begunBy
 		}
 		c.finishAttempt(a.index, r)
 	})
@@ -305,7 +305,7 @@
 	s := Summary{ID: uint64(c.id), Name: c.job.Name, Session: c.job.SessionID, Class: c.job.ClassName, Reader: string(c.reader),
 		Writer: string(c.writer), Attempts: len(c.attempts), Tokens: c.finalAnswer.Tokens, Outcome: c.finalAnswer.Outcome,
 		Reason: c.finalAnswer.Reason, Total: c.answeredAt.Sub(c.arrivedAt), RetryAfter: c.finalAnswer.RetryAfter,
-		PromptSize: c.job.PromptSize, Read: float64(c.readsDone) * c.job.PromptSize, CachedTokens: c.cachedTokens}
+		PromptSize: c.job.PromptSize, ReadTokens: float64(c.readsDone) * c.job.PromptSize, CachedTokens: c.cachedTokens}
 	if !c.firstTokenAt.IsZero() {
 		s.FirstToken = c.firstTokenAt.Sub(c.arrivedAt)
 	}
--- a/internal/driver/driver.go
+++ b/internal/driver/driver.go
@@ -27,18 +27,18 @@
 	Names            Names   // of the settings' classes and tenants; if set, jobs carry the names and their numbers are looked up
 	Name             string  // of this router, in the engines' logs
 	Seed             uint64
-	Inbox            int // capacity of the inbox, in events
+	InboxSize        int // capacity of the inbox, in events
 	MaxOpen          int // limit on open requests
 	Engines          Engines
 	Trace            bool                           // summaries are logged, with the connections of their attempts
 	Guard            *guard.Monitor                 // counts the denied steps; nil: not counted
 	WantsSummary     func(Outcome) bool             // selects the outcomes for which OnSummary is called; nil: all
 	OnSummary        func(Summary)                  // called on the driver's goroutine when a request has ended
-	Took             func(time.Duration)            // called with the time that each event took to process; nil: not measured
+	OnEventTime      func(time.Duration)            // called with the time that each event took to process; nil: not measured
 	OnPendingRelease func(heldstate.Report)         // called for a release that has been pending for half of the pin limit
 	OnAbandoned      func(heldstate.AbandonedEntry) // called for held state that is abandoned without a confirmed release
 	OnRepeat         func(Repeat)                   // called for each further attempt or refusal described by Repeat
-	OnSilence        func(holdmonitor.Report)       // called for each report of the hold monitor
+	OnUnanswered     func(holdmonitor.Report)       // called for each report of the hold monitor
 }
 
 // Driver runs one router.
@@ -91,7 +91,7 @@
 	}
 	now := time.Now()
 	wall := faults.WallClock()
-	d := &Driver{cfg: cfg, router: router, inbox: make(chan func(), max(cfg.Inbox, 1)), stopped: make(chan struct{}),
+	d := &Driver{cfg: cfg, router: router, inbox: make(chan func(), max(cfg.InboxSize, 1)), stopped: make(chan struct{}),
 		start: now, startWallMS: float64(wall.UnixMicro()) / 1000,
 		incarnation: cfg.Name + "-" + strconv.FormatInt(wall.UnixNano(), 36), settings: &cfg.Settings, names: cfg.Names,
 		calls: map[gannethook.RequestID]*Call{}, roles: map[gannethook.ServerID]gannethook.Role{},
@@ -149,13 +149,13 @@
 
 // runTask runs a posted function and measures how long it takes.
 func (d *Driver) runTask(f func()) {
-	if d.cfg.Took == nil {
+	if d.cfg.OnEventTime == nil {
 		f()
 		return
 	}
 	start := time.Now()
 	f()
-	d.cfg.Took(time.Since(start))
+	d.cfg.OnEventTime(time.Since(start))
 }
 
 // FailOpenRequests fails every open request, such as when the shutdown time is over.
@@ -245,9 +245,9 @@
 	}
 }
 
-// Swap replaces the settings between two events. The new settings must number classes, tenants and kinds as the old ones do.
+// ReplaceSettings replaces the settings between two events. The new settings must number classes, tenants and kinds as the old ones do.
 // maxOpen is the new limit on open requests.
-func (d *Driver) Swap(settings gannethook.Settings, maxOpen int) {
+func (d *Driver) ReplaceSettings(settings gannethook.Settings, maxOpen int) {
 	d.maxOpen.Store(int64(maxOpen))
 	d.post(func() {
 		d.settings = &settings
--- a/internal/driver/driver_test.go
+++ b/internal/driver/driver_test.go
@@ -252,7 +252,7 @@
 		set := testSettings()
 		set.Kinds[1].Role = c.role
 		synctest.Test(t, func(t *testing.T) {
-			d, err := New(Config{Settings: set, Inbox: 10, MaxOpen: 10, Engines: f,
+			d, err := New(Config{Settings: set, InboxSize: 10, MaxOpen: 10, Engines: f,
 				Decider: deciderFunc(func(ev gannethook.Event) (acts []gannethook.Action) {
 					switch ev := ev.(type) {
 					case gannethook.Request:
@@ -335,7 +335,7 @@
 }
 
 func runWithConfig(t *testing.T, cfg Config, do func(d *Driver)) {
-	cfg.Name, cfg.Seed, cfg.Inbox, cfg.MaxOpen = "r", 1, 100, 50
+	cfg.Name, cfg.Seed, cfg.InboxSize, cfg.MaxOpen = "r", 1, 100, 50
 	synctest.Test(t, func(t *testing.T) {
 		d, err := New(cfg)
 		stop := startDriver(t, d, err)
@@ -491,7 +491,7 @@
 			t.Fatal(err)
 		}
 		time.Sleep(5 * ms)
-		c.Abandon()
+		c.Cancel()
 		<-s.done
 		time.Sleep(10 * time.Second)
 		synctest.Wait()
@@ -509,8 +509,8 @@
 		s := newSink(t)
 		c, _ := d.Submit(newJob(1), s)
 		time.Sleep(time.Second)
-		c.Abandon()
-		c.Abandon()
+		c.Cancel()
+		c.Cancel()
 		<-s.done
 		synctest.Wait()
 		if s.finals[0].Outcome != Cancelled || !s.finals[0].MayHaveRun || s.tokens != 1 || d.Open() != 0 {
@@ -527,7 +527,7 @@
 			s := newSink(t)
 			c, _ := d.Submit(newJob(1), s)
 			time.Sleep(at)
-			go c.Abandon()
+			go c.Cancel()
 			<-s.done
 			time.Sleep(time.Second)
 			synctest.Wait()
@@ -549,7 +549,7 @@
 			j.Name = "a"
 			c, _ := d.Submit(j, s)
 			time.Sleep(at)
-			c.Abandon()
+			c.Cancel()
 			synctest.Wait()
 			f.mu.Lock()
 			reads, writes := f.reads, f.writes
@@ -618,7 +618,7 @@
 	f := newFakeEngines()
 	synctest.Test(t, func(t *testing.T) {
 		var events []gannethook.Event
-		d, err := New(Config{Settings: testSettings(), Inbox: 10, MaxOpen: 10, Engines: f,
+		d, err := New(Config{Settings: testSettings(), InboxSize: 10, MaxOpen: 10, Engines: f,
 			Decider: deciderFunc(func(ev gannethook.Event) []gannethook.Action {
 				events = append(events, ev)
 				switch ev := ev.(type) {
@@ -658,7 +658,7 @@
 		f.readTime, f.closeDelay = time.Hour, 30*ms
 		synctest.Test(t, func(t *testing.T) {
 			var ended gannethook.Ended
-			d, err := New(Config{Settings: testSettings(), Inbox: 10, MaxOpen: 10, Engines: f,
+			d, err := New(Config{Settings: testSettings(), InboxSize: 10, MaxOpen: 10, Engines: f,
 				Decider: deciderFunc(func(ev gannethook.Event) (acts []gannethook.Action) {
 					switch ev := ev.(type) {
 					case gannethook.Request:
@@ -706,7 +706,7 @@
 	f.readResult = end
 	synctest.Test(t, func(t *testing.T) {
 		var repeats []Repeat
-		d, err := New(Config{Settings: testSettings(), Inbox: 10, MaxOpen: 10, Engines: f,
+		d, err := New(Config{Settings: testSettings(), InboxSize: 10, MaxOpen: 10, Engines: f,
 			OnRepeat: func(r Repeat) { repeats = append(repeats, r) },
 			Decider: deciderFunc(func(ev gannethook.Event) (acts []gannethook.Action) {
 				switch ev := ev.(type) {
@@ -740,8 +740,8 @@
 	f := newFakeEngines()
 	f.readTime, f.firstTokenTime, f.tokenGap, f.holdTime, f.tokens = 0, 0, 0, 0, 1
 	events := 0 // on the driver's goroutine alone
-	d, _ := New(Config{Settings: testSettings(), Inbox: 1000, MaxOpen: 1000, Engines: f,
-		Took: func(time.Duration) { events++ }})
+	d, _ := New(Config{Settings: testSettings(), InboxSize: 1000, MaxOpen: 1000, Engines: f,
+		OnEventTime: func(time.Duration) { events++ }})
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	wg.Go(func() { d.Run(ctx) })
@@ -808,7 +808,7 @@
 			}
 			time.Sleep(20 * ms)
 			if !broken {
-				c.Abandon()
+				c.Cancel()
 			}
 			<-s.done
 			time.Sleep(500 * ms)
@@ -832,7 +832,7 @@
 			t.Fatal(err)
 		}
 		time.Sleep(20 * ms)
-		c.Abandon()
+		c.Cancel()
 		<-s.done
 		time.Sleep(10 * ms)
 		f.mu.Lock()
@@ -877,7 +877,7 @@
 	f.readTime, f.lateStateDelay, f.holdOK = 10*ms, 60*ms, false
 	f.readResult = attempt.Result{Outcome: gannethook.Broken}
 	synctest.Test(t, func(t *testing.T) {
-		d, err := New(Config{Settings: testSettings(), Inbox: 10, MaxOpen: 10, Engines: f,
+		d, err := New(Config{Settings: testSettings(), InboxSize: 10, MaxOpen: 10, Engines: f,
 			Decider: deciderFunc(func(ev gannethook.Event) (acts []gannethook.Action) {
 				switch ev := ev.(type) {
 				case gannethook.Request:
--- a/internal/driver/held.go
+++ b/internal/driver/held.go
@@ -52,7 +52,7 @@
 	d.scheduleLedgerCheck()
 	terms := c.terms()
 	terms.AttemptTimeout = max(time.Until(deadline), time.Millisecond)
-	if faults.Broken(faults.BreakLost) || faults.Broken(faults.BreakUnheard) {
+	if faults.GuardDisabled(faults.BreakLost) || faults.GuardDisabled(faults.BreakUnheard) {
 		terms.AttemptTimeout = -1
 	}
 	d.ledger.AttemptStarted(a.key, terms, string(a.server), a.isRead, time.Now())
@@ -66,8 +66,8 @@
 		return
 	}
 	end := attemptEnd(r)
-	if end == heldstate.ClosedByRouter && !r.BegunBy.IsZero() {
-		c.d.ledger.AttemptBegunBy(a.key, string(a.server), a.isRead, r.BegunBy)
+	if end == heldstate.ClosedByRouter && !r.StartedBy.IsZero() {
+		c.d.ledger.AttemptStartedBy(a.key, string(a.server), a.isRead, r.StartedBy)
 	}
 	if a.isRead {
 		c.d.ledger.ReadEnded(a.key, string(a.server), end, time.Now())
@@ -107,10 +107,10 @@
 	case gannethook.Full, gannethook.Moot:
 		return heldstate.Rejected
 	case gannethook.Cancelled, gannethook.TimedOut, gannethook.Broken:
-		if r.ClosedByServer && r.Outcome == gannethook.Broken && !faults.Broken(faults.BreakOvertake) {
+		if r.ClosedByServer && r.Outcome == gannethook.Broken && !faults.GuardDisabled(faults.BreakOvertake) {
 			return heldstate.ClosedByServer
 		}
-		if faults.Broken(faults.BreakOvertake) {
+		if faults.GuardDisabled(faults.BreakOvertake) {
 			return heldstate.Completed
 		}
 		return heldstate.ClosedByRouter
@@ -262,9 +262,9 @@
 	now := time.Now()
 	for _, server := range d.ledger.ServersToMonitor() {
 		switch {
-		case faults.Broken(faults.BreakUnheard):
+		case faults.GuardDisabled(faults.BreakUnheard):
 			d.ledger.ServerAnswered(server, now, now.Add(-time.Second), now)
-		case faults.Broken(faults.BreakFirst) && !d.anyRequestEnded:
+		case faults.GuardDisabled(faults.BreakFirst) && !d.anyRequestEnded:
 			d.ledger.ServerAnswered(server, now, now, now)
 		}
 		if sent, answered := d.cfg.Engines.LastAnswer(server); !sent.IsZero() {
@@ -299,8 +299,8 @@
 // reportUnanswered delivers the hold monitor's reports.
 func (d *Driver) reportUnanswered(now time.Time) {
 	for _, r := range d.holdMonitor.Due(now) {
-		if d.cfg.OnSilence != nil {
-			d.cfg.OnSilence(r)
+		if d.cfg.OnUnanswered != nil {
+			d.cfg.OnUnanswered(r)
 		}
 	}
 }
@@ -402,7 +402,7 @@
 
 // releaseEnded records the result of a release.
 func (d *Driver) releaseEnded(call heldstate.ReleaseCall, r attempt.ReleaseResult) {
-	if !r.Acknowledged && !call.Probe && faults.Broken(faults.BreakGiveUp) {
+	if !r.Acknowledged && !call.Probe && faults.GuardDisabled(faults.BreakGiveUp) {
 		r = attempt.ReleaseResult{Acknowledged: true, SentAt: time.Now()}
 	}
 	d.ledger.ReleaseEnded(call, heldstate.ReleaseResult(r), time.Now())
@@ -428,7 +428,7 @@
 	}
 	deadlineTimer := time.NewTimer(time.Until(end))
 	defer deadlineTimer.Stop()
-	for d.ledger.HasConfirmedPending() {
+	for d.ledger.HasRequiredReleases() {
 		d.startDueReleases()
 		wakeTimer.Reset(max(d.untilNextCheck(), 0))
 		select {
--- a/internal/driver/held_test.go
+++ b/internal/driver/held_test.go
@@ -99,7 +99,7 @@
 			t.Fatal(err)
 		}
 		time.Sleep(writeTime)
-		c.Abandon()
+		c.Cancel()
 		<-sink.done
 		for from := time.Now(); len(s.stillHeld()) > 0 && time.Since(from) < 10*time.Second; time.Sleep(ms) {
 			s.mu.Lock()
@@ -230,7 +230,7 @@
 			t.Fatal(err)
 		}
 		time.Sleep(200 * ms)
-		c.Abandon()
+		c.Cancel()
 		<-sink.done
 		time.Sleep(time.Second)
 		d.SetReleaseDeadline(time.Now().Add(700 * ms))
--- a/internal/driver/reconfigure_test.go
+++ b/internal/driver/reconfigure_test.go
@@ -35,7 +35,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		d, err := New(Config{Settings: testSettings(), Names: Names{Classes: []string{"safe", "unsafe"}}, Inbox: 10, MaxOpen: 10,
+		d, err := New(Config{Settings: testSettings(), Names: Names{Classes: []string{"safe", "unsafe"}}, InboxSize: 10, MaxOpen: 10,
 			Engines: e, Decider: deciderFunc(func(ev gannethook.Event) []gannethook.Action {
 				if q, ok := ev.(gannethook.Request); ok {
 					accepted = append(accepted, q)
@@ -87,7 +87,7 @@
 func TestWriteDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &recordingEngines{fakeEngines: newFakeEngines()}
-		d, err := New(Config{Settings: testSettings(), Inbox: 10, MaxOpen: 10, Engines: e,
+		d, err := New(Config{Settings: testSettings(), InboxSize: 10, MaxOpen: 10, Engines: e,
 			Decider: deciderFunc(func(ev gannethook.Event) []gannethook.Action {
 				if q, ok := ev.(gannethook.Request); ok {
 					return []gannethook.Action{gannethook.Send{ID: q.ID, Server: "w", Within: 300}}
--- a/internal/driver/regressions.go
+++ b/internal/driver/regressions.go
@@ -15,16 +15,16 @@
 		return false
 	}
 	switch {
-	case faults.Broken(faults.BreakBeside):
+	case faults.GuardDisabled(faults.BreakBeside):
 		return c.Concurrent == heldstate.WriteInFlight
-	case faults.Broken(faults.BreakInFlight):
+	case faults.GuardDisabled(faults.BreakInFlight):
 		return c.Concurrent == heldstate.ReadInFlight
-	case faults.Broken(faults.BreakSpared) && o[c.Key]:
+	case faults.GuardDisabled(faults.BreakSpared) && o[c.Key]:
 		return c.Concurrent != heldstate.NoAttempt || c.Flush
 	case o.dropsKey(c.Key):
 		return true
 	}
-	if c.Concurrent == heldstate.WriteInFlight && (faults.Broken(faults.BreakSpared) || faults.Broken(faults.BreakForget)) {
+	if c.Concurrent == heldstate.WriteInFlight && (faults.GuardDisabled(faults.BreakSpared) || faults.GuardDisabled(faults.BreakForget)) {
 		o[c.Key] = true
 	}
 	return false
@@ -32,5 +32,5 @@
 
 // dropsKey reports whether nothing more is released for a key because of a reintroduced fault.
 func (o regressions) dropsKey(key string) bool {
-	return faults.Broken(faults.BreakForget) && o[key]
+	return faults.GuardDisabled(faults.BreakForget) && o[key]
 }
--- a/internal/driver/types.go
+++ b/internal/driver/types.go
@@ -101,19 +101,19 @@
 
 // Summary is the log record of a request.
 type Summary struct {
-	ID                 uint64
-	Name               string // of a named job
-	Session, Class     string
-	Reader, Writer     string
-	Attempts, Tokens   int
-	Outcome            Outcome
-	Reason             string
-	FirstToken, Total  time.Duration
-	AttemptEnds        []string        // one per attempt, in order: server, start, connection, duration and result
-	ReleasedAfter      []time.Duration // times of the release requests, from the request's arrival
-	RetryAfter         time.Duration
-	PromptSize         float64
-	Read, CachedTokens float64 // prompt tokens of all reads, and how many of them servers found in their caches
+	ID                       uint64
+	Name                     string // of a named job
+	Session, Class           string
+	Reader, Writer           string
+	Attempts, Tokens         int
+	Outcome                  Outcome
+	Reason                   string
+	FirstToken, Total        time.Duration
+	AttemptEnds              []string        // one per attempt, in order: server, start, connection, duration and result
+	ReleasedAfter            []time.Duration // times of the release requests, from the request's arrival
+	RetryAfter               time.Duration
+	PromptSize               float64
+	ReadTokens, CachedTokens float64 // prompt tokens of all reads, and how many of them servers found in their caches
 }
 
 // Names are the names of classes and tenants in the order of the settings. Jobs that carry names remain valid when new
--- a/internal/endpoints/endpoints_test.go
+++ b/internal/endpoints/endpoints_test.go
@@ -143,20 +143,20 @@
 // outage of the API. The last list stays valid throughout.
 func TestWatch(t *testing.T) {
 	api := standin.NewRoster("engines", nil)
-	one := standin.Listed{Addr: "127.0.0.1:1001", Kind: "prompt", Zone: "s", Cell: 2, State: "ready"}
+	one := standin.Listing{Addr: "127.0.0.1:1001", Kind: "prompt", Zone: "s", Cell: 2, State: "ready"}
 	api.Set(one)
 	addr, err := api.Start("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	f := &watcher{changed: make(chan struct{}, 1)}
-	w := &endpoints.Watch{Addr: addr, Namespace: "default", Service: "engines", Agent: "r0", Silence: 2 * time.Second, Seed: 1,
+	w := &endpoints.Watch{Addr: addr, Namespace: "default", Service: "engines", RouterName: "r0", IdleTimeout: 2 * time.Second, Seed: 1,
 		Names: names, Publish: f.publish, Report: func(err error) {
 			f.mu.Lock()
 			f.errs = append(f.errs, err)
 			f.mu.Unlock()
 			f.publish(gannethook.Membership{})
-		}, Keep: func(list []gannethook.Server) { f.cached = list }}
+		}, SaveList: func(list []gannethook.Server) { f.cached = list }}
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	wg.Go(func() { w.Run(ctx) })
@@ -166,10 +166,10 @@
 	api.Set(one)
 	f.waitUntil(t, func() bool { return f.list["127.0.0.1:1001"].State == gannethook.Draining })
 	api.CutWatches()
-	two := standin.Listed{Addr: "127.0.0.1:1002", Kind: "answer", Zone: "n", State: "ready", Started: time.UnixMilli(5000)}
+	two := standin.Listing{Addr: "127.0.0.1:1002", Kind: "answer", Zone: "n", State: "ready", Started: time.UnixMilli(5000)}
 	api.Set(two)
 	f.waitUntil(t, func() bool { return f.list["127.0.0.1:1002"].Since == 5000 && f.snapshots == 1 })
-	api.Forget()
+	api.Compact()
 	one.State = "gone"
 	api.Set(one)
 	f.waitUntil(t, func() bool { return len(f.list) == 1 && f.snapshots == 2 })
@@ -224,7 +224,7 @@
 	}
 	write(`(server "h:1" (kind prompt))`)
 	f := &watcher{changed: make(chan struct{}, 1)}
-	file := &endpoints.File{Path: path, Every: time.Millisecond, Names: names, Publish: f.publish, Report: func(err error) {
+	file := &endpoints.File{Path: path, PollInterval: time.Millisecond, Names: names, Publish: f.publish, Report: func(err error) {
 		f.mu.Lock()
 		f.errs = append(f.errs, err)
 		f.mu.Unlock()
--- a/internal/endpoints/file.go
+++ b/internal/endpoints/file.go
@@ -17,11 +17,11 @@
 // File watches a file with the list of servers, in the form of docs/settings.md:
 // (server "host:port" (kind K) (zone Z) (cell N) (state ready|draining) (started TIME)).
 type File struct {
-	Path    string
-	Every   time.Duration // polling interval
-	Names   Names
-	Publish func(gannethook.Membership) // called with each changed list
-	Report  func(error)                 // called once per distinct error
+	Path         string
+	PollInterval time.Duration // polling interval
+	Names        Names
+	Publish      func(gannethook.Membership) // called with each changed list
+	Report       func(error)                 // called once per distinct error
 }
 
 // fileEntry is a (server ...) form.
@@ -124,7 +124,7 @@
 			lastError = err.Error()
 			f.Report(err)
 		}
-		sleep(ctx, f.Every)
+		sleep(ctx, f.PollInterval)
 	}
 }
 
--- a/internal/endpoints/table.go
+++ b/internal/endpoints/table.go
@@ -91,7 +91,7 @@
 // by index.
 type Names struct {
 	Kinds, Zones []string
-	Any          bool // ignore the kind label: every server has kind 0
+	AnyKind      bool // ignore the kind label: every server has kind 0
 }
 
 // entry is a server with the UID of its pod, which distinguishes incarnations at one address.
@@ -208,7 +208,7 @@
 // addSlice adds the endpoints of a slice that are not Gone.
 func (t *Table) addSlice(s *EndpointSlice, servers map[gannethook.ServerID]entry) {
 	kind := slices.Index(t.names.Kinds, s.Metadata.Labels[KindLabel])
-	if t.names.Any {
+	if t.names.AnyKind {
 		kind = 0
 	}
 	if kind < 0 {
--- a/internal/endpoints/watch.go
+++ b/internal/endpoints/watch.go
@@ -29,17 +29,17 @@
 // lost, the last list stays valid; the watch is resumed from the last resource
 // version, after an exponential backoff with jitter.
 type Watch struct {
-	Addr      string // host:port of the Kubernetes API
-	Namespace string
-	Service   string        // "": all slices of the namespace
-	Agent     string        // name of this router, for the User-Agent header
-	Silence   time.Duration // idle timeout of a watch; must exceed the API's interval of bookmarks
-	Seed      uint64        // of the jitter
-	Names     Names
-	Start     []gannethook.Server         // cached list of an earlier run, published first
-	Publish   func(gannethook.Membership) // called with each list and change
-	Keep      func([]gannethook.Server)   // called with the complete list after each change; may be nil
-	Report    func(error)                 // called with errors, for the log
+	Addr        string // host:port of the Kubernetes API
+	Namespace   string
+	Service     string        // "": all slices of the namespace
+	RouterName  string        // name of this router, for the User-Agent header
+	IdleTimeout time.Duration // idle timeout of a watch; must exceed the API's interval of bookmarks
+	Seed        uint64        // of the jitter
+	Names       Names
+	Cached      []gannethook.Server         // cached list of an earlier run, published first
+	Publish     func(gannethook.Membership) // called with each list and change
+	SaveList    func([]gannethook.Server)   // called with the complete list after each change; may be nil
+	Report      func(error)                 // called with errors, for the log
 
 	received int // lists and events received, to reset the backoff
 }
@@ -47,8 +47,8 @@
 // Run watches until the context is done.
 func (w *Watch) Run(ctx context.Context) {
 	table := NewTable(w.Names)
-	if len(w.Start) > 0 {
-		w.Publish(table.SetServers(w.Start))
+	if len(w.Cached) > 0 {
+		w.Publish(table.SetServers(w.Cached))
 	}
 	rnd := rand.New(rand.NewPCG(w.Seed, 0x726f73746572))
 	resourceVersion, attempt := "", 0
@@ -129,7 +129,7 @@
 	nc.SetDeadline(time.Now().Add(10 * time.Second)) // for the whole list; watch extends it with each event
 	bw := bufio.NewWriter(nc)
 	http1.WriteHead(bw, "GET "+path+" HTTP/1.1", http1.Header{{Name: "Host", Value: w.Addr},
-		{Name: "Accept", Value: "application/json"}, {Name: "User-Agent", Value: "gannethook/" + w.Agent}})
+		{Name: "Accept", Value: "application/json"}, {Name: "User-Agent", Value: "gannethook/" + w.RouterName}})
 	if err = bw.Flush(); err != nil {
 		return nil, nil, nil, err
 	}
@@ -176,8 +176,8 @@
 		return
 	}
 	w.Publish(m)
-	if w.Keep != nil {
-		w.Keep(table.Snapshot().Servers)
+	if w.SaveList != nil {
+		w.SaveList(table.Snapshot().Servers)
 	}
 }
 
@@ -191,7 +191,7 @@
 	lines := bufio.NewScanner(body)
 	lines.Buffer(make([]byte, 0, 16<<10), maxEventBytes)
 	for {
-		nc.SetDeadline(time.Now().Add(w.Silence))
+		nc.SetDeadline(time.Now().Add(w.IdleTimeout))
 		if !lines.Scan() {
 			return resourceVersion, fmt.Errorf("watch ended: %w", orEOF(lines.Err()))
 		}
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -118,7 +118,7 @@
 // close returns a reusable connection to the pool. Otherwise it closes the connection, which cancels the work at the
 // engine.
 func (x *exchange) close(reusable bool) {
-	if x.stopAfterFunc() && reusable && x.body.Whole() && x.res.Minor == 1 && !x.res.Header.Has("Connection", "close") {
+	if x.stopAfterFunc() && reusable && x.body.Complete() && x.res.Minor == 1 && !x.res.Header.Has("Connection", "close") {
 		name := x.addr
 		if x.control {
 			name = controlPrefix + name
--- a/internal/faults/off.go
+++ b/internal/faults/off.go
@@ -13,8 +13,8 @@
 // Enabled reports whether this build injects faults.
 const Enabled = false
 
-// Broken reports whether a guard is disabled.
-func Broken(string) bool { return false }
+// GuardDisabled reports whether a guard is disabled.
+func GuardDisabled(string) bool { return false }
 
 // WallClock returns the wall-clock time.
 func WallClock() time.Time { return time.Now() }
--- a/internal/faults/off_test.go
+++ b/internal/faults/off_test.go
@@ -18,7 +18,7 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	if Enabled || Broken(BreakRepeat) || Listener(ln) != ln {
+	if Enabled || GuardDisabled(BreakRepeat) || Listener(ln) != ln {
 		t.Error("the shipped build injects faults")
 	}
 	deploy, err := os.ReadFile("../../deploy/balancer.toml")
--- a/internal/faults/on.go
+++ b/internal/faults/on.go
@@ -65,8 +65,8 @@
 	return 1 + in.rnd.IntN(n)
 }
 
-// Broken reports whether a guard is disabled.
-func Broken(guard string) bool { return os.Getenv("GANNETHOOK_BREAK") == guard }
+// GuardDisabled reports whether a guard is disabled.
+func GuardDisabled(guard string) bool { return os.Getenv("GANNETHOOK_BREAK") == guard }
 
 // WallClock returns the wall-clock time, off by the configured seconds.
 func WallClock() time.Time {
--- a/internal/fleet/file.go
+++ b/internal/fleet/file.go
@@ -146,12 +146,12 @@
 	return nil
 }
 
-// Possible returns an error that names the routers which no rollout can restart
+// CheckFeasible returns an error that names the routers which no rollout can restart
 // within the constraints. Load accepts such a file: a fleet that is too small for
 // rollouts can still be drained and restarted by single commands.
-func (f *File) Possible(todo []Router) error {
+func (f *File) CheckFeasible(todo []Router) error {
 	var names []string
-	for _, name := range rollout.Infeasible(f.Members(f.Routers), f.Limits()) {
+	for _, name := range rollout.Infeasible(f.RolloutRouters(f.Routers), f.Limits()) {
 		if slices.ContainsFunc(todo, func(r Router) bool { return r.Name == name }) {
 			names = append(names, name)
 		}
@@ -170,8 +170,8 @@
 		ServedWindow: o.Window, MinRequests: o.Enough}
 }
 
-// Members converts routers for the planner.
-func (f *File) Members(list []Router) []rollout.Router {
+// RolloutRouters converts routers for the planner.
+func (f *File) RolloutRouters(list []Router) []rollout.Router {
 	var out []rollout.Router
 	for _, r := range list {
 		out = append(out, rollout.Router{Name: r.Name, Centre: r.Centre, Capacity: r.Capacity, RestartTime: r.Expect})
@@ -193,10 +193,10 @@
 	return certs.Open(f.Domain, at(f.Cert), at(f.Key), at(f.Authority))
 }
 
-// Pick selects routers by name, centre=NAME, label=NAME, or all. It returns the
+// Select selects routers by name, centre=NAME, label=NAME, or all. It returns the
 // union of several selectors, in the order of the file. A selector that matches
 // no router is an error.
-func (f *File) Pick(selectors []string) ([]Router, error) {
+func (f *File) Select(selectors []string) ([]Router, error) {
 	found := make([]bool, len(f.Routers))
 	for _, selector := range selectors {
 		matched := false
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -53,11 +53,11 @@
 		t.Fatal(err)
 	}
 	want := "f:1:1: (rollout ...): a, b, c can't be restarted within share, centre-share and down"
-	if err := f.Possible(f.Routers); err == nil || err.Error() != want {
+	if err := f.CheckFeasible(f.Routers); err == nil || err.Error() != want {
 		t.Errorf("%v, want %s", err, want)
 	}
-	if f.Rollout.Share, f.Rollout.CentreShare = 0.6, 0; f.Possible(f.Routers) != nil {
-		t.Error(f.Possible(f.Routers))
+	if f.Rollout.Share, f.Rollout.CentreShare = 0.6, 0; f.CheckFeasible(f.Routers) != nil {
+		t.Error(f.CheckFeasible(f.Routers))
 	}
 }
 
@@ -68,7 +68,7 @@
 	}
 	for words, want := range map[string]string{"all": "abc", "b": "b", "c a": "ac", "centre=south": "bc", "label=blue": "ac",
 		"label=blue b": "abc", "d": `no router of fleet f is "d"`, "a centre=west": `no router of fleet f is "centre=west"`} {
-		list, err := f.Pick(strings.Fields(words))
+		list, err := f.Select(strings.Fields(words))
 		got := ""
 		for _, r := range list {
 			got += r.Name
@@ -136,7 +136,7 @@
 	f(r)
 }
 
-func serve(t *testing.T, r *fakeRouter) *Link {
+func serve(t *testing.T, r *fakeRouter) *ControlClient {
 	t.Helper()
 	r.path = filepath.Join(t.TempDir(), "s")
 	r.results = map[string]bool{}
@@ -228,7 +228,7 @@
 			t.Parallel()
 			r := &fakeRouter{handle: c.do}
 			l := serve(t, r)
-			got := l.Do(context.Background(), Order{Op: c.op, ID: NewCommandID()}, func(string, string, int) {})
+			got := l.Do(context.Background(), Command{Op: c.op, ID: NewCommandID()}, func(string, string, int) {})
 			if got.Outcome != c.want || !strings.HasSuffix(got.Note, c.note) || (c.note == "") != (got.Note == "") {
 				t.Errorf("%v, want %v: %s", got, c.want, c.note)
 			}
@@ -245,11 +245,11 @@
 	r := &fakeRouter{handle: completeCommand}
 	l := serve(t, r)
 	r.change(func(r *fakeRouter) { r.status.Name = "other" })
-	if got := l.Do(context.Background(), Order{Op: pb.Command_DRAIN, ID: NewCommandID()}, nil); got.Outcome != Refused || r.commands > 0 {
+	if got := l.Do(context.Background(), Command{Op: pb.Command_DRAIN, ID: NewCommandID()}, nil); got.Outcome != Refused || r.commands > 0 {
 		t.Errorf("%v: a router of another name got the command %d times", got, r.commands)
 	}
 	r.server.Stop()
-	if got := l.Do(context.Background(), Order{Op: pb.Command_DRAIN, ID: NewCommandID()}, nil); got.Outcome != Unreachable {
+	if got := l.Do(context.Background(), Command{Op: pb.Command_DRAIN, ID: NewCommandID()}, nil); got.Outcome != Unreachable {
 		t.Errorf("%v, want unreachable", got)
 	}
 }
@@ -262,7 +262,7 @@
 	if err != nil || st.ClockAhead < 4900*time.Millisecond || st.ClockAhead > 5100*time.Millisecond || clockOffset(st) != "+5.0s" {
 		t.Fatalf("%v, %+v", err, st)
 	}
-	if got := l.Do(context.Background(), Order{Op: pb.Command_DRAIN, ID: NewCommandID()}, nil); got.Outcome != Done {
+	if got := l.Do(context.Background(), Command{Op: pb.Command_DRAIN, ID: NewCommandID()}, nil); got.Outcome != Done {
 		t.Error(got)
 	}
 }
@@ -274,7 +274,7 @@
 		for _, k := range kinds {
 			list = append(list, Report{Outcome: map[rune]Outcome{'d': Done, 'r': Refused, 'u': Unknown, 'x': Unreachable}[k]})
 		}
-		err := Judge(list)
+		err := ExitStatus(list)
 		var e *ExitError
 		if got := 0; errors.As(err, &e) && e.Code != want || err == nil && got != want {
 			t.Errorf("%s: %v, want %d", kinds, err, want)
--- a/internal/fleet/link.go
+++ b/internal/fleet/link.go
@@ -16,8 +16,8 @@
 	pb "gannethook/internal/control/controlpb"
 )
 
-// Link is a client of one router's control plane.
-type Link struct {
+// ControlClient is a client of one router's control plane.
+type ControlClient struct {
 	Router
 	times Times
 	ctl   pb.ControlClient
@@ -25,16 +25,16 @@
 }
 
 // Connect returns a link to a router. It connects on the first call.
-func (f *File) Connect(r Router, files *certs.Files) (*Link, error) {
+func (f *File) Connect(r Router, files *certs.Files) (*ControlClient, error) {
 	ctl, shut, err := control.Dial(r.Control, r.Name, files)
 	if err != nil {
 		return nil, err
 	}
-	return &Link{Router: r, times: f.Times, ctl: ctl, close: shut}, nil
+	return &ControlClient{Router: r, times: f.Times, ctl: ctl, close: shut}, nil
 }
 
 // Close closes the link.
-func (l *Link) Close() { l.close() }
+func (l *ControlClient) Close() { l.close() }
 
 // RouterStatus is a router's status with an estimate of its clock's offset.
 type RouterStatus struct {
@@ -43,7 +43,7 @@
 }
 
 // Status queries the router's status.
-func (l *Link) Status(ctx context.Context) (*RouterStatus, error) {
+func (l *ControlClient) Status(ctx context.Context) (*RouterStatus, error) {
 	ctx, cancel := context.WithTimeout(ctx, l.times.Call)
 	defer cancel()
 	start := time.Now()
@@ -67,8 +67,8 @@
 // NewCommandID returns a unique command id.
 func NewCommandID() string { return rand.Text() }
 
-// Order is a command to a router.
-type Order struct {
+// Command is a command to a router.
+type Command struct {
 	Op      pb.Command_Op
 	ID      string
 	Limit   time.Duration // for open requests to end; 0: (times (drain ...)) of the fleet file
@@ -76,7 +76,7 @@
 	NoWait  bool // a restart is Done once the successor serves, while the predecessor may still drain
 }
 
-func (o *Order) opName() string {
+func (o *Command) opName() string {
 	return [...]string{"none", "drain", "resume", "reload", "stop", "restart"}[o.Op]
 }
 
@@ -85,7 +85,7 @@
 
 // Do sends a command and waits for its outcome. If the call breaks, it queries the router for the result
 // until (times (again ...)) is over.
-func (l *Link) Do(ctx context.Context, o Order, progress ProgressFunc) Report {
+func (l *ControlClient) Do(ctx context.Context, o Command, progress ProgressFunc) Report {
 	start := time.Now()
 	r := Report{Router: l.Name, Op: o.opName()}
 	if o.Limit <= 0 {
@@ -106,7 +106,7 @@
 }
 
 // execute sends the command to a router whose status is before, and completes the report.
-func (l *Link) execute(ctx context.Context, o Order, before *RouterStatus, r *Report, progress ProgressFunc) {
+func (l *ControlClient) execute(ctx context.Context, o Command, before *RouterStatus, r *Report, progress ProgressFunc) {
 	timeout := o.Limit + l.times.Hang
 	if o.Op == pb.Command_RESTART || o.Op == pb.Command_RELOAD {
 		timeout = l.times.Start + l.times.Hang
@@ -124,7 +124,7 @@
 }
 
 // send makes the call of a command and returns its result.
-func (l *Link) send(ctx context.Context, c *pb.Command, progress ProgressFunc) (*pb.Result, error) {
+func (l *ControlClient) send(ctx context.Context, c *pb.Command, progress ProgressFunc) (*pb.Result, error) {
 	stream, err := l.ctl.Do(ctx, c)
 	if err != nil {
 		return nil, err
@@ -149,7 +149,7 @@
 // recoverResult determines the outcome of a command whose call failed. It queries
 // the result by the command's id and never sends the command again. known reports
 // whether res is valid; otherwise the report has the outcome.
-func (l *Link) recoverResult(ctx context.Context, o Order, before *RouterStatus, r *Report, err error, progress ProgressFunc) (res *pb.Result, known bool) {
+func (l *ControlClient) recoverResult(ctx context.Context, o Command, before *RouterStatus, r *Report, err error, progress ProgressFunc) (res *pb.Result, known bool) {
 	switch status.Code(err) {
 	case codes.PermissionDenied, codes.Unauthenticated, codes.InvalidArgument, codes.Unimplemented:
 		r.Outcome, r.Note = Refused, withoutCallInfo(err).Error()
@@ -189,7 +189,7 @@
 }
 
 // recall reports whether the incarnation that answers has a command's result.
-func (l *Link) recall(ctx context.Context, id string) (known bool, err error) {
+func (l *ControlClient) recall(ctx context.Context, id string) (known bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, l.times.Call)
 	defer cancel()
 	_, err = l.send(ctx, &pb.Command{Id: id, Recall: true}, func(string, string, int) {})
@@ -208,7 +208,7 @@
 
 // evaluate turns a result into the report's outcome. A successful restart is Done
 // only once the successor confirms it.
-func (l *Link) evaluate(ctx context.Context, o Order, res *pb.Result, r *Report, progress ProgressFunc) {
+func (l *ControlClient) evaluate(ctx context.Context, o Command, res *pb.Result, r *Report, progress ProgressFunc) {
 	r.Note, r.Cut = res.Note, res.Cut
 	if !res.Done {
 		r.Outcome = Refused
@@ -221,7 +221,7 @@
 }
 
 // awaitSuccessor waits for the successor of a restart, and unless NoWait for the end of its predecessor.
-func (l *Link) awaitSuccessor(ctx context.Context, o Order, r *Report, progress ProgressFunc) {
+func (l *ControlClient) awaitSuccessor(ctx context.Context, o Command, r *Report, progress ProgressFunc) {
 	deadline := time.Now().Add(o.Limit + l.times.Hang)
 	r.Outcome, r.Note = Unknown, "the successor was not seen"
 	for ; time.Now().Before(deadline) && ctx.Err() == nil; sleep(ctx, 100*time.Millisecond) {
--- a/internal/fleet/outcome.go
+++ b/internal/fleet/outcome.go
@@ -66,8 +66,8 @@
 
 func (e *ExitError) Error() string { return e.Text }
 
-// Judge returns an ExitError that sums up reports; nil if all are Done.
-func Judge(reports []Report) error {
+// ExitStatus returns an ExitError that sums up reports; nil if all are Done.
+func ExitStatus(reports []Report) error {
 	count := map[Outcome]int{}
 	for _, r := range reports {
 		count[r.Outcome]++
--- a/internal/fleet/run.go
+++ b/internal/fleet/run.go
@@ -39,7 +39,7 @@
 }
 
 // Each calls do with a link for every router, at most concurrency at once. It returns after all calls.
-func (t *Tool) Each(list []Router, concurrency int, do func(i int, l *Link, err error)) {
+func (t *Tool) Each(list []Router, concurrency int, do func(i int, l *ControlClient, err error)) {
 	slots := make(chan struct{}, max(concurrency, 1))
 	var wg sync.WaitGroup
 	for i, r := range list {
@@ -58,11 +58,11 @@
 
 // Do sends a command to routers, in order, at most concurrency at once. With stop,
 // no more routers are tried after one that is not Done; they are reported Refused.
-func (t *Tool) Do(ctx context.Context, list []Router, o Order, concurrency int, stop bool) []Report {
+func (t *Tool) Do(ctx context.Context, list []Router, o Command, concurrency int, stop bool) []Report {
 	reports := make([]Report, len(list))
 	var failed sync.Once
 	stopped := make(chan struct{})
-	t.Each(list, concurrency, func(i int, l *Link, err error) {
+	t.Each(list, concurrency, func(i int, l *ControlClient, err error) {
 		select {
 		case <-stopped:
 			reports[i] = Report{Router: list[i].Name, Op: o.opName(), Outcome: Refused, Note: "not sent: the command failed at an earlier router"}
@@ -83,17 +83,17 @@
 	return reports
 }
 
-// Line is a router with its status, or the error of the query.
-type Line struct {
+// StatusLine is a router with its status, or the error of the query.
+type StatusLine struct {
 	Router
 	*RouterStatus
 	Err error
 }
 
-// Look queries the status of routers, 64 at a time.
-func (t *Tool) Look(ctx context.Context, list []Router) []Line {
-	lines := make([]Line, len(list))
-	t.Each(list, 64, func(i int, l *Link, err error) {
+// QueryStatus queries the status of routers, 64 at a time.
+func (t *Tool) QueryStatus(ctx context.Context, list []Router) []StatusLine {
+	lines := make([]StatusLine, len(list))
+	t.Each(list, 64, func(i int, l *ControlClient, err error) {
 		lines[i].Router = list[i]
 		if err == nil {
 			lines[i].RouterStatus, err = l.Status(ctx)
@@ -105,16 +105,16 @@
 
 // Plan returns a schedule of a rollout, based on the expected restart times of the fleet file.
 func (t *Tool) Plan(todo []Router) rollout.Schedule {
-	return rollout.Plan(t.File.Members(t.File.Routers), t.File.Members(todo), t.File.Limits(), 2000, 1)
+	return rollout.Plan(t.File.RolloutRouters(t.File.Routers), t.File.RolloutRouters(todo), t.File.Limits(), 2000, 1)
 }
 
 // eventFunc reports an event of a rollout to the operator.
 type eventFunc func(at time.Duration, kind, router, text string)
 
-// Roll runs a rollout, or continues the open one of the journal. It returns how
+// RunRollout runs a rollout, or continues the open one of the journal. It returns how
 // the rollout ended. After an error, another call with the same journal continues
 // the rollout.
-func (t *Tool) Roll(ctx context.Context, todo []Router, release string, j *Journal, report eventFunc) (rollout.Ending, error) {
+func (t *Tool) RunRollout(ctx context.Context, todo []Router, release string, j *Journal, report eventFunc) (rollout.Ending, error) {
 	var names []string
 	for _, r := range todo {
 		names = append(names, r.Name)
@@ -131,7 +131,7 @@
 		report(0, "on", "", fmt.Sprintf("going on with rollout %s: %d entries", j.Head.ID, len(j.Entries)))
 	}
 	r := &rolloutRun{tool: t, journal: j, report: report, start: time.Now(), inbox: make(chan func() []rollout.Effect, 64)}
-	r.planner = rollout.New(j.Head.ID, release, t.File.Members(t.File.Routers), t.File.Members(todo), j.Head.Order, t.File.Limits(), 0)
+	r.planner = rollout.New(j.Head.ID, release, t.File.RolloutRouters(t.File.Routers), t.File.RolloutRouters(todo), j.Head.Order, t.File.Limits(), 0)
 	r.planner.Restore(0, j.Entries)
 	return r.run(ctx)
 }
@@ -144,7 +144,7 @@
 	report  eventFunc
 	start   time.Time
 	inbox   chan func() []rollout.Effect
-	links   map[string]*Link
+	links   map[string]*ControlClient
 	wg      sync.WaitGroup
 	ending  rollout.Ending
 }
@@ -155,7 +155,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer r.wg.Wait()
 	defer cancel()
-	r.links = map[string]*Link{}
+	r.links = map[string]*ControlClient{}
 	for _, x := range r.tool.File.Routers {
 		l, err := r.tool.File.Connect(x, r.tool.Certs)
 		if err != nil {
@@ -195,7 +195,7 @@
 }
 
 // pollStatus passes a router's status to the planner at the polling interval, and reports errors once.
-func (r *rolloutRun) pollStatus(ctx context.Context, l *Link) {
+func (r *rolloutRun) pollStatus(ctx context.Context, l *ControlClient) {
 	last := ""
 	for ctx.Err() == nil {
 		st, err := l.Status(ctx)
@@ -265,7 +265,7 @@
 
 // sendRestart sends a restart command and passes its outcome to the planner.
 func (r *rolloutRun) sendRestart(ctx context.Context, e rollout.Restart) {
-	rep := r.links[e.Router].Do(ctx, Order{Op: pb.Command_RESTART, ID: e.ID, Release: e.Release, NoWait: true}, func(string, string, int) {})
+	rep := r.links[e.Router].Do(ctx, Command{Op: pb.Command_RESTART, ID: e.ID, Release: e.Release, NoWait: true}, func(string, string, int) {})
 	o := map[Outcome]rollout.Outcome{Done: rollout.Completed, Refused: rollout.Rejected, Unknown: rollout.NoAnswer,
 		Unreachable: rollout.Unreachable}[rep.Outcome]
 	r.post(ctx, func() []rollout.Effect { return r.planner.CommandResult(r.now(), e.Router, e.ID, o, rep.Note) })
--- a/internal/fleet/show.go
+++ b/internal/fleet/show.go
@@ -76,7 +76,7 @@
 }
 
 // WriteStatus writes the status of routers.
-func WriteStatus(w io.Writer, lines []Line) {
+func WriteStatus(w io.Writer, lines []StatusLine) {
 	writeTable(w, "router centre state for release sessions open served refused failed in-time clock certificate note", func(row func(...any)) {
 		for _, l := range lines {
 			if l.Err != nil {
@@ -91,7 +91,7 @@
 }
 
 // WriteLimits writes the state of the routers' admission control.
-func WriteLimits(w io.Writer, lines []Line) {
+func WriteLimits(w io.Writer, lines []StatusLine) {
 	writeTable(w, "router waiting in-hand room level divided-by passed turned-away", func(row func(...any)) {
 		for _, l := range lines {
 			if l.Err != nil || l.Limits == nil {
@@ -154,7 +154,7 @@
 }
 
 // StatusJSON returns statuses as a value for WriteJSON.
-func StatusJSON(lines []Line) any {
+func StatusJSON(lines []StatusLine) any {
 	type item struct {
 		Router  string          `json:"router"`
 		Centre  string          `json:"centre"`
@@ -200,7 +200,7 @@
 }
 
 // Engines writes a router's view of the engines.
-func (l *Link) Engines(ctx context.Context, w io.Writer) error {
+func (l *ControlClient) Engines(ctx context.Context, w io.Writer) error {
 	ctx, cancel := context.WithTimeout(ctx, l.times.Call)
 	defer cancel()
 	list, err := l.ctl.ListEngines(ctx, &pb.EnginesRequest{})
@@ -221,7 +221,7 @@
 }
 
 // Sessions writes a router's open sessions, at most limit of them.
-func (l *Link) Sessions(ctx context.Context, w io.Writer, limit int) error {
+func (l *ControlClient) Sessions(ctx context.Context, w io.Writer, limit int) error {
 	ctx, cancel := context.WithTimeout(ctx, l.times.Call)
 	defer cancel()
 	list, err := l.ctl.ListSessions(ctx, &pb.SessionsRequest{Most: int32(limit)})
@@ -238,7 +238,7 @@
 }
 
 // Diff writes the differences between a router's active settings and its file.
-func (l *Link) Diff(ctx context.Context, w io.Writer) error {
+func (l *ControlClient) Diff(ctx context.Context, w io.Writer) error {
 	ctx, cancel := context.WithTimeout(ctx, l.times.Call)
 	defer cancel()
 	d, err := l.ctl.DiffSettings(ctx, &pb.DiffRequest{})
@@ -261,7 +261,7 @@
 }
 
 // LogLevel sets a router's log level and returns it; "" leaves it as it is.
-func (l *Link) LogLevel(ctx context.Context, level string) (string, error) {
+func (l *ControlClient) LogLevel(ctx context.Context, level string) (string, error) {
 	ctx, cancel := context.WithTimeout(ctx, l.times.Call)
 	defer cancel()
 	got, err := l.ctl.SetLogLevel(ctx, &pb.LogLevel{Level: level})
@@ -274,7 +274,7 @@
 // Tail calls event with a router's events. With follow, it continues across
 // restarts of the router until the context is done. Times are corrected by the
 // estimated offset of the router's clock.
-func (l *Link) Tail(ctx context.Context, follow bool, event func(router string, at time.Time, e *pb.Event)) error {
+func (l *ControlClient) Tail(ctx context.Context, follow bool, event func(router string, at time.Time, e *pb.Event)) error {
 	after, boot := uint64(0), ""
 	for {
 		st, err := l.Status(ctx)
@@ -291,7 +291,7 @@
 	}
 }
 
-func (l *Link) tail(ctx context.Context, follow bool, after *uint64, ahead time.Duration, event func(string, time.Time, *pb.Event)) error {
+func (l *ControlClient) tail(ctx context.Context, follow bool, after *uint64, ahead time.Duration, event func(string, time.Time, *pb.Event)) error {
 	stream, err := l.ctl.Tail(ctx, &pb.TailRequest{After: *after, Follow: follow})
 	if err != nil {
 		return withoutCallInfo(err)
--- a/internal/front/batch.go
+++ b/internal/front/batch.go
@@ -25,7 +25,7 @@
 }
 
 func (x *exchange) embed(body []byte) *httpapi.Error {
-	req, apiErr := httpapi.ParseEmbeddings(body, x.conn.srv.cfg.Load().Sessions.TokenBytes)
+	req, apiErr := httpapi.ParseEmbeddings(body, x.conn.srv.cfg.Load().Sessions.BytesPerToken)
 	if apiErr != nil {
 		return apiErr
 	}
@@ -33,7 +33,7 @@
 }
 
 func (x *exchange) rerank(body []byte) *httpapi.Error {
-	req, apiErr := httpapi.ParseRerank(body, x.conn.srv.cfg.Load().Sessions.TokenBytes)
+	req, apiErr := httpapi.ParseRerank(body, x.conn.srv.cfg.Load().Sessions.BytesPerToken)
 	if apiErr != nil {
 		return apiErr
 	}
@@ -110,7 +110,7 @@
 	b.bodies[p.index] = a.Body
 	b.bytes += len(a.Body)
 	end := batch.End{Kind: endKinds[a.Outcome], RetryAfter: a.RetryAfter, Reason: a.Reason, MayHaveRun: a.MayHaveRun}
-	if b.bytes > int(b.x.conn.srv.cfg.Load().HTTP.Answer) {
+	if b.bytes > int(b.x.conn.srv.cfg.Load().HTTP.MaxAnswer) {
 		end = batch.End{Kind: batch.Failed, Reason: "the answer is too large", MayHaveRun: true}
 	}
 	if a.Outcome == driver.Refused {
@@ -121,14 +121,14 @@
 
 // apply carries out actions. It is called with b.mu held and releases it.
 func (b *batchRun) apply(actions []batch.Action) {
-	var asks []batch.Ask
+	var asks []batch.Submit
 	var abandoned []*admission.Ticket
 	var final *driver.Answer
 	for _, act := range actions {
 		switch a := act.(type) {
-		case batch.Ask:
+		case batch.Submit:
 			asks = append(asks, a)
-		case batch.Drop:
+		case batch.Cancel:
 			if t := b.tickets[a.Part]; t != nil {
 				abandoned = append(abandoned, t)
 			}
@@ -171,11 +171,11 @@
 }
 
 // submit hands one part to admission. The whole request is charged already, so the part isn't.
-func (b *batchRun) submit(a batch.Ask) {
+func (b *batchRun) submit(a batch.Submit) {
 	p := b.parts[a.Part]
 	job := b.x.job
-	job.Paid, job.PromptSize = true, max(p.Tokens, 1)
-	job.Begun = a.Begun
+	job.Charged, job.PromptSize = true, max(p.Tokens, 1)
+	job.PartsRun = a.PartsRun
 	job.Body = b.req.EngineBody(p.From, p.To, p.Tokens)
 	job.CheckAnswer = func(body []byte) error { return b.req.Check(body, p.To-p.From) }
 	job.Timeout = max(b.x.job.Timeout-time.Since(b.start), 0)
@@ -197,7 +197,7 @@
 // clientGone cancels the batch when its client has disconnected.
 func (b *batchRun) clientGone() {
 	b.mu.Lock()
-	b.apply(b.machine.Left())
+	b.apply(b.machine.ClientDisconnected())
 }
 
 // finish writes the answer. The parts are joined here, on the connection's own goroutine.
--- a/internal/front/caller.go
+++ b/internal/front/caller.go
@@ -39,7 +39,7 @@
 func (s *Server) authenticate(req *http1.Request, spiffeID string) (callerIdentity, *httpapi.Error) {
 	cfg, caller := s.cfg.Load(), callerIdentity{tenant: -1}
 	if spiffeID != "" {
-		if t := cfg.TenantOf(spiffeID); t >= 0 {
+		if t := cfg.TenantIndexForID(spiffeID); t >= 0 {
 			caller = callerIdentity{tenant: t, tenantName: cfg.Tenants[t].Name, client: max(xxhash.Sum64String(spiffeID), 1)}
 		}
 	}
@@ -54,7 +54,7 @@
 	k, ok := table.Find(time.Now(), strings.TrimSpace(apiKey))
 	tenant := -1
 	if ok {
-		tenant = cfg.TenantNamed(k.Tenant)
+		tenant = cfg.TenantIndex(k.Tenant)
 	}
 	if tenant < 0 || caller.tenant >= 0 && caller.tenant != tenant {
 		return caller, &httpapi.Error{Status: 401, Type: httpapi.InvalidRequest, Code: "invalid_api_key", Message: "no such API key"}
@@ -73,7 +73,7 @@
 
 // hasPriorAttempt reports whether a request's metadata marks it as a retry.
 func hasPriorAttempt(meta func(string) (string, bool)) bool {
-	text, _ := meta(realtime.MetaTry)
+	text, _ := meta(realtime.MetaAttempt)
 	n, err := strconv.Atoi(text)
 	return err == nil && n > 1
 }
@@ -87,6 +87,6 @@
 	if name == "" {
 		return -1, "", true
 	}
-	t := s.cfg.Load().TenantNamed(name)
+	t := s.cfg.Load().TenantIndex(name)
 	return t, name, t >= 0
 }
--- a/internal/front/chat.go
+++ b/internal/front/chat.go
@@ -76,7 +76,7 @@
 	}
 	if !k.req.Stream {
 		k.text = append(k.text, text[1:len(text)-1]...)
-		k.tooLarge = len(k.text) > int(k.x.conn.srv.cfg.Load().HTTP.Answer)
+		k.tooLarge = len(k.text) > int(k.x.conn.srv.cfg.Load().HTTP.MaxAnswer)
 		return !k.tooLarge
 	}
 	k.event = k.event[:0]
@@ -100,7 +100,7 @@
 
 // send writes a part of the event stream.
 func (k *chatSink) send(p []byte) {
-	k.x.conn.nc.SetWriteDeadline(time.Now().Add(k.x.conn.srv.cfg.Load().HTTP.Write))
+	k.x.conn.nc.SetWriteDeadline(time.Now().Add(k.x.conn.srv.cfg.Load().HTTP.WriteTimeout))
 	var err error
 	if k.x.req.Minor == 1 {
 		err = http1.WriteChunk(k.x.conn.bw, p)
--- a/internal/front/exchange.go
+++ b/internal/front/exchange.go
@@ -52,7 +52,7 @@
 		}
 	}()
 	defer func() {
-		c.srv.bodies.Give(c.bodyBytes)
+		c.srv.bodies.Release(c.bodyBytes)
 		c.bodyBytes = 0
 	}()
 	draining := c.srv.isDraining()
@@ -113,9 +113,9 @@
 // prepareJob fills in the fields of the job that all kinds of work have in common.
 func (x *exchange) prepareJob(work settings.Work, model string, meta func(string) (string, bool)) *httpapi.Error {
 	cfg := x.conn.srv.cfg.Load()
-	x.class = cfg.ClassOf(work)
+	x.class = cfg.ClassIndexForWork(work)
 	if name, ok := meta(realtime.MetaClass); ok {
-		x.class = cfg.ClassNamed(name)
+		x.class = cfg.ClassIndex(name)
 	}
 	if x.class < 0 || cfg.Classes[x.class].Work != work {
 		return &httpapi.Error{Status: 404, Type: httpapi.InvalidRequest, Code: "unknown_class", Param: metaHeader(realtime.MetaClass),
@@ -158,7 +158,7 @@
 		x.keyOpen = true
 		return true
 	case idempotency.TableFull:
-		x.answerUnsubmitted(driver.Answer{Outcome: driver.Refused, Reason: "too many keys are remembered", RetryAfter: x.conn.srv.cfg.Load().Limits.RetryAfter})
+		x.answerUnsubmitted(driver.Answer{Outcome: driver.Refused, Reason: "too many keys are remembered", RetryAfter: x.conn.srv.cfg.Load().Limits.MaxRetryAfter})
 	default:
 		x.answerUnsubmitted(driver.Answer{Outcome: driver.Failed, Reason: "an earlier try with this key: " + v.String()})
 	}
@@ -239,7 +239,7 @@
 	if !x.keepAlive {
 		h = append(h, http1.Field{Name: "Connection", Value: "close"})
 	}
-	x.conn.nc.SetWriteDeadline(time.Now().Add(x.conn.srv.cfg.Load().HTTP.Write))
+	x.conn.nc.SetWriteDeadline(time.Now().Add(x.conn.srv.cfg.Load().HTTP.WriteTimeout))
 	http1.WriteHead(x.conn.bw, fmt.Sprintf("HTTP/1.1 %d %s", status, reasonPhrases[status]), h)
 }
 
@@ -252,7 +252,7 @@
 func (x *exchange) write(p []byte) {
 	for len(p) > 0 {
 		n := min(len(p), 64<<10)
-		x.conn.nc.SetWriteDeadline(time.Now().Add(x.conn.srv.cfg.Load().HTTP.Write))
+		x.conn.nc.SetWriteDeadline(time.Now().Add(x.conn.srv.cfg.Load().HTTP.WriteTimeout))
 		if _, err := x.conn.bw.Write(p[:n]); err != nil {
 			x.keepAlive = false
 			return
--- a/internal/front/httpconn.go
+++ b/internal/front/httpconn.go
@@ -41,7 +41,7 @@
 
 // serve reads requests until the connection ends; one that is upgraded becomes a session.
 func (s *Server) serve(nc net.Conn) {
-	nc.SetDeadline(time.Now().Add(s.cfg.Load().Sessions.Handshake))
+	nc.SetDeadline(time.Now().Add(s.cfg.Load().Sessions.HandshakeTimeout))
 	c := &httpConn{srv: s, raw: nc, nc: nc}
 	if s.tls != nil {
 		t := tls.Server(nc, s.tls)
@@ -61,7 +61,7 @@
 	if !first && !c.awaitRequest() {
 		return false
 	}
-	c.nc.SetDeadline(time.Now().Add(c.srv.cfg.Load().Sessions.Handshake))
+	c.nc.SetDeadline(time.Now().Add(c.srv.cfg.Load().Sessions.HandshakeTimeout))
 	req, err := http1.ReadRequest(c.br)
 	if err != nil {
 		c.rejectHead(err)
@@ -89,7 +89,7 @@
 // awaitRequest waits for the first byte of the next request and reports whether it came.
 func (c *httpConn) awaitRequest() bool {
 	c.srv.setIdle(c.raw, true)
-	c.nc.SetReadDeadline(time.Now().Add(c.srv.cfg.Load().HTTP.Idle))
+	c.nc.SetReadDeadline(time.Now().Add(c.srv.cfg.Load().HTTP.IdleTimeout))
 	if c.srv.isDraining() { // the drain may have started before the deadline was set
 		c.nc.SetReadDeadline(pastDeadline)
 	}
@@ -148,7 +148,7 @@
 
 // readBody reads a request's body, after 100 Continue if the client expects it.
 func (c *httpConn) readBody(req *http1.Request) ([]byte, *httpapi.Error) {
-	limit := int64(c.srv.cfg.Load().HTTP.Body)
+	limit := int64(c.srv.cfg.Load().HTTP.MaxBody)
 	tooLarge := &httpapi.Error{Status: 413, Type: httpapi.InvalidRequest, Code: "too_large",
 		Message: "the body is larger than " + strconv.FormatInt(limit, 10) + " bytes"}
 	b, err := http1.RequestBody(c.br, req.Header)
@@ -166,15 +166,15 @@
 		c.bw.WriteString("HTTP/1.1 100 Continue\r\n\r\n")
 		c.bw.Flush()
 	}
-	c.nc.SetReadDeadline(time.Now().Add(c.srv.cfg.Load().HTTP.Read))
-	text, held, err := b.ReadWhole(limit, int64(c.srv.cfg.Load().HTTP.Bodies), &c.srv.bodies)
+	c.nc.SetReadDeadline(time.Now().Add(c.srv.cfg.Load().HTTP.ReadTimeout))
+	text, held, err := b.ReadAll(limit, int64(c.srv.cfg.Load().HTTP.MaxBodies), &c.srv.bodies)
 	if err != nil { // freed before the answer, since the client may retry at once on another connection
-		c.srv.bodies.Give(held)
+		c.srv.bodies.Release(held)
 	} else {
 		c.bodyBytes += held
 	}
 	switch {
-	case errors.Is(err, http1.ErrCrowded):
+	case errors.Is(err, http1.ErrBudgetExceeded):
 		return nil, &httpapi.Error{Status: 503, Type: httpapi.Overloaded, Code: httpapi.CodeRefused, Message: err.Error() + "; nothing has run"}
 	case errors.Is(err, http1.ErrBodyTooLarge):
 		return nil, tooLarge
--- a/internal/front/keytable.go
+++ b/internal/front/keytable.go
@@ -18,7 +18,7 @@
 }
 
 func newKeyTable(cfg *settings.File) *keyTable {
-	return &keyTable{table: idempotency.New(cfg.Limits.Remember, cfg.Limits.Keys), start: time.Now(), settings: cfg.Module()}
+	return &keyTable{table: idempotency.New(cfg.Limits.KeyRetention, cfg.Limits.MaxKeys), start: time.Now(), settings: cfg.Module()}
 }
 
 func (g *keyTable) begin(scope idempotency.Scope, retry bool) idempotency.Verdict {
--- a/internal/front/response.go
+++ b/internal/front/response.go
@@ -62,7 +62,7 @@
 		retried := retry || hasPriorAttempt(func(name string) (string, bool) { v, ok := p.Metadata[name]; return v, ok })
 		r.ticket = c.srv.admission.Submit(admission.Job{Job: job, Client: c.srv.clientKey(c.caller, job.Tenant), Retry: retried}, r)
 	case idempotency.TableFull:
-		r.answerUnsubmitted(&job, driver.Answer{Outcome: driver.Refused, RetryAfter: c.srv.cfg.Load().Limits.RetryAfter,
+		r.answerUnsubmitted(&job, driver.Answer{Outcome: driver.Refused, RetryAfter: c.srv.cfg.Load().Limits.MaxRetryAfter,
 			Reason: "too many keys are remembered"})
 	default:
 		r.answerUnsubmitted(&job, driver.Answer{Outcome: driver.Failed, Reason: "an earlier try with this key: " + v.String()})
@@ -81,13 +81,13 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case c.revoked || c.caller.keyID != "" && !c.srv.keys.Load().Good(time.Now(), c.caller.keyID): // the key may have expired
+	case c.revoked || c.caller.keyID != "" && !c.srv.keys.Load().Valid(time.Now(), c.caller.keyID): // the key may have expired
 		return "invalid_api_key", "the session's API key was taken back"
 	case c.draining:
 		return "going_away", "the router stops; open a session elsewhere"
 	case !r.outOfBand && c.active != nil:
 		return "conversation_already_has_active_response", "the conversation has an open response"
-	case len(c.open) >= c.srv.cfg.Load().Sessions.Responses:
+	case len(c.open) >= c.srv.cfg.Load().Sessions.MaxResponses:
 		return "too_many_responses", "the session has too many open responses"
 	}
 	if c.open == nil {
@@ -98,7 +98,7 @@
 	if !r.outOfBand {
 		c.active = r
 	}
-	c.sendLocked(&realtime.Server{Type: realtime.ResponseCreated, Response: r.describe("in_progress")})
+	c.sendLocked(&realtime.ServerEvent{Type: realtime.ResponseCreated, Response: r.describe("in_progress")})
 	return "", ""
 }
 
@@ -120,7 +120,7 @@
 	if !r.started {
 		r.start()
 	}
-	if len(r.text)+len(text) <= int(c.srv.cfg.Load().Sessions.Message) {
+	if len(r.text)+len(text) <= int(c.srv.cfg.Load().Sessions.MaxMessage) {
 		r.text = append(r.text, text[1:len(text)-1]...)
 	} else {
 		r.tooLong = true
@@ -134,8 +134,8 @@
 	r.started = true
 	item := realtime.Item{ID: r.item, Object: "realtime.item", Type: "message", Status: "in_progress",
 		Role: "assistant", Content: []realtime.Part{}}
-	r.session.sendLocked(&realtime.Server{Type: realtime.OutputItemAdded, ResponseID: r.id, Item: &item})
-	r.session.sendLocked(&realtime.Server{Type: realtime.PartAdded, ResponseID: r.id, ItemID: r.item})
+	r.session.sendLocked(&realtime.ServerEvent{Type: realtime.OutputItemAdded, ResponseID: r.id, Item: &item})
+	r.session.sendLocked(&realtime.ServerEvent{Type: realtime.PartAdded, ResponseID: r.id, ItemID: r.item})
 }
 
 // Final writes the final answer, once; no event of the response follows it.
@@ -159,7 +159,7 @@
 	if r.started {
 		res.Output = append(res.Output, r.endItem(status))
 	}
-	c.sendLocked(&realtime.Server{Type: realtime.ResponseDone, Response: res})
+	c.sendLocked(&realtime.ServerEvent{Type: realtime.ResponseDone, Response: res})
 	delete(c.open, r.id)
 	if c.active == r {
 		c.active = nil
@@ -182,9 +182,9 @@
 		item.Status = "incomplete"
 	}
 	c := r.session
-	c.sendLocked(&realtime.Server{Type: realtime.TextDone, ResponseID: r.id, ItemID: r.item, Text: text})
-	c.sendLocked(&realtime.Server{Type: realtime.PartDone, ResponseID: r.id, ItemID: r.item})
-	c.sendLocked(&realtime.Server{Type: realtime.OutputItemDone, ResponseID: r.id, Item: &item})
+	c.sendLocked(&realtime.ServerEvent{Type: realtime.TextDone, ResponseID: r.id, ItemID: r.item, Text: text})
+	c.sendLocked(&realtime.ServerEvent{Type: realtime.PartDone, ResponseID: r.id, ItemID: r.item})
+	c.sendLocked(&realtime.ServerEvent{Type: realtime.OutputItemDone, ResponseID: r.id, Item: &item})
 	if !r.outOfBand {
 		c.finished = append(c.finished, item)
 	}
@@ -219,7 +219,7 @@
 		c.bytes += itemBytes(text)
 		c.items = append(c.items, item)
 	}
-	for c.bytes > int(c.srv.cfg.Load().Sessions.Conversation) && len(c.items) > 0 {
+	for c.bytes > int(c.srv.cfg.Load().Sessions.MaxConversation) && len(c.items) > 0 {
 		text, _ := c.items[0].Text()
 		c.bytes -= itemBytes(text)
 		c.items = c.items[1:]
@@ -298,9 +298,9 @@
 
 func (c *session) class(m map[string]string) (int, *fieldError) {
 	cfg := c.srv.cfg.Load()
-	i := cfg.ClassOf(settings.Chat)
+	i := cfg.ClassIndexForWork(settings.Chat)
 	if name, ok := m[realtime.MetaClass]; ok {
-		i = cfg.ClassNamed(name)
+		i = cfg.ClassIndex(name)
 	}
 	if i < 0 || cfg.Classes[i].Work != settings.Chat {
 		return 0, &fieldError{"response.metadata.class", "no class of chat has this name"}
@@ -347,7 +347,7 @@
 // the length of the text.
 func (s *Server) applySizes(job *driver.Job, meta func(name string) (string, bool)) *fieldError {
 	if job.Prompt != "" {
-		job.PromptSize = tokenCount(job.Prompt, s.cfg.Load().Sessions.TokenBytes)
+		job.PromptSize = tokenCount(job.Prompt, s.cfg.Load().Sessions.BytesPerToken)
 	}
 	timeoutMS := 0.0
 	for _, f := range []struct {
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -66,19 +66,19 @@
 	return s
 }
 
-// Swap replaces the settings. Sessions use them from their next event on; settings of connections apply to new
+// SetSettings replaces the settings. Sessions use them from their next event on; settings of connections apply to new
 // connections.
-func (s *Server) Swap(cfg *settings.File) { s.cfg.Store(cfg) }
+func (s *Server) SetSettings(cfg *settings.File) { s.cfg.Store(cfg) }
 
-// OnLeave sets the function that is called when a connection or an accept loop has ended. Call it before Serve.
-func (s *Server) OnLeave(onConnEnd func()) { s.onConnEnd = onConnEnd }
+// OnConnectionEnd sets the function that is called when a connection or an accept loop has ended. Call it before Serve.
+func (s *Server) OnConnectionEnd(onConnEnd func()) { s.onConnEnd = onConnEnd }
 
-// Secure enables TLS. Call it before Serve.
-func (s *Server) Secure(cfg *tls.Config) { s.tls = cfg }
+// SetTLS enables TLS. Call it before Serve.
+func (s *Server) SetTLS(cfg *tls.Config) { s.tls = cfg }
 
-// Keys replaces the table of API keys; from now on clients must present one of them. For each revoked key, requests in
+// SetAPIKeys replaces the table of API keys; from now on clients must present one of them. For each revoked key, requests in
 // progress run to their end, queued ones are refused, and sessions accept nothing new and close.
-func (s *Server) Keys(t *apikeys.Table, revoked []*apikeys.Key) {
+func (s *Server) SetAPIKeys(t *apikeys.Table, revoked []*apikeys.Key) {
 	s.keys.Store(t)
 	for _, k := range revoked {
 		s.admission.Revoke(k.Client())
@@ -86,14 +86,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.sessions {
-		if c.caller.keyID != "" && !t.Good(time.Now(), c.caller.keyID) {
+		if c.caller.keyID != "" && !t.Valid(time.Now(), c.caller.keyID) {
 			go c.revoke()
 		}
 	}
 }
 
-// Boot returns the id of this run of the router: its name and start time.
-func (s *Server) Boot() string { return s.incarnation }
+// Incarnation returns the id of this run of the router: its name and start time.
+func (s *Server) Incarnation() string { return s.incarnation }
 
 // Serve accepts connections until the listener closes.
 func (s *Server) Serve(ln net.Listener) error {
@@ -135,7 +135,7 @@
 func (s *Server) addConn(nc net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.ended || len(s.connStates) >= s.cfg.Load().Sessions.Most {
+	if s.ended || len(s.connStates) >= s.cfg.Load().Sessions.MaxSessions {
 		return false
 	}
 	s.connStates[nc] = &connState{acceptedAt: time.Now()}
@@ -157,8 +157,8 @@
 	return s.draining
 }
 
-// Sessions returns the number of open sessions.
-func (s *Server) Sessions() int {
+// SessionCount returns the number of open sessions.
+func (s *Server) SessionCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.sessions)
@@ -191,9 +191,9 @@
 	s.mu.Unlock()
 }
 
-// Open returns the number of connections that have not ended; after Turn only of those that were accepted before it.
+// OpenConnections returns the number of connections that have not ended; after Turn only of those that were accepted before it.
 // Once the listeners are closed it includes the accept loops that are still running.
-func (s *Server) Open() int {
+func (s *Server) OpenConnections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.listenersClosed {
@@ -208,16 +208,16 @@
 	return n
 }
 
-// Accept ends a drain: new sessions and requests are accepted again. Sessions that are draining still close.
-func (s *Server) Accept() {
+// Resume ends a drain: new sessions and requests are accepted again. Sessions that are draining still close.
+func (s *Server) Resume() {
 	s.mu.Lock()
 	s.draining = false
 	s.mu.Unlock()
 }
 
-// Turn starts a drain: no new sessions or responses are accepted, and open responses run to their end. A session without
+// Drain starts a drain: no new sessions or responses are accepted, and open responses run to their end. A session without
 // open responses is closed with code 1001 (going away). listenersClosed says that the listeners won't reopen.
-func (s *Server) Turn(listenersClosed bool) {
+func (s *Server) Drain(listenersClosed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.draining, s.listenersClosed, s.drainedAt = true, listenersClosed, time.Now()
@@ -243,8 +243,8 @@
 	}
 }
 
-// Cut closes every connection at once.
-func (s *Server) Cut() {
+// CloseAll closes every connection at once.
+func (s *Server) CloseAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for nc := range s.connStates {
@@ -252,29 +252,29 @@
 	}
 }
 
-// End accepts no more connections, closes those that remain and waits for their goroutines.
-func (s *Server) End() {
+// Shutdown accepts no more connections, closes those that remain and waits for their goroutines.
+func (s *Server) Shutdown() {
 	s.mu.Lock()
 	s.ended, s.draining = true, true
 	s.mu.Unlock()
-	s.Cut()
+	s.CloseAll()
 	s.wg.Wait()
 }
 
-// Sight describes a session for operators.
-type Sight struct {
-	ID    string
-	Since time.Time
-	Open  int  // responses that are open
-	Made  int  // responses requested so far
-	Going bool // draining: it closes once no response is open
+// SessionInfo describes a session for operators.
+type SessionInfo struct {
+	ID            string
+	Since         time.Time
+	OpenResponses int  // responses that are open
+	Responses     int  // responses requested so far
+	Draining      bool // draining: it closes once no response is open
 }
 
-// Sights lists up to limit sessions, in no order.
-func (s *Server) Sights(limit int) []Sight {
+// SessionInfos lists up to limit sessions, in no order.
+func (s *Server) SessionInfos(limit int) []SessionInfo {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var list []Sight
+	var list []SessionInfo
 	for c := range s.sessions {
 		if len(list) == limit {
 			break
--- a/internal/front/session.go
+++ b/internal/front/session.go
@@ -54,7 +54,7 @@
 		return
 	}
 	defer s.removeSession(c)
-	c.send(&realtime.Server{Type: realtime.SessionCreated, Session: c.describe()})
+	c.send(&realtime.ServerEvent{Type: realtime.SessionCreated, Session: c.describe()})
 	if draining {
 		c.drain()
 	}
@@ -107,13 +107,13 @@
 }
 
 // send writes an event. Event ids are numbered in the order of sending.
-func (c *session) send(ev *realtime.Server) {
+func (c *session) send(ev *realtime.ServerEvent) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.sendLocked(ev)
 }
 
-func (c *session) sendLocked(ev *realtime.Server) {
+func (c *session) sendLocked(ev *realtime.ServerEvent) {
 	c.events++
 	ev.EventID = fmt.Sprintf("event_%d", c.events)
 	msg, err := json.Marshal(ev)
@@ -124,7 +124,7 @@
 }
 
 func (c *session) sendError(e *realtime.Error) {
-	c.send(&realtime.Server{Type: realtime.ErrorType, Error: e})
+	c.send(&realtime.ServerEvent{Type: realtime.ErrorType, Error: e})
 }
 
 func (c *session) fail(eventID, kind, code, msg, param string) {
@@ -145,7 +145,7 @@
 		return
 	}
 	if ev.Session.Instructions != nil {
-		if len(*ev.Session.Instructions) > int(c.srv.cfg.Load().Sessions.Conversation) {
+		if len(*ev.Session.Instructions) > int(c.srv.cfg.Load().Sessions.MaxConversation) {
 			c.fail(ev.EventID, "invalid_request_error", "too_long", "the instructions are too long", "session.instructions")
 			return
 		}
@@ -154,7 +154,7 @@
 	if ev.Session.MaxTokens != nil {
 		c.maxTokens = int(*ev.Session.MaxTokens)
 	}
-	c.send(&realtime.Server{Type: realtime.SessionUpdated, Session: c.describe()})
+	c.send(&realtime.ServerEvent{Type: realtime.SessionUpdated, Session: c.describe()})
 }
 
 func (c *session) newID(kind string) string {
@@ -173,7 +173,7 @@
 		c.fail(ev.EventID, "invalid_request_error", "invalid_item", "an item's parts are texts; its id has 64 bytes at most", "item")
 		return
 	}
-	if c.bytes+itemBytes(text) > int(c.srv.cfg.Load().Sessions.Conversation) {
+	if c.bytes+itemBytes(text) > int(c.srv.cfg.Load().Sessions.MaxConversation) {
 		c.fail(ev.EventID, "invalid_request_error", "too_long", "the conversation is full; delete items", "item")
 		return
 	}
@@ -186,8 +186,8 @@
 	item.Object, item.Status = "realtime.item", "completed"
 	c.bytes += itemBytes(text)
 	c.items = append(c.items, item)
-	c.send(&realtime.Server{Type: realtime.ItemAdded, Item: &item})
-	c.send(&realtime.Server{Type: realtime.ItemDone, Item: &item})
+	c.send(&realtime.ServerEvent{Type: realtime.ItemAdded, Item: &item})
+	c.send(&realtime.ServerEvent{Type: realtime.ItemDone, Item: &item})
 }
 
 // itemBytes returns the size of an item for the limit of a conversation: its text plus a flat 128 bytes, since empty
@@ -208,7 +208,7 @@
 	text, _ := c.items[i].Text()
 	c.bytes -= itemBytes(text)
 	c.items = slices.Delete(c.items, i, i+1)
-	c.send(&realtime.Server{Type: realtime.ItemDeleted, ItemID: ev.ItemID})
+	c.send(&realtime.ServerEvent{Type: realtime.ItemDeleted, ItemID: ev.ItemID})
 }
 
 func (c *session) cancel(ev *realtime.Client) {
@@ -239,10 +239,10 @@
 }
 
 // info describes the session for operators.
-func (c *session) info() Sight {
+func (c *session) info() SessionInfo {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return Sight{ID: c.id, Since: c.since, Open: len(c.open), Made: c.responses, Going: c.draining}
+	return SessionInfo{ID: c.id, Since: c.since, OpenResponses: len(c.open), Responses: c.responses, Draining: c.draining}
 }
 
 // drain refuses new responses and closes the session as soon as none is open.
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -221,16 +221,16 @@
 	s.conn.Close()
 }
 
-// Link is the successor's connection to its predecessor. A nil Link has no listeners and no files.
-type Link struct {
+// Predecessor is the successor's connection to its predecessor. A nil Link has no listeners and no files.
+type Predecessor struct {
 	State
 	files  map[string]*os.File
 	conn   *net.UnixConn
 	reader *bufio.Reader
 }
 
-// Take receives the state and the descriptors from the predecessor. It returns nil if this process has none.
-func Take() (*Link, error) {
+// Receive receives the state and the descriptors from the predecessor. It returns nil if this process has none.
+func Receive() (*Predecessor, error) {
 	if os.Getenv(envVar) == "" {
 		return nil, nil
 	}
@@ -240,7 +240,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &Link{conn: conn, reader: bufio.NewReaderSize(conn, 4096), files: map[string]*os.File{}}
+	p := &Predecessor{conn: conn, reader: bufio.NewReaderSize(conn, 4096), files: map[string]*os.File{}}
 	conn.SetReadDeadline(time.Now().Add(5 * time.Second))
 	if err := readMessage(p.reader, &p.State); err != nil {
 		conn.Close()
@@ -255,7 +255,7 @@
 }
 
 // Listener returns the passed listener of that name, or nil if there is none. It can be claimed once.
-func (p *Link) Listener(name string) (net.Listener, error) {
+func (p *Predecessor) Listener(name string) (net.Listener, error) {
 	if p == nil || p.files[name] == nil {
 		return nil, nil
 	}
@@ -270,7 +270,7 @@
 }
 
 // File returns the passed descriptor of that name, or nil if there is none. It can be claimed once.
-func (p *Link) File(name string) *os.File {
+func (p *Predecessor) File(name string) *os.File {
 	if p == nil {
 		return nil
 	}
@@ -280,20 +280,20 @@
 }
 
 // Ready reports to the predecessor that this process serves; the predecessor then stops.
-func (p *Link) Ready(boot string) error {
+func (p *Predecessor) Ready(boot string) error {
 	p.closeUnclaimed()
 	return writeMessage(p.conn, message{Ready: true, Boot: boot})
 }
 
 // Fail reports to the predecessor why this process does not serve; the predecessor goes on serving.
-func (p *Link) Fail(err error) {
+func (p *Predecessor) Fail(err error) {
 	writeMessage(p.conn, message{Failed: err.Error()})
 	p.closeUnclaimed()
 	p.conn.Close()
 }
 
 // closeUnclaimed closes the descriptors that were not claimed because the settings no longer name their port.
-func (p *Link) closeUnclaimed() {
+func (p *Predecessor) closeUnclaimed() {
 	for _, f := range p.files {
 		f.Close()
 	}
@@ -301,7 +301,7 @@
 }
 
 // Follow calls open with the predecessor's number of open requests until the predecessor has ended.
-func (p *Link) Follow(open func(n int)) {
+func (p *Predecessor) Follow(open func(n int)) {
 	for {
 		var m message
 		if err := readMessage(p.reader, &m); err != nil {
@@ -313,4 +313,4 @@
 }
 
 // Close closes the connection, which ends Follow.
-func (p *Link) Close() { p.conn.Close() }
+func (p *Predecessor) Close() { p.conn.Close() }
--- a/internal/heldstate/ledger.go
+++ b/internal/heldstate/ledger.go
@@ -193,8 +193,8 @@
 // PendingCount returns the number of entries and compact holdings that wait for evidence with no attempt to come.
 func (l *Ledger) PendingCount() int { return len(l.pending) + l.compactCount }
 
-// HasConfirmedPending reports whether anything is pending but half-open attempts that may run beyond their timeouts.
-func (l *Ledger) HasConfirmedPending() bool {
+// HasRequiredReleases reports whether anything is pending but half-open attempts that may run beyond their timeouts.
+func (l *Ledger) HasRequiredReleases() bool {
 	return l.compactCount > 0 || slices.ContainsFunc(l.pending, func(e *entry) bool { return !e.onlyOverdue() })
 }
 
@@ -244,9 +244,9 @@
 	return e
 }
 
-// AttemptBegunBy records by when the server of an attempt in flight has started it, if it has arrived: the server has answered
+// AttemptStartedBy records by when the server of an attempt in flight has started it, if it has arrived: the server has answered
 // a call that was sent after it.
-func (l *Ledger) AttemptBegunBy(key, server string, reads bool, by time.Time) {
+func (l *Ledger) AttemptStartedBy(key, server string, reads bool, by time.Time) {
 	kind := queuedWrite
 	if reads {
 		kind = readState
--- a/internal/heldstate/lostclose_test.go
+++ b/internal/heldstate/lostclose_test.go
@@ -160,7 +160,7 @@
 	c.l.AttemptStarted("k", terms, "reader", true, c.now)
 	c.l.ReadEnded("k", "reader", Completed, c.now)
 	c.l.AttemptStarted("k", terms, "writer", false, c.now)
-	c.l.AttemptBegunBy("k", "writer", false, c.now)
+	c.l.AttemptStartedBy("k", "writer", false, c.now)
 	c.advance(200 * ms)
 	c.l.WriteEnded("k", "writer", ClosedByRouter, c.now)
 	c.l.ServerAnswered("writer", c.now.Add(30*ms), c.now.Add(30*ms), c.now.Add(30*ms))
--- a/internal/heldstate/reference_test.go
+++ b/internal/heldstate/reference_test.go
@@ -368,7 +368,7 @@
 		ended = true
 		p.logf("%s: read at %s ended %d", key, s.name, end)
 		if end == ClosedByRouter {
-			p.l.AttemptBegunBy(key, s.name, true, a.startedBy)
+			p.l.AttemptStartedBy(key, s.name, true, a.startedBy)
 		}
 		p.l.ReadEnded(key, s.name, end, p.now)
 		next()
@@ -472,7 +472,7 @@
 			ended = true
 			p.logf("%s: write at %s ended %d", key, s.name, end)
 			if end == ClosedByRouter {
-				p.l.AttemptBegunBy(key, s.name, false, a.startedBy)
+				p.l.AttemptStartedBy(key, s.name, false, a.startedBy)
 			}
 			p.l.WriteEnded(key, s.name, end, p.now)
 		}
--- a/internal/holdmonitor/monitor.go
+++ b/internal/holdmonitor/monitor.go
@@ -84,9 +84,9 @@
 
 // Report describes a key without answers.
 type Report struct {
-	Request   string
-	SilentFor time.Duration
-	Calls     []string // the most recent calls, oldest first
+	Request       string
+	UnansweredFor time.Duration
+	Calls         []string // the most recent calls, oldest first
 }
 
 // Monitor records the calls by key. It is not safe for concurrent use.
@@ -193,7 +193,7 @@
 			at = k.lastAnswer.Add(maxAge + time.Millisecond)
 		case !at.After(now):
 			k.reported = true
-			reports = append(reports, Report{Request: k.request, SilentFor: now.Sub(k.lastAnswer), Calls: k.describe(now)})
+			reports = append(reports, Report{Request: k.request, UnansweredFor: now.Sub(k.lastAnswer), Calls: k.describe(now)})
 			at = k.lastAnswer.Add(maxAge + time.Millisecond)
 		}
 		m.scheduleCheck(at)
--- a/internal/holdmonitor/monitor_test.go
+++ b/internal/holdmonitor/monitor_test.go
@@ -26,7 +26,7 @@
 	expectReports(249*ms, 0)
 	r := expectReports(20*ms, 1)[0]
 	want := []string{"read at reader sent 269ms ago, in flight", "reservation at writer sent 269ms ago, in flight"}
-	if r.Request != "r" || r.SilentFor != 269*ms || !slices.Equal(r.Calls, want) {
+	if r.Request != "r" || r.UnansweredFor != 269*ms || !slices.Equal(r.Calls, want) {
 		t.Errorf("%+v", r)
 	}
 	expectReports(time.Second, 0)
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -27,8 +27,8 @@
 	ErrTooLarge  = errors.New("http: head too large")
 	ErrMalformed = errors.New("http: malformed message")
 
-	ErrBodyTooLarge = errors.New("http: body too large")
-	ErrCrowded      = errors.New("http: too many large bodies are under way")
+	ErrBodyTooLarge   = errors.New("http: body too large")
+	ErrBudgetExceeded = errors.New("http: too many large bodies are under way")
 )
 
 // Field is one header field; its name keeps its case.
@@ -265,11 +265,11 @@
 	return b.remaining
 }
 
-// Bound sets the largest chunk size; a larger chunk fails with ErrTooLarge before its data is read.
-func (b *Body) Bound(chunk int64) { b.maxChunk = chunk }
+// LimitChunk sets the largest chunk size; a larger chunk fails with ErrTooLarge before its data is read.
+func (b *Body) LimitChunk(chunk int64) { b.maxChunk = chunk }
 
-// Whole reports whether the body has been read to its end, so that the connection can be reused.
-func (b *Body) Whole() bool { return b.done && !b.untilClose }
+// Complete reports whether the body has been read to its end, so that the connection can be reused.
+func (b *Body) Complete() bool { return b.done && !b.untilClose }
 
 // Read reads the content, without chunk framing.
 func (b *Body) Read(p []byte) (int, error) {
@@ -372,8 +372,8 @@
 // Budget counts the bytes of all bodies that are in memory at the same time. Its zero value is ready for use.
 type Budget struct{ used atomic.Int64 }
 
-// Take counts n bytes, unless the sum would exceed maxTotal.
-func (b *Budget) Take(n, maxTotal int64) bool {
+// Reserve counts n bytes, unless the sum would exceed maxTotal.
+func (b *Budget) Reserve(n, maxTotal int64) bool {
 	if b.used.Add(n) <= maxTotal {
 		return true
 	}
@@ -384,13 +384,13 @@
 // Add counts bytes that are in memory already, without a limit.
 func (b *Budget) Add(n int64) { b.used.Add(n) }
 
-// Give returns n bytes that ReadWhole, Take or Add counted.
-func (b *Budget) Give(n int64) { b.used.Add(-n) }
+// Release returns n bytes that ReadAll, Take or Add counted.
+func (b *Budget) Release(n int64) { b.used.Add(-n) }
 
-// ReadWhole reads a body of up to maxBytes. Memory grows with the bytes received, not with the announced length. The
+// ReadAll reads a body of up to maxBytes. Memory grows with the bytes received, not with the announced length. The
 // bytes count in the budget, up to maxTotal for all bodies, until the caller gives held back, also after an error. The
-// error is ErrBodyTooLarge, ErrCrowded or one of the connection.
-func (b *Body) ReadWhole(maxBytes, maxTotal int64, budget *Budget) (text []byte, held int64, err error) {
+// error is ErrBodyTooLarge, ErrBudgetExceeded or one of the connection.
+func (b *Body) ReadAll(maxBytes, maxTotal int64, budget *Budget) (text []byte, held int64, err error) {
 	if b.Length() > maxBytes {
 		return nil, 0, ErrBodyTooLarge
 	}
@@ -403,7 +403,7 @@
 		text, held = text[:len(text)+n], held+int64(n)
 		switch {
 		case budget.used.Add(int64(n)) > maxTotal:
-			return nil, held, ErrCrowded
+			return nil, held, ErrBudgetExceeded
 		case held > maxBytes:
 			return nil, held, ErrBodyTooLarge
 		case errors.Is(err, io.EOF):
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -76,7 +76,7 @@
 		if err == nil {
 			got, err = io.ReadAll(body)
 		}
-		if string(got) != c.want || !errors.Is(err, c.err) || c.err == nil && (err != nil || body.Whole() != c.whole) {
+		if string(got) != c.want || !errors.Is(err, c.err) || c.err == nil && (err != nil || body.Complete() != c.whole) {
 			t.Errorf("%s: %q, %v; want %q, %v", c.name, got, err, c.want, c.err)
 		}
 	}
@@ -237,7 +237,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			b.Bound(1 << 20)
+			b.LimitChunk(1 << 20)
 			return b
 		}
 		whole, err := io.ReadAll(body())
@@ -289,7 +289,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	body.Bound(1000)
+	body.LimitChunk(1000)
 	ev := NewRawEvents(body)
 	for _, c := range []struct {
 		want string
@@ -322,7 +322,7 @@
 		{"chunks", chunked, "5\r\n01234\r\n5\r\n56789\r\n0\r\n\r\n", 10, 10, 10, nil},
 		{"told too large", length(11), "", 10, 100, 0, ErrBodyTooLarge},
 		{"chunks too large", chunked, "b\r\n0123456789a\r\n0\r\n\r\n", 10, 100, 11, ErrBodyTooLarge},
-		{"crowded", length(10), "0123456789", 10, 9, 10, ErrCrowded},
+		{"crowded", length(10), "0123456789", 10, 9, 10, ErrBudgetExceeded},
 		{"cut", length(1 << 30), "0123456789", 1 << 30, 1 << 30, 10, io.ErrUnexpectedEOF},
 	} {
 		var budget Budget
@@ -333,14 +333,14 @@
 		var text []byte
 		var held int64
 		before := allocated()
-		text, held, err = b.ReadWhole(c.most, c.all, &budget)
+		text, held, err = b.ReadAll(c.most, c.all, &budget)
 		if grown := allocated() - before; grown > 1<<20 {
 			t.Errorf("%s: allocated %d bytes", c.name, grown)
 		}
 		if !errors.Is(err, c.want) || held != c.held || err == nil && string(text) != "0123456789" {
 			t.Errorf("%s: %q, %d held, %v", c.name, text, held, err)
 		}
-		if budget.Give(held); budget.used.Load() != 0 {
+		if budget.Release(held); budget.used.Load() != 0 {
 			t.Errorf("%s: %d bytes still counted in the budget", c.name, budget.used.Load())
 		}
 	}
--- a/internal/limits/limiter.go
+++ b/internal/limits/limiter.go
@@ -28,20 +28,20 @@
 
 // Settings configures a Limiter. Tenants and classes are referred to by their indexes here.
 type Settings struct {
-	Routers       int // number of routers that quotas are divided among
-	Classes       []Class
-	Tenants       []Tenant      // requests without a tenant have no budgets and share one flow of the queue
-	MaxWaiting    int           // maximum length of the queue, in requests
-	WaitPart      float64       // fraction of its target latency that a request may wait
-	MinInFlight   int           // concurrency limit: lower bound, in requests of mean size
-	StartInFlight int           // initial value
-	MaxInFlight   int           // upper bound
-	Retries       float64       // retries per first attempt of a client; 0: unlimited
-	MaxClients    int           // maximum number of clients whose retries are counted
-	Shed          bool          // enables the brown-out
-	MinRetryAfter time.Duration // retry delay of refusals for lack of capacity: lower bound
-	MaxRetryAfter time.Duration // upper bound
-	Seed          uint64        // differs between routers
+	Routers         int // number of routers that quotas are divided among
+	Classes         []Class
+	Tenants         []Tenant      // requests without a tenant have no budgets and share one flow of the queue
+	MaxQueued       int           // maximum length of the queue, in requests
+	MaxWaitFraction float64       // fraction of its target latency that a request may wait
+	MinInFlight     int           // concurrency limit: lower bound, in requests of mean size
+	StartInFlight   int           // initial value
+	MaxInFlight     int           // upper bound
+	RetryRatio      float64       // retries per first attempt of a client; 0: unlimited
+	MaxClients      int           // maximum number of clients whose retries are counted
+	Shed            bool          // enables the brown-out
+	MinRetryAfter   time.Duration // retry delay of refusals for lack of capacity: lower bound
+	MaxRetryAfter   time.Duration // upper bound
+	Seed            uint64        // differs between routers
 }
 
 // Reason is why a request was refused.
@@ -131,7 +131,7 @@
 			float64(settings.MaxInFlight), len(settings.Classes)), shedder: newShedder(settings.Classes),
 		active: map[uint64]*activeRequest{}, budgetStates: map[[2]int]*budgetState{}, clients: map[uint64]*retryBudget{},
 		refusals: map[Reason]uint64{}}
-	l.queue = NewQueue(settings.MaxWaiting, l.weight)
+	l.queue = NewQueue(settings.MaxQueued, l.weight)
 	return l
 }
 
@@ -196,7 +196,7 @@
 // checkRetry counts an attempt of a client. For a retry beyond the budget it returns how long until the next retry is
 // admitted, otherwise 0.
 func (l *Limiter) checkRetry(now time.Duration, r Request) time.Duration {
-	if l.settings.Retries <= 0 || r.Client == 0 {
+	if l.settings.RetryRatio <= 0 || r.Client == 0 {
 		return 0
 	}
 	b := l.clients[r.Client]
@@ -208,9 +208,9 @@
 		l.clients[r.Client] = b
 	}
 	if r.Retry {
-		return b.take(now, l.settings.Retries)
+		return b.take(now, l.settings.RetryRatio)
 	}
-	b.firstAttempt(now, l.settings.Retries)
+	b.firstAttempt(now, l.settings.RetryRatio)
 	return 0
 }
 
@@ -325,9 +325,9 @@
 }
 
 // maxWait returns how long a request may be queued: its target latency less the usual first-token latency, at most the
-// fraction WaitPart of the target, and at most half of the time to its client's deadline.
+// fraction MaxWaitFraction of the target, and at most half of the time to its client's deadline.
 func (l *Limiter) maxWait(a *activeRequest) time.Duration {
-	fraction := min(l.settings.WaitPart, max(1-l.concurrency.meanFraction*1.2, 0))
+	fraction := min(l.settings.MaxWaitFraction, max(1-l.concurrency.meanFraction*1.2, 0))
 	if a.PartsRun { // a refusal would waste the parts that have run
 		return a.TimeLeft / 2
 	}
@@ -532,7 +532,7 @@
 	l.shedder.level, l.shedder.roundStart = min(level, l.shedder.maxLevel), now
 	l.concurrency.lower, l.concurrency.upper = float64(settings.MinInFlight), float64(settings.MaxInFlight)
 	l.concurrency.current = min(max(l.concurrency.current, l.concurrency.lower), l.concurrency.upper)
-	for _, x := range l.queue.SetMaxItems(settings.MaxWaiting) {
+	for _, x := range l.queue.SetMaxItems(settings.MaxQueued) {
 		l.refuse(l.active[x.ID], Overloaded, l.retryAfter())
 	}
 	l.advance(now)
@@ -581,22 +581,22 @@
 
 // View is the state of a limiter for operators.
 type View struct {
-	Waiting int               // queued requests
-	Hands   int               // requests in flight
-	InHand  float64           // size in flight, in requests of mean size
-	Room    float64           // concurrency limit, in requests of mean size
-	Level   float64           // of the brown-out
-	Passed  uint64            // requests admitted since the start
-	Turned  map[Reason]uint64 // requests refused since the start
-	Routers int               // that quotas are divided by
+	Queued           int               // queued requests
+	InFlight         int               // requests in flight
+	InFlightSize     float64           // size in flight, in requests of mean size
+	ConcurrencyLimit float64           // concurrency limit, in requests of mean size
+	BrownoutLevel    float64           // of the brown-out
+	Admitted         uint64            // requests admitted since the start
+	Refused          map[Reason]uint64 // requests refused since the start
+	Routers          int               // that quotas are divided by
 }
 
 // View returns the current state and changes nothing.
 func (l *Limiter) View() View {
-	v := View{Waiting: l.queue.Len(), Hands: l.inFlight, InHand: l.inFlightSize, Room: l.concurrency.current, Level: l.shedder.level,
-		Passed: l.admitted, Turned: map[Reason]uint64{}, Routers: l.routers.current}
+	v := View{Queued: l.queue.Len(), InFlight: l.inFlight, InFlightSize: l.inFlightSize, ConcurrencyLimit: l.concurrency.current, BrownoutLevel: l.shedder.level,
+		Admitted: l.admitted, Refused: map[Reason]uint64{}, Routers: l.routers.current}
 	for reason, n := range l.refusals {
-		v.Turned[reason] = n
+		v.Refused[reason] = n
 	}
 	return v
 }
--- a/internal/limits/limiter_test.go
+++ b/internal/limits/limiter_test.go
@@ -16,7 +16,7 @@
 )
 
 func settings(change ...func(*Settings)) Settings {
-	set := Settings{Routers: 1, MaxWaiting: 1000, WaitPart: 0.5, MinInFlight: 2, StartInFlight: 8, MaxInFlight: 1000, MaxClients: 100,
+	set := Settings{Routers: 1, MaxQueued: 1000, MaxWaitFraction: 0.5, MinInFlight: 2, StartInFlight: 8, MaxInFlight: 1000, MaxClients: 100,
 		MinRetryAfter: 100 * ms, MaxRetryAfter: 2 * s, Shed: true, Seed: 1,
 		Classes: []Class{{Aim: s, Worth: 3}, {Aim: s, Worth: 1}, {Aim: s, Worth: 2, Priority: 1}},
 		Tenants: []Tenant{{}, {}, {Weight: 2}}}
@@ -44,7 +44,7 @@
 func TestOneVerdict(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := settings(func(set *Settings) {
-			set.MaxWaiting, set.Retries = 5, 0.2
+			set.MaxQueued, set.RetryRatio = 5, 0.2
 			set.Tenants[1].Budgets = []Budget{{Class: -1, Requests: Rate{5, 5}}, {Class: 1, Tokens: Rate{1000, 2000}}}
 		})
 		l := New(set)
@@ -77,7 +77,7 @@
 				l.SetRouters(now, rapid.IntRange(0, 4).Draw(t, "routers"))
 			case 5:
 				next := set
-				next.MaxWaiting = rapid.IntRange(1, 6).Draw(t, "waiting")
+				next.MaxQueued = rapid.IntRange(1, 6).Draw(t, "waiting")
 				check(l.Reload(now, next))
 			case 6:
 				check(l.Revoke(now, uint64(rapid.IntRange(1, 3).Draw(t, "client"))))
@@ -88,7 +88,7 @@
 				requested[r.ID] = true
 				check(l.Admit(now, r))
 			}
-			if v := l.View(); v.Waiting > 6 || v.Hands < 0 || v.InHand < -1e-6 {
+			if v := l.View(); v.Queued > 6 || v.InFlight < 0 || v.InFlightSize < -1e-6 {
 				t.Fatalf("%+v", v)
 			}
 		}
@@ -100,7 +100,7 @@
 			}
 			check(l.Ended(now, id, ClientGone))
 		}
-		if v := l.View(); v.Waiting != 0 || v.Hands != 0 || v.InHand != 0 || len(l.active) != 0 {
+		if v := l.View(); v.Queued != 0 || v.InFlight != 0 || v.InFlightSize != 0 || len(l.active) != 0 {
 			t.Fatalf("at the end %+v, %d active requests", v, len(l.active))
 		}
 	})
@@ -151,7 +151,7 @@
 // A request that is evicted from the queue or expires in it is refunded.
 func TestRefusalIsRefunded(t *testing.T) {
 	l := New(settings(func(set *Settings) {
-		set.StartInFlight, set.MinInFlight, set.MaxInFlight, set.MaxWaiting = 1, 1, 1, 1
+		set.StartInFlight, set.MinInFlight, set.MaxInFlight, set.MaxQueued = 1, 1, 1, 1
 		set.Tenants[0].Budgets = []Budget{{Class: -1, Requests: Rate{0.001, 3}}}
 	}))
 	l.Admit(0, request(1, 0, 0))
@@ -208,7 +208,7 @@
 // A batch is charged once; its parts are then admitted and don't count as retries.
 func TestChargedParts(t *testing.T) {
 	l := New(settings(func(set *Settings) {
-		set.StartInFlight, set.Retries = 100, 0.1
+		set.StartInFlight, set.RetryRatio = 100, 0.1
 		set.Tenants[0].Budgets = []Budget{{Class: -1, Requests: Rate{1, 1}}}
 	}))
 	if !l.Charge(0, request(0, 0, 0)).Admitted {
@@ -226,7 +226,7 @@
 // A client that retries at once after each refusal uses up its retry budget; its first attempts and other clients'
 // retries are still admitted.
 func TestRetryBudget(t *testing.T) {
-	l := New(settings(func(set *Settings) { set.Retries, set.StartInFlight, set.MaxInFlight = 0.1, 1e6, 1e6 }))
+	l := New(settings(func(set *Settings) { set.RetryRatio, set.StartInFlight, set.MaxInFlight = 0.1, 1e6, 1e6 }))
 	id, admitted := uint64(0), 0
 	attempt := func(now time.Duration, client uint64, retry bool) Verdict {
 		id++
@@ -255,7 +255,7 @@
 // When half of the routers fail, the requests that they had open are retried at once at the others: the retry budget of a
 // client with many requests suffices for them, but not for a retry storm.
 func TestRetriesAfterRouterFailures(t *testing.T) {
-	l := New(settings(func(set *Settings) { set.Retries, set.StartInFlight, set.MaxInFlight = 0.2, 1e6, 1e6 }))
+	l := New(settings(func(set *Settings) { set.RetryRatio, set.StartInFlight, set.MaxInFlight = 0.2, 1e6, 1e6 }))
 	id, refused := uint64(0), 0
 	attempt := func(now time.Duration, retry bool) {
 		id++
@@ -284,7 +284,7 @@
 
 // The number of clients with retry budgets keeps its bound.
 func TestClientsBounded(t *testing.T) {
-	l := New(settings(func(set *Settings) { set.Retries, set.StartInFlight, set.MaxInFlight = 0.1, 1e6, 1e6 }))
+	l := New(settings(func(set *Settings) { set.RetryRatio, set.StartInFlight, set.MaxInFlight = 0.1, 1e6, 1e6 }))
 	for id := range uint64(10000) {
 		r := request(id, 0, 0)
 		r.Client, r.Retry = id+1, true
@@ -573,7 +573,7 @@
 	if dispatched[0] < 8 {
 		t.Errorf("dispatched %v after the first weight became nine times the second", dispatched)
 	}
-	next.MaxWaiting = 3
+	next.MaxQueued = 3
 	list := l.Reload(3*ms, next)
 	if len(list) != 7 || list[0].Admitted || list[0].Reason != Overloaded {
 		t.Errorf("evicted %v, want 7 with 3 left in the queue", list)
@@ -601,7 +601,7 @@
 	for _, tenants := range []int{10, 1000, 100000} {
 		b.Run(fmt.Sprint(tenants), func(b *testing.B) {
 			set := settings(func(set *Settings) {
-				set.MaxWaiting, set.StartInFlight, set.MaxInFlight, set.Shed, set.WaitPart = 2*tenants, 64, 64, false, 1e9
+				set.MaxQueued, set.StartInFlight, set.MaxInFlight, set.Shed, set.MaxWaitFraction = 2*tenants, 64, 64, false, 1e9
 				set.Tenants = make([]Tenant, tenants)
 				for i := range set.Tenants {
 					set.Tenants[i] = Tenant{Weight: 1, Budgets: []Budget{{Class: -1, Requests: Rate{1e9, 1e9}, Tokens: Rate{1e9, 1e9}}}}
@@ -638,7 +638,7 @@
 			for b.Loop() {
 				step(true)
 			}
-			b.ReportMetric(float64(l.View().Waiting), "waiting")
+			b.ReportMetric(float64(l.View().Queued), "waiting")
 		})
 	}
 }
--- a/internal/platform/clients/clients_test.go
+++ b/internal/platform/clients/clients_test.go
@@ -261,7 +261,7 @@
 	if string(text) != strings.Repeat("a", 256)+strings.Repeat("b", 256) || err != nil {
 		t.Errorf("%d bytes, %v", len(text), err)
 	}
-	if !budget.Take(600, 600) {
+	if !budget.Reserve(600, 600) {
 		t.Error("the budget was not returned")
 	}
 }
--- a/internal/platform/clients/connection_test.go
+++ b/internal/platform/clients/connection_test.go
@@ -148,7 +148,7 @@
 		t.Errorf("%d bytes arrived, %d were sent", len(text), len(want))
 	}
 	wg.Wait()
-	if !budget.Take(1<<20, 1<<20) {
+	if !budget.Reserve(1<<20, 1<<20) {
 		t.Error("the budget was not returned")
 	}
 }
@@ -176,7 +176,7 @@
 		t.Error("no error at the end")
 	}
 	wg.Wait()
-	if !budget.Take(1<<20, 1<<20) {
+	if !budget.Reserve(1<<20, 1<<20) {
 		t.Error("the budget was not returned")
 	}
 }
--- a/internal/platform/clients/exchange.go
+++ b/internal/platform/clients/exchange.go
@@ -60,7 +60,7 @@
 // serve serves the request and reports whether another may follow on the connection.
 func (x *exchange) serve() bool {
 	s := x.conn.s
-	defer func() { s.bodies.Give(x.heldBytes) }()
+	defer func() { s.bodies.Release(x.heldBytes) }()
 	job, bad := parseJob(x.req, *s.classes.Load())
 	if bad == nil {
 		bad = x.reserveHead(job.Header.Size())
@@ -91,7 +91,7 @@
 		x.writePlain("503 Service Unavailable", err.Error()+"\n")
 		return x.keepAlive
 	}
-	a := x.wait(call.Abandon)
+	a := x.wait(call.Cancel)
 	s.streamEnded(x)
 	x.keepAlive = x.keepAlive && !x.closesAfterResponse()
 	x.answer(a)
@@ -140,8 +140,8 @@
 
 // reserveHead counts the memory of the request's head in the limit on all bodies.
 func (x *exchange) reserveHead(size int64) *requestError {
-	if !x.conn.s.bodies.Take(size, x.conn.s.limits.Load().Bodies) {
-		return &requestError{"503 Service Unavailable", http1.ErrCrowded.Error()}
+	if !x.conn.s.bodies.Reserve(size, x.conn.s.limits.Load().Bodies) {
+		return &requestError{"503 Service Unavailable", http1.ErrBudgetExceeded.Error()}
 	}
 	x.heldBytes += size
 	return nil
@@ -163,7 +163,7 @@
 		}
 		io.WriteString(x.conn.nc, "HTTP/1.1 100 Continue\r\n\r\n")
 	}
-	text, held, err := b.ReadWhole(limits.Body, limits.Bodies, &x.conn.s.bodies)
+	text, held, err := b.ReadAll(limits.Body, limits.Bodies, &x.conn.s.bodies)
 	x.heldBytes += held
 	switch {
 	case err == nil && !validJSON(text):
@@ -172,7 +172,7 @@
 		return text, nil
 	case errors.Is(err, http1.ErrBodyTooLarge):
 		return nil, &requestError{"413 Content Too Large", "the body is too large"}
-	case errors.Is(err, http1.ErrCrowded):
+	case errors.Is(err, http1.ErrBudgetExceeded):
 		return nil, &requestError{"503 Service Unavailable", err.Error()}
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return nil, &requestError{"408 Request Timeout", "the body did not come in time"}
@@ -189,7 +189,7 @@
 		x.conn.nc.SetReadDeadline(time.Time{})
 	}
 	x.mu.Unlock()
-	if err := x.conn.readAhead.watch(); !errors.Is(err, os.ErrDeadlineExceeded) && !faults.Broken(faults.BreakGone) {
+	if err := x.conn.readAhead.watch(); !errors.Is(err, os.ErrDeadlineExceeded) && !faults.GuardDisabled(faults.BreakGone) {
 		x.keepAlive = false
 		if !errors.Is(err, net.ErrClosed) { // else this router closed it
 			x.clientDisconnected.Store(true)
@@ -204,7 +204,7 @@
 // checkDisconnected reports whether the client has disconnected, just before an attempt begins:
 // the connection's goroutine may not have run since.
 func (x *exchange) checkDisconnected() bool {
-	if faults.Broken(faults.BreakGone) || !connpool.PeerClosed(x.conn.nc) {
+	if faults.GuardDisabled(faults.BreakGone) || !connpool.PeerClosed(x.conn.nc) {
 		return false
 	}
 	x.clientDisconnected.Store(true)
@@ -278,7 +278,7 @@
 // answer writes the response, or the end of the stream. An incomplete stream ends with
 // its connection, without the last chunk.
 func (x *exchange) answer(a driver.Answer) {
-	if faults.Broken(faults.BreakAnswer) && x.conn.id%10 == 0 {
+	if faults.GuardDisabled(faults.BreakAnswer) && x.conn.id%10 == 0 {
 		x.keepAlive = false
 		return
 	}
--- a/internal/platform/clients/readahead.go
+++ b/internal/platform/clients/readahead.go
@@ -38,7 +38,7 @@
 		n := copy(p, a.buffered)
 		a.buffered = a.buffered[n:]
 		if len(a.buffered) == 0 {
-			a.budget.Give(a.heldBytes)
+			a.budget.Release(a.heldBytes)
 			a.buffered, a.heldBytes = nil, 0
 		}
 		return n, nil
@@ -100,7 +100,7 @@
 	n, err := a.nc.Read(part)
 	switch {
 	case n == 0:
-	case a.droppedBytes > 0 || len(a.buffered)+n > maxReadAheadBytes || !a.budget.Take(int64(n), a.limit):
+	case a.droppedBytes > 0 || len(a.buffered)+n > maxReadAheadBytes || !a.budget.Reserve(int64(n), a.limit):
 		a.droppedBytes += n
 	default:
 		a.heldBytes += int64(n)
--- a/internal/platform/clients/server.go
+++ b/internal/platform/clients/server.go
@@ -133,7 +133,7 @@
 // accept starts serving a connection; at the limit it evicts the connection idle for longest.
 func (s *Server) accept(nc net.Conn) {
 	c := &clientConn{s: s, nc: nc, id: s.connCount.Add(1), acceptedAt: time.Now()}
-	if c.id == crashConn && faults.Broken(faults.BreakCrash) {
+	if c.id == crashConn && faults.GuardDisabled(faults.BreakCrash) {
 		panic("a fault that was asked for")
 	}
 	s.mu.Lock()
@@ -229,7 +229,7 @@
 	if c.countsAsRefusal {
 		s.refusalsInFlight.Add(-1)
 	}
-	s.bodies.Give(c.readAhead.heldBytes)
+	s.bodies.Release(c.readAhead.heldBytes)
 }
 
 // markIdle records whether a connection is idle, waiting for a request. It returns false
--- a/internal/platform/clients/streamwriter.go
+++ b/internal/platform/clients/streamwriter.go
@@ -80,7 +80,7 @@
 
 // reserve counts n bytes to be buffered; it returns false if they exceed a limit.
 func (s *streamWriter) reserve(n int) bool {
-	return len(s.pending)+n <= maxPendingBytes && s.budget.Take(int64(n), s.limits().Bodies)
+	return len(s.pending)+n <= maxPendingBytes && s.budget.Reserve(int64(n), s.limits().Bodies)
 }
 
 // writeNow writes what the kernel accepts without waiting.
@@ -104,7 +104,7 @@
 		return 0, err
 	case writeErr == nil:
 		return n, nil
-	case connpool.IsLocal(writeErr) && !faults.Broken(faults.BreakBuffers): // the remainder is written by flush
+	case connpool.IsLocal(writeErr) && !faults.GuardDisabled(faults.BreakBuffers): // the remainder is written by flush
 		return 0, nil
 	}
 	return 0, writeErr
@@ -121,11 +121,11 @@
 		_, err := connpool.Writer{Conn: s.nc}.Write(part)
 		s.mu.Lock()
 		s.pending = slices.Delete(s.pending, 0, len(part))
-		s.budget.Give(int64(len(part)))
+		s.budget.Release(int64(len(part)))
 		s.err = err
 		s.changed.Broadcast()
 	}
-	s.budget.Give(int64(len(s.pending)))
+	s.budget.Release(int64(len(s.pending)))
 	s.pending, s.flushing = nil, false
 	s.changed.Broadcast()
 }
--- a/internal/platform/config/config.go
+++ b/internal/platform/config/config.go
@@ -128,7 +128,7 @@
 	if c.Profile, err = profile.Parse(f.Settings); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	if faults.Broken(faults.BreakStart) {
+	if faults.GuardDisabled(faults.BreakStart) {
 		c.Profile.Settings.WarmAfter = 0
 	}
 	if err := c.Profile.Settings.Validate(); err != nil {
--- a/internal/platform/discovery/watch.go
+++ b/internal/platform/discovery/watch.go
@@ -231,7 +231,7 @@
 	case res.Status != 200:
 		return nil, fmt.Errorf("%s: status %d", target, res.Status)
 	}
-	if !body.Whole() || res.Header.Has("Connection", "close") {
+	if !body.Complete() || res.Header.Has("Connection", "close") {
 		c.close()
 	}
 	list, err := Parse(text)
--- a/internal/platform/held_test.go
+++ b/internal/platform/held_test.go
@@ -21,7 +21,7 @@
 	start, lateness := time.Now(), s.fleet.Lateness()
 	for s.isHeld(id) {
 		if held := time.Since(start) - (s.fleet.Lateness() - lateness); held > maxHeld {
-			s.t.Errorf("still held after %v: %v", held, s.fleet.Left())
+			s.t.Errorf("still held after %v: %v", held, s.fleet.Held())
 			return
 		}
 		time.Sleep(5 * ms)
@@ -30,7 +30,7 @@
 
 // isHeld reports whether anything is held for a request.
 func (s *harness) isHeld(id string) bool {
-	return slices.ContainsFunc(s.fleet.Left(), func(held string) bool { return strings.HasSuffix(held, " of "+id) })
+	return slices.ContainsFunc(s.fleet.Held(), func(held string) bool { return strings.HasSuffix(held, " of "+id) })
 }
 
 // queuedScript keeps a write in its writer's queue until the router cancels it.
--- a/internal/platform/incidentlog.go
+++ b/internal/platform/incidentlog.go
@@ -63,7 +63,7 @@
 	}
 	if line := e.log.Check(level, "request"); line != nil {
 		line.Write(zap.String("id", s.Name), zap.String("class", s.Class), zap.String("session", s.Session), zap.Stringer("outcome", s.Outcome),
-			zap.String("reason", s.Reason), zap.Strings("ends", s.AttemptEnds), zap.Durations("let-go", s.ReleasedAfter), zap.Float64("read", s.Read), zap.Float64("kept", s.CachedTokens), zap.String("reader", s.Reader),
+			zap.String("reason", s.Reason), zap.Strings("ends", s.AttemptEnds), zap.Durations("let-go", s.ReleasedAfter), zap.Float64("read", s.ReadTokens), zap.Float64("kept", s.CachedTokens), zap.String("reader", s.Reader),
 			zap.String("writer", s.Writer), zap.Duration("first", s.FirstToken), zap.Duration("whole", s.Total), zap.Int64("lines-not-written", e.dropped.Load()))
 	}
 }
@@ -79,7 +79,7 @@
 // silence logs a request for which workers may hold state and none has answered for half of the limit.
 func (e *incidentLog) silence(r holdmonitor.Report) {
 	if e.allow() {
-		e.log.Info("nothing heard", zap.String("id", r.Request), zap.Duration("silent", r.SilentFor), zap.Strings("calls", r.Calls))
+		e.log.Info("nothing heard", zap.String("id", r.Request), zap.Duration("silent", r.UnansweredFor), zap.Strings("calls", r.Calls))
 	}
 }
 
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -73,8 +73,8 @@
 	r.incidents = newIncidentLog(log)
 	var err error
 	r.driver, err = driver.New(driver.Config{Settings: cfg.Profile.Settings, Names: names(cfg), Name: cfg.Name, Seed: cfg.Seed,
-		Inbox: 4096, MaxOpen: maxConns(cfg), Engines: r.workers, Guard: r.monitor,
-		Trace: logAll, WantsSummary: r.incidents.wantsSummary, OnSummary: r.logSummary, OnPendingRelease: r.incidents.pendingRelease, OnAbandoned: r.incidents.abandoned, OnSilence: r.incidents.silence, OnRepeat: r.incidents.repeat})
+		InboxSize: 4096, MaxOpen: maxConns(cfg), Engines: r.workers, Guard: r.monitor,
+		Trace: logAll, WantsSummary: r.incidents.wantsSummary, OnSummary: r.logSummary, OnPendingRelease: r.incidents.pendingRelease, OnAbandoned: r.incidents.abandoned, OnUnanswered: r.incidents.silence, OnRepeat: r.incidents.repeat})
 	if err != nil {
 		return nil, err
 	}
@@ -93,7 +93,7 @@
 // applyList merges a list and passes it on: first to the client for workers, so that it has their addresses, then to
 // the module.
 func (r *Router) applyList(l *discovery.List) {
-	if faults.Broken(faults.BreakDrain) && r.monitor != nil && len(r.list.Targets) > 0 {
+	if faults.GuardDisabled(faults.BreakDrain) && r.monitor != nil && len(r.list.Targets) > 0 {
 		return
 	}
 	r.mu.Lock()
@@ -102,7 +102,7 @@
 	workerList := make([]workers.Worker, 0, len(l.Targets))
 	membership := l.Membership(r.cfg.Profile)
 	for i, t := range l.Targets {
-		workerList = append(workerList, workers.Worker{ID: t.UID, Addr: t.Endpoint, Boot: t.Boot,
+		workerList = append(workerList, workers.Worker{ID: t.UID, Addr: t.Endpoint, StartTime: t.Boot,
 			Draining: t.State == "DRAINING", Removed: t.State == "DELETED"})
 		if membership.Servers[i].Kind < 0 {
 			r.log.Warn("a worker's model is not known", zap.String("worker", t.UID), zap.String("model", t.Model))
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -101,10 +101,10 @@
 	if n := s.router.monitor.Violations(); n != 0 {
 		s.t.Errorf("the guard counted %d violations: %v", n, s.router.monitor.Counts())
 	}
-	if left := s.fleet.Left(); len(left) > 0 {
+	if left := s.fleet.Held(); len(left) > 0 {
 		s.t.Errorf("still held: %v", left)
 	}
-	for _, b := range s.fleet.Breaks() {
+	for _, b := range s.fleet.Violations() {
 		s.t.Errorf("violation seen by the stand-in: %s", b)
 	}
 	s.fleet.Close()
@@ -734,7 +734,7 @@
 		io.WriteString(nc, request(fmt.Sprint("x", i), "question", 4000, body)+pipelined)
 		s.waitFor("the writer has it", func() bool { n, _, _ := writer.Count(); return n == i+1 })
 		nc.Close()
-		s.waitFor("nothing is held", func() bool { return len(s.fleet.Left()) == 0 })
+		s.waitFor("nothing is held", func() bool { return len(s.fleet.Held()) == 0 })
 	}
 }
 
@@ -942,7 +942,7 @@
 		id := fmt.Sprint("c", i)
 		s.wantServed(s.send(id, "question", 4000), id)
 	}
-	s.waitFor("nothing is held", func() bool { return len(s.fleet.Left()) == 0 })
+	s.waitFor("nothing is held", func() bool { return len(s.fleet.Held()) == 0 })
 	next = s.fleet.Add(standin.Answer, nil)
 	s.fleet.Set(old, "DRAINING")
 	s.fleet.SetMuted(false)
