--- a/internal/platform/recovery_test.go
+++ b/internal/platform/recovery_test.go
@@ -25,9 +25,9 @@
 	answered := make(chan response, 1)
 	go func() { answered <- s.send(standin.Unsafe+"1", "adjustment", 3000) }()
 	s.waitFor("the reader has the request", func() bool { n, _, _ := reader.Count(); return n == 1 })
-	s.waitFor("its state is held", func() bool { return len(s.fleet.Left()) > 0 })
+	s.waitFor("its state is held", func() bool { return len(s.fleet.Held()) > 0 })
 	start, lateness := time.Now(), s.fleet.Lateness()
-	s.waitFor("its state is released", func() bool { return len(s.fleet.Left()) == 0 })
+	s.waitFor("its state is released", func() bool { return len(s.fleet.Held()) == 0 })
 	if held := time.Since(start) - (s.fleet.Lateness() - lateness); held > 800*ms {
 		t.Errorf("the state was held for %v", held)
 	}
--- a/internal/platform/reload.go
+++ b/internal/platform/reload.go
@@ -19,9 +19,9 @@
 	"gannethook/internal/profile"
 )
 
-// Bound applies the configured limits of memory and processors to this process. A
+// ApplyLimits applies the configured limits of memory and processors to this process. A
 // quarter of the memory is left for stacks, the program itself and kernel buffers.
-func Bound(cfg *config.Config) {
+func ApplyLimits(cfg *config.Config) {
 	debug.SetMemoryLimit(cfg.Memory * 3 / 4)
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(cfg.Cores))))
 }
@@ -111,7 +111,7 @@
 		err := r.loadConfig()
 		switch {
 		case err == nil:
-		case time.Since(requestedAt) < reloadTimeout && !faults.Broken(faults.BreakReload):
+		case time.Since(requestedAt) < reloadTimeout && !faults.GuardDisabled(faults.BreakReload):
 			if delay == minReloadDelay {
 				r.log.Error("the new configuration is not taken up", zap.Error(err))
 			}
@@ -146,7 +146,7 @@
 	next.Name, next.Listen, next.Seed = r.cfg.Name, r.cfg.Listen, r.cfg.Seed
 	same := reflect.DeepEqual(r.cfg.Profile, next.Profile) && r.cfg.Sockets == next.Sockets
 	r.cfg = next
-	Bound(next)
+	ApplyLimits(next)
 	r.workers.Reconfigure(workerLimits(next))
 	r.clients.Reconfigure(next.Profile.Classes, clientLimits(next))
 	if !same { // reconfiguring the driver discards what it has learned of classes and workers
--- a/internal/platform/standin/fleet.go
+++ b/internal/platform/standin/fleet.go
@@ -242,8 +242,8 @@
 	return slices.Clone(w.ReceivedHeaders)
 }
 
-// Left lists the states and places that are still held.
-func (f *Fleet) Left() (list []string) {
+// Held lists the states and places that are still held.
+func (f *Fleet) Held() (list []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for id := range f.states {
@@ -270,8 +270,8 @@
 	return f.queuedWrites[id] > 0
 }
 
-// Breaks lists the violations of the platform's rules.
-func (f *Fleet) Breaks() []string {
+// Violations lists the violations of the platform's rules.
+func (f *Fleet) Violations() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.violations)
--- a/internal/platform/workers/exchange.go
+++ b/internal/platform/workers/exchange.go
@@ -179,7 +179,7 @@
 	if !stopped {
 		<-x.connClosed
 	}
-	if stopped && reusable && x.body.Whole() && x.res.Minor == 1 && !x.res.Header.Has("Connection", "close") {
+	if stopped && reusable && x.body.Complete() && x.res.Minor == 1 && !x.res.Header.Has("Connection", "close") {
 		x.client.pool.put(x.addr, x.conn)
 		return
 	}
@@ -208,7 +208,7 @@
 		return attempt.Result{Outcome: gannethook.Cancelled, Detail: err.Error()}
 	}
 	r := attempt.ResultOf(ctx, err, http1.ErrMalformed, http1.ErrTooLarge, os.ErrDeadlineExceeded)
-	if r.Outcome == gannethook.Broken && faults.Broken(faults.BreakRepeat) {
+	if r.Outcome == gannethook.Broken && faults.GuardDisabled(faults.BreakRepeat) {
 		r.Outcome = gannethook.ConnectFailed
 	}
 	return r
@@ -247,7 +247,7 @@
 	b = append(b, call.Key...)
 	if !call.Deadline.IsZero() { // the time remaining now: connecting, or a release sent first, may have taken long
 		remaining := time.Until(call.Deadline)
-		if faults.Broken(faults.BreakTold) {
+		if faults.GuardDisabled(faults.BreakTold) {
 			remaining += 2 * time.Second
 		}
 		b = append(b, "\r\nX-Timeout-Ms: "...)
@@ -272,7 +272,7 @@
 	if !x.body.Chunked() || !strings.HasPrefix(x.res.Header.Get("Content-Type"), "text/event-stream") {
 		return attempt.Result{Outcome: gannethook.Failed, Detail: "the response is not a chunked event stream", Interrupted: true}
 	}
-	x.body.Bound(maxChunk)
+	x.body.LimitChunk(maxChunk)
 	events := http1.NewRawEvents(idleReader{x})
 	for n := 0; ; n++ {
 		text, err := events.Next()
--- a/internal/platform/workers/pool.go
+++ b/internal/platform/workers/pool.go
@@ -51,7 +51,7 @@
 // request would soon have used up its retries.
 func (p *pool) acquire(ctx context.Context, addr string, control, newConn bool, mayDial func() bool) (*connpool.Conn, error) {
 	deadline := time.Now().Add(p.limits.Load().Dial)
-	if faults.Broken(faults.BreakRoom) {
+	if faults.GuardDisabled(faults.BreakRoom) {
 		deadline = time.Now()
 	}
 	for pause := firstDialPause; ; pause = min(2*pause, maxDialPause) {
--- a/internal/platform/workers/release.go
+++ b/internal/platform/workers/release.go
@@ -25,7 +25,7 @@
 // holder (a worker that may hold something) with an idle connection, else to the worker most likely to answer at once.
 // The other holders are asked too, since the worker that confirms it may be unable to reach them.
 func (c *Client) Release(ctx context.Context, list []attempt.Held) attempt.ReleaseResult {
-	if faults.Broken(faults.BreakRelease) || len(list) == 0 {
+	if faults.GuardDisabled(faults.BreakRelease) || len(list) == 0 {
 		return attempt.ReleaseResult{Acknowledged: true, SentAt: time.Now()}
 	}
 	c.traffic.releases.Add(1)
--- a/internal/platform/workers/stats.go
+++ b/internal/platform/workers/stats.go
@@ -80,7 +80,7 @@
 	defer c.mu.Unlock()
 	w.stats.InFlight--
 	if written := call.Written.Time(); !written.IsZero() {
-		r.BegunBy = w.answerLog.begunBy(written)
+		r.StartedBy = w.answerLog.begunBy(written)
 	}
 	switch r.Outcome {
 	case gannethook.Served, gannethook.ReadDone, gannethook.Cancelled, gannethook.Moot:
--- a/internal/platform/workers/workers.go
+++ b/internal/platform/workers/workers.go
@@ -87,10 +87,10 @@
 
 // Worker is a worker's entry in the list from discovery.
 type Worker struct {
-	ID, Addr string
-	Boot     float64 // start time, Unix ms; 0: long ago
-	Draining bool
-	Removed  bool // only ID counts
+	ID, Addr  string
+	StartTime float64 // start time, Unix ms; 0: long ago
+	Draining  bool
+	Removed   bool // only ID counts
 }
 
 // Update applies an update of the worker list; with full set, workers that are not in
@@ -120,7 +120,7 @@
 	}
 	for _, w := range list {
 		o := old[w.ID]
-		if !w.Removed && o != nil && o.addr == w.Addr && o.startTime == w.Boot {
+		if !w.Removed && o != nil && o.addr == w.Addr && o.startTime == w.StartTime {
 			c.byID[w.ID] = o
 			o.draining = w.Draining
 			continue
@@ -130,7 +130,7 @@
 		}
 		delete(c.byID, w.ID)
 		if !w.Removed {
-			c.byID[w.ID] = &worker{addr: w.Addr, startTime: w.Boot, draining: w.Draining}
+			c.byID[w.ID] = &worker{addr: w.Addr, startTime: w.StartTime, draining: w.Draining}
 			added[c.byID[w.ID]] = true
 		}
 	}
--- a/internal/profile/profile.go
+++ b/internal/profile/profile.go
@@ -70,16 +70,16 @@
 
 // Profile is a decoded settings object.
 type Profile struct {
-	Settings    gannethook.Settings
-	Classes     []string          // names of classes, in the order of Settings.Classes
-	Tenants     []string          // names of tenants, in the order of Settings.Tenants
-	Kinds       []string          // names of worker kinds, in the order of Settings.Kinds
-	Zones       []string          // names of zones, in the order of their numbers
-	Memory      int               // index of the memory share in a load report; -1: not reported
-	Pace        []float64         // target time per token in ms, by class
-	Resume      bool              // clients request the rest of a broken stream
-	MaxDeadline gannethook.Millis // the longest client deadline of any class
-	DialTimeout gannethook.Millis // timeout for connecting to a worker; 0: not configured
+	Settings     gannethook.Settings
+	Classes      []string          // names of classes, in the order of Settings.Classes
+	Tenants      []string          // names of tenants, in the order of Settings.Tenants
+	Kinds        []string          // names of worker kinds, in the order of Settings.Kinds
+	Zones        []string          // names of zones, in the order of their numbers
+	MemoryField  int               // index of the memory share in a load report; -1: not reported
+	TokenTargets []float64         // target time per token in ms, by class
+	Resume       bool              // clients request the rest of a broken stream
+	MaxDeadline  gannethook.Millis // the longest client deadline of any class
+	DialTimeout  gannethook.Millis // timeout for connecting to a worker; 0: not configured
 }
 
 // Parse decodes a settings object. Errors name the field.
@@ -114,8 +114,8 @@
 	if err := addClasses(&s, &object); err != nil {
 		return nil, err
 	}
-	profile := &Profile{Settings: s, Kinds: object.Kinds, Zones: object.Zones, Memory: slices.Index(object.Report.Fields, "x0"),
-		Pace: object.Domain.TokenAim, DialTimeout: gannethook.Millis(object.Ceilings.Dial),
+	profile := &Profile{Settings: s, Kinds: object.Kinds, Zones: object.Zones, MemoryField: slices.Index(object.Report.Fields, "x0"),
+		TokenTargets: object.Domain.TokenAim, DialTimeout: gannethook.Millis(object.Ceilings.Dial),
 		Resume: object.Domain.Resume}
 	for _, c := range object.Classes {
 		profile.Classes = append(profile.Classes, c.Name)
--- a/internal/realtime/events.go
+++ b/internal/realtime/events.go
@@ -134,7 +134,7 @@
 	MetaPromptSize  = "prompt_tokens"
 	MetaIdempotency = "idempotency_key"
 	MetaRetry       = "retry" // "true": repeats a request whose outcome the client doesn't know
-	MetaTry         = "try"   // number of the attempt, from 1; above 1 it is a retry, whatever the outcome of the first
+	MetaAttempt     = "try"   // number of the attempt, from 1; above 1 it is a retry, whatever the outcome of the first
 	MetaTimeout     = "give_up_ms"
 )
 
@@ -186,8 +186,8 @@
 	Output int `json:"output_tokens"`
 }
 
-// Server is a server event.
-type Server struct {
+// ServerEvent is a server event.
+type ServerEvent struct {
 	Type       string    `json:"type"`
 	EventID    string    `json:"event_id"`
 	Session    *Session  `json:"session,omitempty"`
--- a/internal/realtime/events_test.go
+++ b/internal/realtime/events_test.go
@@ -29,7 +29,7 @@
 func TestAppendDelta(t *testing.T) {
 	for _, text := range []string{"", " a", "\"\\\n", "\u00e9\u4e16"} {
 		raw, _ := json.Marshal(text)
-		var ev Server
+		var ev ServerEvent
 		if err := json.Unmarshal(AppendDelta(nil, 7, "resp_1", "item_2", raw), &ev); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/rollout/rehearse.go
+++ b/internal/rollout/rehearse.go
@@ -8,31 +8,31 @@
 	"time"
 )
 
-// Rehearsal simulates a rollout: a Planner restarts simulated routers in simulated time.
-type Rehearsal struct {
-	All, Todo []Router
-	Lim       Limits
-	Order     []string
-	Target    string
-	Seed      uint64
-	Spread    float64       // a restart takes RestartTime less SettleTime, plus or minus this fraction at random
-	Lose      int           // routers that crash during their restart
-	Back      time.Duration // time after which they are up again, on their previous release
-	Bad       bool          // the target release does not start
-	Worse     float64       // fraction of requests that the target release fails to serve
-	Every     time.Duration // polling interval of a router's status
-	Kill      time.Duration // the tool crashes then and continues from its journal; 0: never
-}
-
-// Played is the result of a rehearsal.
-type Played struct {
-	How         Ending
-	Took        time.Duration
-	LeastUp     float64 // lowest fraction of the capacity that was up
-	MostDown    int     // highest number of routers of a data centre down at once
+// Simulation simulates a rollout: a Planner restarts simulated routers in simulated time.
+type Simulation struct {
+	All, Todo      []Router
+	Limits         Limits
+	Order          []string
+	Target         string
+	Seed           uint64
+	Spread         float64       // a restart takes RestartTime less SettleTime, plus or minus this fraction at random
+	RoutersToCrash int           // routers that crash during their restart
+	RecoveryTime   time.Duration // time after which they are up again, on their previous release
+	BadRelease     bool          // the target release does not start
+	FailureShare   float64       // fraction of requests that the target release fails to serve
+	PollInterval   time.Duration // polling interval of a router's status
+	CrashToolAt    time.Duration // the tool crashes then and continues from its journal; 0: never
+}
+
+// SimulationResult is the result of a rehearsal.
+type SimulationResult struct {
+	Ending      Ending
+	Duration    time.Duration
+	MinUpShare  float64 // lowest fraction of the capacity that was up
+	MaxDown     int     // highest number of routers of a data centre down at once
 	Restarts    int     // commands sent, repeated ones included
 	Notes       []Note
-	Broken      []string // violations of the limits
+	Violations  []string // violations of the limits
 	Releases    map[string]string
 	RoutersLost int
 }
@@ -72,7 +72,7 @@
 
 // simulator is the state of a rehearsal in progress.
 type simulator struct {
-	Rehearsal
+	Simulation
 	now           time.Duration
 	events        eventHeap
 	seq           int
@@ -84,12 +84,12 @@
 	fatalRestarts map[int]bool // numbers of the restarts during which the router crashes
 	ended         bool
 	toolRun       int // number of the tool's run; events of an earlier run are dropped
-	result        *Played
+	result        *SimulationResult
 }
 
-// MadeUp generates a fleet of n routers spread over data centres, with a random
+// GenerateFleet generates a fleet of n routers spread over data centres, with a random
 // capacity of 1 to 4 and a restart time of 0.75 to 1.25 times expect.
-func MadeUp(n, centres int, expect time.Duration, seed uint64) (list []Router) {
+func GenerateFleet(n, centres int, expect time.Duration, seed uint64) (list []Router) {
 	rnd := rand.New(rand.NewPCG(seed, 2))
 	for i := range n {
 		list = append(list, Router{Name: fmt.Sprintf("r%03d", i), Centre: fmt.Sprintf("c%d", i%max(centres, 1)),
@@ -98,22 +98,22 @@
 	return list
 }
 
-// Play runs the rehearsal to its end, at most 24 hours of simulated time.
-func (r Rehearsal) Play() *Played {
-	if r.Every <= 0 {
-		r.Every = time.Second
+// Run runs the rehearsal to its end, at most 24 hours of simulated time.
+func (r Simulation) Run() *SimulationResult {
+	if r.PollInterval <= 0 {
+		r.PollInterval = time.Second
 	}
-	s := &simulator{Rehearsal: r, rnd: rand.New(rand.NewPCG(r.Seed, 1)), routers: map[string]*simRouter{}, result: &Played{LeastUp: 1, Releases: map[string]string{}}}
+	s := &simulator{Simulation: r, rnd: rand.New(rand.NewPCG(r.Seed, 1)), routers: map[string]*simRouter{}, result: &SimulationResult{MinUpShare: 1, Releases: map[string]string{}}}
 	for _, x := range r.All {
 		s.routers[x.Name] = &simRouter{Router: x, boot: 1, release: "old", results: map[string]Outcome{}}
 	}
 	s.fatalRestarts = map[int]bool{}
-	for _, n := range s.rnd.Perm(len(r.Todo))[:min(r.Lose, len(r.Todo))] {
+	for _, n := range s.rnd.Perm(len(r.Todo))[:min(r.RoutersToCrash, len(r.Todo))] {
 		s.fatalRestarts[n+1] = true
 	}
 	s.startTool()
-	if r.Kill > 0 {
-		s.schedule(r.Kill, func() { s.toolRun++; s.startTool() })
+	if r.CrashToolAt > 0 {
+		s.schedule(r.CrashToolAt, func() { s.toolRun++; s.startTool() })
 	}
 	for len(s.events) > 0 && !s.ended && s.now < 24*time.Hour {
 		h := heap.Pop(&s.events).(event)
@@ -121,7 +121,7 @@
 		h.do()
 		s.checkLimits()
 	}
-	s.result.Took, s.result.RoutersLost = s.now, s.lost
+	s.result.Duration, s.result.RoutersLost = s.now, s.lost
 	for name, x := range s.routers {
 		s.result.Releases[name] = x.release
 	}
@@ -130,7 +130,7 @@
 
 // startTool starts a run of the tool, which continues from the journal.
 func (s *simulator) startTool() {
-	s.planner = New("rehearsal", s.Target, s.All, s.Todo, s.Order, s.Lim, s.now)
+	s.planner = New("rehearsal", s.Target, s.All, s.Todo, s.Order, s.Limits, s.now)
 	s.planner.Restore(s.now, s.journal)
 	for i, x := range s.All {
 		s.pollStatus(s.routers[x.Name], s.now+time.Duration(i)*time.Millisecond)
@@ -156,10 +156,10 @@
 func (s *simulator) pollStatus(x *simRouter, at time.Duration) {
 	s.scheduleTool(at, func() {
 		if s.now >= x.upAt {
-			n := uint64(20 * s.Every.Seconds()) // 20 requests per second
+			n := uint64(20 * s.PollInterval.Seconds()) // 20 requests per second
 			served := n
-			if x.release == s.Target && s.Worse > 0 {
-				served = uint64(float64(n) * (1 - s.Worse))
+			if x.release == s.Target && s.FailureShare > 0 {
+				served = uint64(float64(n) * (1 - s.FailureShare))
 			}
 			x.served, x.total = x.served+served, x.total+n
 			s.apply(s.planner.Observe(s.now, Observation{Router: x.Name, Boot: fmt.Sprint(x.Name, x.boot), Release: x.release,
@@ -167,7 +167,7 @@
 		} else {
 			s.apply(s.planner.Tick(s.now))
 		}
-		s.pollStatus(x, s.now+s.Every)
+		s.pollStatus(x, s.now+s.PollInterval)
 	})
 }
 
@@ -184,7 +184,7 @@
 				s.journal = append(s.journal, Entry{Kind: e.Kind, Router: e.Router, Text: e.Text})
 			}
 		case End:
-			s.result.How, s.ended = e.Ending, true
+			s.result.Ending, s.ended = e.Ending, true
 		}
 	}
 }
@@ -200,20 +200,20 @@
 		answer(10*time.Millisecond, o)
 		return
 	}
-	took := time.Duration(float64(x.RestartTime-s.Lim.SettleTime) * (1 + s.Spread*(2*s.rnd.Float64()-1)))
+	took := time.Duration(float64(x.RestartTime-s.Limits.SettleTime) * (1 + s.Spread*(2*s.rnd.Float64()-1)))
 	switch {
 	case s.fatalRestarts[s.result.Restarts]:
 		s.lost++
-		x.upAt, x.results = s.now+s.Back, map[string]Outcome{}
+		x.upAt, x.results = s.now+s.RecoveryTime, map[string]Outcome{}
 		x.boot++
 		x.served, x.total = 0, 0
 		answer(took, NoAnswer)
-	case s.Bad && e.Release == s.Target:
+	case s.BadRelease && e.Release == s.Target:
 		x.results[e.ID] = Rejected
 		answer(took, Rejected)
 	default:
 		x.results[e.ID] = Completed
-		x.upAt, x.settlesAt = s.now+took, s.now+took+s.Lim.SettleTime
+		x.upAt, x.settlesAt = s.now+took, s.now+took+s.Limits.SettleTime
 		x.boot++
 		x.release, x.served, x.total = e.Release, 0, 0
 		answer(took, Completed)
@@ -234,14 +234,14 @@
 		downByCentre[x.Centre]++
 		dead[x.Name] = true
 	}
-	s.result.LeastUp = min(s.result.LeastUp, upCapacity/totalCapacity)
+	s.result.MinUpShare = min(s.result.MinUpShare, upCapacity/totalCapacity)
 	for c, n := range downByCentre {
-		s.result.MostDown = max(s.result.MostDown, n)
-		if s.Lim.MaxDown > 0 && n > s.Lim.MaxDown {
-			s.result.Broken = append(s.result.Broken, fmt.Sprintf("%v: %d down in %s", s.now, n, c))
+		s.result.MaxDown = max(s.result.MaxDown, n)
+		if s.Limits.MaxDown > 0 && n > s.Limits.MaxDown {
+			s.result.Violations = append(s.result.Violations, fmt.Sprintf("%v: %d down in %s", s.now, n, c))
 		}
 	}
-	if upCapacity/totalCapacity < s.Lim.MinCapacity-eps {
-		s.result.Broken = append(s.result.Broken, fmt.Sprintf("%v: %.3f of the capacity up", s.now, upCapacity/totalCapacity))
+	if upCapacity/totalCapacity < s.Limits.MinCapacity-eps {
+		s.result.Violations = append(s.result.Violations, fmt.Sprintf("%v: %.3f of the capacity up", s.now, upCapacity/totalCapacity))
 	}
 }
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -15,7 +15,7 @@
 const sec = time.Second
 
 // fleet returns n generated routers in two data centres.
-func fleet(n int, seed uint64) []Router { return MadeUp(n, 2, 40*sec, seed) }
+func fleet(n int, seed uint64) []Router { return GenerateFleet(n, 2, 40*sec, seed) }
 
 var lim = Limits{MinCapacity: 0.8, MinCentreCapacity: 0.7, MaxDown: 8, Canaries: 1, CanaryWatch: 30 * sec, SettleTime: 5 * sec, StatusTimeout: 10 * sec,
 	ProgressDeadline: 10 * time.Minute, MaxFailures: 2, MinServed: 0.9, ServedWindow: 10 * sec, MinRequests: 50}
@@ -98,17 +98,17 @@
 }
 
 // playRollout rehearses a rollout of n routers to release new.
-func playRollout(n int, change func(*Rehearsal)) *Played {
+func playRollout(n int, change func(*Simulation)) *SimulationResult {
 	all := fleet(n, 7)
-	r := Rehearsal{All: all, Todo: all, Lim: lim, Target: "new", Seed: 3, Spread: 0.2, Back: 40 * sec}
+	r := Simulation{All: all, Todo: all, Limits: lim, Target: "new", Seed: 3, Spread: 0.2, RecoveryTime: 40 * sec}
 	change(&r)
-	s := Plan(all, r.Todo, r.Lim, 10, 1)
+	s := Plan(all, r.Todo, r.Limits, 10, 1)
 	r.Order = s.Order()
-	return r.Play()
+	return r.Run()
 }
 
 // countOnRelease returns the number of routers on a release at the end of a rehearsal.
-func countOnRelease(p *Played, release string) (n int) {
+func countOnRelease(p *SimulationResult, release string) (n int) {
 	for _, r := range p.Releases {
 		if r == release {
 			n++
@@ -120,23 +120,23 @@
 func TestRollouts(t *testing.T) {
 	for _, c := range []struct {
 		name       string
-		change     func(*Rehearsal)
+		change     func(*Simulation)
 		ending     Ending
 		onTarget   int
 		mayViolate bool // a crash may violate the limits; the planner may not
 	}{
-		{"no faults", func(r *Rehearsal) {}, AllDone, 40, false},
-		{"routers crash during their restart", func(r *Rehearsal) { r.Lose = 3 }, AllDone, 40, true},
-		{"a router crashes and stays down", func(r *Rehearsal) { r.Lose, r.Back = 1, 48*time.Hour }, Stuck, 0, true},
-		{"the tool crashes", func(r *Rehearsal) { r.Kill = 95 * sec }, AllDone, 40, false},
-		{"the tool and routers crash", func(r *Rehearsal) { r.Lose, r.Kill = 3, 70*sec }, AllDone, 40, true},
-		{"the release does not start", func(r *Rehearsal) { r.Bad = true }, RolledBack, 0, false},
-		{"the release serves worse", func(r *Rehearsal) { r.Worse = 0.5 }, RolledBack, 0, false},
-		{"the tool crashes during the rollback", func(r *Rehearsal) { r.Worse, r.Kill = 0.5, 75*sec }, RolledBack, 0, false},
+		{"no faults", func(r *Simulation) {}, AllDone, 40, false},
+		{"routers crash during their restart", func(r *Simulation) { r.RoutersToCrash = 3 }, AllDone, 40, true},
+		{"a router crashes and stays down", func(r *Simulation) { r.RoutersToCrash, r.RecoveryTime = 1, 48*time.Hour }, Stuck, 0, true},
+		{"the tool crashes", func(r *Simulation) { r.CrashToolAt = 95 * sec }, AllDone, 40, false},
+		{"the tool and routers crash", func(r *Simulation) { r.RoutersToCrash, r.CrashToolAt = 3, 70*sec }, AllDone, 40, true},
+		{"the release does not start", func(r *Simulation) { r.BadRelease = true }, RolledBack, 0, false},
+		{"the release serves worse", func(r *Simulation) { r.FailureShare = 0.5 }, RolledBack, 0, false},
+		{"the tool crashes during the rollback", func(r *Simulation) { r.FailureShare, r.CrashToolAt = 0.5, 75*sec }, RolledBack, 0, false},
 	} {
 		p := playRollout(40, c.change)
-		if p.How != c.ending || (c.ending != Stuck && countOnRelease(p, "new") != c.onTarget) || len(p.Broken) > 0 != c.mayViolate && len(p.Broken) > 0 {
-			t.Errorf("%s: %v after %v, %d on the new release, %v\n%v", c.name, p.How, p.Took, countOnRelease(p, "new"), p.Broken, p.Notes)
+		if p.Ending != c.ending || (c.ending != Stuck && countOnRelease(p, "new") != c.onTarget) || len(p.Violations) > 0 != c.mayViolate && len(p.Violations) > 0 {
+			t.Errorf("%s: %v after %v, %d on the new release, %v\n%v", c.name, p.Ending, p.Duration, countOnRelease(p, "new"), p.Violations, p.Notes)
 		}
 	}
 }
--- a/internal/rules/operators.go
+++ b/internal/rules/operators.go
@@ -18,11 +18,11 @@
 
 // Operations is the result of checking the runs of the fleet tool against the records.
 type Operations struct {
-	Runs      int
-	Codes     map[int]int // number of runs by exit status
-	NoSession int         // clients that got no session
-	Excused   int         // of these, at a router that was dead, stopping or drained
-	Breaks    []string    // exit statuses that don't match what happened, and clients that got no session at a ready router
+	Runs       int
+	Codes      map[int]int // number of runs by exit status
+	NoSession  int         // clients that got no session
+	Excused    int         // of these, at a router that was dead, stopping or drained
+	Violations []string    // exit statuses that don't match what happened, and clients that got no session at a ready router
 }
 
 // toolRun is one run of the tool, with the probes of its router before and after it.
@@ -47,7 +47,7 @@
 		o.Runs++
 		o.Codes[int(r.end.N)]++
 		if mismatch := r.mismatch(); mismatch != "" {
-			o.Breaks = append(o.Breaks, fmt.Sprintf("%s %s of %s exits with %g, but %s", r.begin.Key, r.begin.Note, r.begin.Router, r.end.N, mismatch))
+			o.Violations = append(o.Violations, fmt.Sprintf("%s %s of %s exits with %g, but %s", r.begin.Key, r.begin.Note, r.begin.Router, r.end.N, mismatch))
 		}
 	}
 	o.checkSessions(events, dialMS)
@@ -154,7 +154,7 @@
 			if since, known := readySince[e.Router]; unavailable || !known || e.T-since < dialMS {
 				o.Excused++
 			} else {
-				o.Breaks = append(o.Breaks, fmt.Sprintf("at %.0f ms %s got no session at %s, which was ready: %s", e.T, e.Who, e.Router, e.Note))
+				o.Violations = append(o.Violations, fmt.Sprintf("at %.0f ms %s got no session at %s, which was ready: %s", e.T, e.Who, e.Router, e.Note))
 			}
 		}
 	}
--- a/internal/rules/operators_test.go
+++ b/internal/rules/operators_test.go
@@ -52,7 +52,7 @@
 		{"no session at a dead router", append(toolRunEvents("drain", 4, ready, none, kill...), shut(9000)), ""},
 	} {
 		o := Operators(c.events, 2000)
-		got := strings.Join(o.Breaks, "; ")
+		got := strings.Join(o.Violations, "; ")
 		if (c.want == "") != (got == "") || !strings.Contains(got, c.want) || o.Runs != 1 {
 			t.Errorf("%s: %q, want %q", c.name, got, c.want)
 		}
--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -64,13 +64,13 @@
 // Verdict is the result of a check.
 type Verdict struct {
 	Requests, Tries, Attempts int
-	Breaks                    []Violation
+	Violations                []Violation
 }
 
 // Count returns the number of violations of a rule.
 func (v *Verdict) Count(rule int) int {
 	n := 0
-	for _, violation := range v.Breaks {
+	for _, violation := range v.Violations {
 		if violation.Rule == rule {
 			n++
 		}
@@ -112,7 +112,7 @@
 	c.checkDraining()
 	c.checkColdStart()
 	c.checkHolds()
-	slices.SortStableFunc(c.verdict.Breaks, func(a, b Violation) int { return a.Rule - b.Rule })
+	slices.SortStableFunc(c.verdict.Violations, func(a, b Violation) int { return a.Rule - b.Rule })
 	return c.verdict
 }
 
@@ -181,7 +181,7 @@
 	slices.SortStableFunc(timeline, func(a, b record.Event) int {
 		return cmp.Or(cmp.Compare(a.T, b.T), strings.Compare(a.Kind, b.Kind))
 	})
-	c.verdict.Breaks = append(c.verdict.Breaks, Violation{Rule: rule, Req: req, What: fmt.Sprintf(format, args...),
+	c.verdict.Violations = append(c.verdict.Violations, Violation{Rule: rule, Req: req, What: fmt.Sprintf(format, args...),
 		Timeline: slices.Compact(timeline)})
 }
 
--- a/internal/rules/rules_test.go
+++ b/internal/rules/rules_test.go
@@ -117,10 +117,10 @@
 	} {
 		v := Check(cfg, c.events)
 		switch {
-		case c.rule == 0 && len(v.Breaks) > 0:
-			t.Errorf("%s: %v", c.name, &v.Breaks[0])
-		case c.rule > 0 && (v.Count(c.rule) == 0 || len(v.Breaks) != v.Count(c.rule)):
-			t.Errorf("%s: rule %d not found alone in %v", c.name, c.rule, v.Breaks)
+		case c.rule == 0 && len(v.Violations) > 0:
+			t.Errorf("%s: %v", c.name, &v.Violations[0])
+		case c.rule > 0 && (v.Count(c.rule) == 0 || len(v.Violations) != v.Count(c.rule)):
+			t.Errorf("%s: rule %d not found alone in %v", c.name, c.rule, v.Violations)
 		}
 	}
 }
@@ -129,7 +129,7 @@
 func TestTimeline(t *testing.T) {
 	v := Check(cfg, append(served("a"), engine(60, "w2", record.Apply, "")))
 	var b strings.Builder
-	v.Breaks[0].Write(&b)
+	v.Violations[0].Write(&b)
 	for _, want := range []string{"rule 2, x", "offer", "rd ", "state taken", "w2"} {
 		if !strings.Contains(b.String(), want) {
 			t.Errorf("no %q in\n%s", want, b.String())
--- a/internal/scenario/clients.go
+++ b/internal/scenario/clients.go
@@ -95,7 +95,7 @@
 }
 
 // recordLate records an event of a response that had its final answer; no response of the session is open.
-func (u *virtualUser) recordLate(ev *realtime.Server) {
+func (u *virtualUser) recordLate(ev *realtime.ServerEvent) {
 	if u.lastRequest != nil && responseOf(ev) != "" {
 		u.logEvent(u.lastRequest, u.lastTry, record.After, ev.Type, 0)
 	}
@@ -225,11 +225,11 @@
 		meta[realtime.MetaRetry] = "true"
 	}
 	if try > 1 {
-		meta[realtime.MetaTry] = strconv.Itoa(try)
+		meta[realtime.MetaAttempt] = strconv.Itoa(try)
 	}
 	u.responseID, u.lastRequest, u.lastTry = "", req, try
 	u.logEvent(req, try, record.Offer, u.tenant, class.Timeout.Seconds()*1000)
-	if u.lastPrompt != req.name && u.session.Say("question "+req.name) != nil || u.session.Request(meta, class.MaxTokens) != nil {
+	if u.lastPrompt != req.name && u.session.AddMessage("question "+req.name) != nil || u.session.Request(meta, class.MaxTokens) != nil {
 		return u.recordLost(req, try, "unreachable")
 	}
 	u.lastPrompt = req.name
@@ -239,7 +239,7 @@
 // recordLost records a try without a final answer, and drops the session.
 func (u *virtualUser) recordLost(req *plannedRequest, try int, reason string) tryResult {
 	u.logEvent(req, try, record.Lost, reason, 0)
-	u.session.Cut()
+	u.session.Abort()
 	u.session = nil
 	return tryResult{kind: "lost", disconnected: reason == "left", unreachable: reason == "unreachable" || reason == "not taken"}
 }
@@ -251,7 +251,7 @@
 	cutAfter := func(d time.Duration, reason string) *time.Timer {
 		return time.AfterFunc(d, func() {
 			cut.Store(reason)
-			s.Cut()
+			s.Abort()
 		})
 	}
 	timeout := cutAfter(class.Timeout+2*time.Second, "gave up")
@@ -294,7 +294,7 @@
 }
 
 // responseOf returns the id of the response that an event belongs to, or "".
-func responseOf(ev *realtime.Server) string {
+func responseOf(ev *realtime.ServerEvent) string {
 	if ev.Response != nil {
 		return ev.Response.ID
 	}
--- a/internal/scenario/faults.go
+++ b/internal/scenario/faults.go
@@ -78,7 +78,7 @@
 	case "burst", "eager-retries": // acted out by the clients, whose plan has them
 		sleep(ctx, fault.For)
 	case "roster-cut":
-		f.roster.Forget()
+		f.roster.Compact()
 		f.roster.Stop()
 		sleep(ctx, fault.For)
 		f.roster.Start(f.rosterAddr)
--- a/internal/scenario/fleet.go
+++ b/internal/scenario/fleet.go
@@ -61,8 +61,8 @@
 
 func (s *Script) engineConfig(e Engine, writes bool, seed uint64) standin.Config {
 	return standin.Config{Addr: "127.0.0.1:0", Writes: writes, Slots: e.Slots, Queue: e.Queue, Memory: float64(e.Memory),
-		ReadRate: float64(e.ReadRate), FetchRate: float64(e.FetchRate), TokenGap: e.TokenGap, Early: 0.7,
-		ColdFrom: e.ColdFrom, WarmAfter: e.WarmAfter, Overload: 3, Fall: 3 * time.Second, Keep: 5 * time.Second,
+		ReadRate: float64(e.ReadRate), FetchRate: float64(e.FetchRate), TokenGap: e.TokenGap, EarlyShare: 0.7,
+		ColdFrom: e.ColdFrom, WarmAfter: e.WarmAfter, OverloadFactor: 3, OverloadWindow: 3 * time.Second, StateLifetime: 5 * time.Second,
 		Extended: true, IgnoreCancel: e.IgnoreCancel, Seed: seed}
 }
 
@@ -151,7 +151,7 @@
 
 func (f *fleet) listEngine(e *standin.Engine, state string, started time.Time) {
 	kind, zone, cell := f.location(e)
-	f.roster.Set(standin.Listed{Addr: e.Addr(), Kind: kind, Zone: zone, Cell: cell, Started: started, State: state})
+	f.roster.Set(standin.Listing{Addr: e.Addr(), Kind: kind, Zone: zone, Cell: cell, Started: started, State: state})
 }
 
 // newRouter writes a router's settings. Its port is held for the whole run.
@@ -326,7 +326,7 @@
 // listRouter lists the router in the roster, if the scenario lists routers there.
 func (r *router) listRouter(state string) {
 	if r.fleet.script.Settings.ListRouters {
-		r.fleet.roster.Set(standin.Listed{Addr: r.addr, Service: "routers", State: state})
+		r.fleet.roster.Set(standin.Listing{Addr: r.addr, Service: "routers", State: state})
 	}
 }
 
--- a/internal/scenario/http.go
+++ b/internal/scenario/http.go
@@ -36,14 +36,14 @@
 // connectHTTP reuses the connection if it is intact, or opens one to the user's router.
 func (u *virtualUser) connectHTTP(ctx context.Context) error {
 	if u.http != nil {
-		err := u.http.Stands()
-		if errors.Is(err, client.ErrOutOfTurn) && u.lastRequest != nil {
+		err := u.http.CheckReusable()
+		if errors.Is(err, client.ErrUnsolicited) && u.lastRequest != nil {
 			u.logEvent(u.lastRequest, u.lastTry, record.After, err.Error(), 0)
 		}
 		if err == nil {
 			return nil
 		}
-		u.http.Cut()
+		u.http.Abort()
 		u.http = nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
@@ -114,7 +114,7 @@
 	conn := u.http
 	var cut atomic.Value
 	cutAfter := func(d time.Duration, why string) *time.Timer {
-		return time.AfterFunc(d, func() { cut.Store(why); conn.Cut() })
+		return time.AfterFunc(d, func() { cut.Store(why); conn.Abort() })
 	}
 	defer cutAfter(class.Timeout+12*time.Second, "gave up").Stop()
 	if req.disconnect {
@@ -123,7 +123,7 @@
 	if conn.Post(path, headers, body) != nil {
 		return u.recordLostHTTP(req, try, "connection", &cut)
 	}
-	res, answer, err := conn.Head()
+	res, answer, err := conn.ReadHead()
 	if err != nil {
 		return u.recordLostHTTP(req, try, "connection", &cut)
 	}
@@ -142,7 +142,7 @@
 		reason = cutReason
 	}
 	u.logEvent(req, try, record.Lost, reason, 0)
-	u.http.Cut()
+	u.http.Abort()
 	u.http = nil
 	return tryResult{kind: "lost", disconnected: reason == "left"}
 }
--- a/internal/scenario/loads.go
+++ b/internal/scenario/loads.go
@@ -12,10 +12,10 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// OverloadDay is the embedded overload scenario.
+// OverloadScript is the embedded overload scenario.
 //
 //go:embed overload.gann
-var OverloadDay string
+var OverloadScript string
 
 // warmUpTime is excluded from goodput: engines and limits start cold.
 const warmUpTime = 5 * time.Second
@@ -116,7 +116,7 @@
 		for i := range r.Tenant {
 			kept += fmt.Sprintf(", %s %s in time", r.Script.Tenants[i].Name, share(r.Tenant[i].InTime, r.Tenant[i].Offered))
 		}
-		fmt.Fprintf(w, "%-7s %6g %8d %7.1f/s %9s %7.1f%% %8.1f%% %7.1f%% %7.2f %7s %9s %s\n", onOff(r.Script.Settings.Limits), r.Times,
+		fmt.Fprintf(w, "%-7s %6g %8d %7.1f/s %9s %7.1f%% %8.1f%% %7.1f%% %7.2f %7s %9s %s\n", onOff(r.Script.Settings.Limits), r.LoadFactor,
 			r.All.Offered, r.Goodput(), share(r.All.InTime, r.All.Offered), 100*capacity, 100*budget, 100*module,
 			float64(r.All.Tries)/max(float64(r.All.Offered), 1), jain, recovery, kept)
 	}
@@ -153,7 +153,7 @@
 		var points plotter.XYs
 		for _, r := range list {
 			if r.Script.Settings.Limits == on {
-				points = append(points, plotter.XY{X: r.Times, Y: r.Goodput()})
+				points = append(points, plotter.XY{X: r.LoadFactor, Y: r.Goodput()})
 			}
 		}
 		if len(points) == 0 {
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -38,7 +38,7 @@
 	Duplicated  int       // requests that took effect more than once, as the stand-ins counted
 	Elapsed     time.Duration
 	Ops         *rules.Operations // runs of the fleet tool
-	Times       float64           // factor on the script's rate, when it is run at several loads
+	LoadFactor  float64           // factor on the script's rate, when it is run at several loads
 	ShutdownErr error             // fault during the shutdown of the run
 }
 
@@ -199,15 +199,15 @@
 	if err2 := w.Close(); err == nil {
 		err = err2
 	}
-	if err != nil || len(r.Verdict.Breaks) == 0 {
+	if err != nil || len(r.Verdict.Violations) == 0 {
 		return err
 	}
 	w, err = os.Create(filepath.Join(dir, "breaks.txt"))
 	if err != nil {
 		return err
 	}
-	for i := range r.Verdict.Breaks {
-		r.Verdict.Breaks[i].Write(w)
+	for i := range r.Verdict.Violations {
+		r.Verdict.Violations[i].Write(w)
 	}
 	return w.Close()
 }
@@ -215,7 +215,7 @@
 // OK reports whether no rule was violated, the stand-ins counted no effect twice, the check of operations passed and the
 // shutdown succeeded.
 func (r *Result) OK() bool {
-	return len(r.Verdict.Breaks) == 0 && r.Duplicated == 0 && r.ShutdownErr == nil && len(r.Ops.Breaks) == 0
+	return len(r.Verdict.Violations) == 0 && r.Duplicated == 0 && r.ShutdownErr == nil && len(r.Ops.Violations) == 0
 }
 
 func share(n, of int) string {
@@ -261,13 +261,13 @@
 		}
 		fmt.Fprintf(w, "rule %d %s\n", rule, status)
 	}
-	for _, b := range r.Verdict.Breaks[:min(len(r.Verdict.Breaks), 5)] {
+	for _, b := range r.Verdict.Violations[:min(len(r.Verdict.Violations), 5)] {
 		fmt.Fprintf(w, "  %v\n", &b)
 	}
 	if r.Ops.Runs > 0 {
-		fmt.Fprintf(w, "fleet tool: %d runs, by exit status %v; %d exit statuses or doors wrong\n", r.Ops.Runs, r.Ops.Codes, len(r.Ops.Breaks))
+		fmt.Fprintf(w, "fleet tool: %d runs, by exit status %v; %d exit statuses or doors wrong\n", r.Ops.Runs, r.Ops.Codes, len(r.Ops.Violations))
 	}
-	for _, b := range r.Ops.Breaks[:min(len(r.Ops.Breaks), 5)] {
+	for _, b := range r.Ops.Violations[:min(len(r.Ops.Violations), 5)] {
 		fmt.Fprintf(w, "  %s\n", b)
 	}
 	r.WriteOperations(w)
@@ -285,7 +285,7 @@
 		t, kept := &r.All, "kept"
 		if !r.OK() {
 			var violated []int
-			for _, b := range r.Verdict.Breaks {
+			for _, b := range r.Verdict.Violations {
 				violated = append(violated, b.Rule)
 			}
 			slices.Sort(violated)
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -13,7 +13,7 @@
 
 func badScript(t *testing.T) *Script {
 	t.Helper()
-	s, err := Parse("bad.gann", Bad)
+	s, err := Parse("bad.gann", BadScript)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -66,13 +66,13 @@
 	u.lastRequest, u.lastTry, u.responseID = a, 1, "resp"
 	u.logEvent(a, 1, record.Offer, "", 1000)
 	u.logEvent(a, 1, record.Final, "served", 0)
-	u.recordLate(&realtime.Server{Type: realtime.ItemDone}) // belongs to no response
-	if v := rules.Check(f.ruleConfig(), f.log.Events()); len(v.Breaks) != 0 {
-		t.Errorf("%v", v.Breaks)
+	u.recordLate(&realtime.ServerEvent{Type: realtime.ItemDone}) // belongs to no response
+	if v := rules.Check(f.ruleConfig(), f.log.Events()); len(v.Violations) != 0 {
+		t.Errorf("%v", v.Violations)
 	}
-	u.recordLate(&realtime.Server{Type: realtime.TextDelta, ResponseID: "resp"})
+	u.recordLate(&realtime.ServerEvent{Type: realtime.TextDelta, ResponseID: "resp"})
 	if v := rules.Check(f.ruleConfig(), f.log.Events()); v.Count(1) != 1 {
-		t.Errorf("%v", v.Breaks)
+		t.Errorf("%v", v.Violations)
 	}
 }
 
@@ -85,7 +85,7 @@
 		{"(part 0.18)", "(part 1.8)", "a part is 1 at the most"},
 		{"(rate 95)", "(rate 0)", "above 0"},
 	} {
-		_, err := Parse("f", strings.Replace(Bad, c.from, c.to, 1))
+		_, err := Parse("f", strings.Replace(BadScript, c.from, c.to, 1))
 		if err == nil || !strings.Contains(err.Error(), c.want) || !strings.HasPrefix(err.Error(), "f:") {
 			t.Errorf("%s: %v", c.to, err)
 		}
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -222,7 +222,7 @@
 	}
 }
 
-// Bad is the embedded scenario with faults that the day command runs by default.
+// BadScript is the embedded scenario with faults that the day command runs by default.
 //
 //go:embed bad.gann
-var Bad string
+var BadScript string
--- a/internal/settings/admit.go
+++ b/internal/settings/admit.go
@@ -37,7 +37,7 @@
 // ten seconds.
 func (f *File) checkBudget(b *Budget) error {
 	switch {
-	case b.Class != "" && f.ClassNamed(b.Class) < 0:
+	case b.Class != "" && f.ClassIndex(b.Class) < 0:
 		return sexp.Errorf(b.At, "no class is named %q", b.Class)
 	case b.Requests == 0 && b.Tokens == 0:
 		return sexp.Errorf(b.At, "a budget has (requests ...), (tokens ...) or both")
@@ -63,9 +63,9 @@
 		return sexp.Errorf(a.At, "waiting, clients and in-hand-least are 1 at the least; in-hand-start and in-hand-most no less than that")
 	case a.WaitPart <= 0 || a.WaitPart > 1:
 		return sexp.Errorf(a.At, "wait-part is above 0 and 1 at the most")
-	case h.Body < 1024 || h.Bodies < h.Body || h.Answer < 1024 || h.PartTokens < 1 || h.PartItems < 1 || h.PartsInFlight < 1 || h.PartAttempts < 1:
+	case h.MaxBody < 1024 || h.MaxBodies < h.MaxBody || h.MaxAnswer < 1024 || h.PartTokens < 1 || h.PartItems < 1 || h.PartsInFlight < 1 || h.PartAttempts < 1:
 		return sexp.Errorf(f.At, "http: body and answer are 1KiB at the least, bodies no less than body; part, part-items, parts-out and part-tries 1")
-	case f.Keys.File != "" && f.Keys.Every <= 0:
+	case f.Keys.File != "" && f.Keys.PollInterval <= 0:
 		return sexp.Errorf(f.At, "(every ...) of the keys is above 0")
 	}
 	given := 0
@@ -74,7 +74,7 @@
 			given++
 		}
 	}
-	if given != 0 && given != 4 || t.Clients && given == 0 {
+	if given != 0 && given != 4 || t.RequireClientCert && given == 0 {
 		return sexp.Errorf(t.At, "tls needs (domain ...), (cert ...), (key ...) and (authority ...)")
 	}
 	for i := range f.Tenants {
@@ -85,23 +85,23 @@
 	return nil
 }
 
-// ClassNamed returns the index of the class of a name, or -1.
-func (f *File) ClassNamed(name string) int {
+// ClassIndex returns the index of the class of a name, or -1.
+func (f *File) ClassIndex(name string) int {
 	return slices.IndexFunc(f.Classes, func(c Class) bool { return c.Name == name })
 }
 
-// ClassOf returns the index of the first class of a kind of work, or -1.
-func (f *File) ClassOf(w Work) int {
+// ClassIndexForWork returns the index of the first class of a kind of work, or -1.
+func (f *File) ClassIndexForWork(w Work) int {
 	return slices.IndexFunc(f.Classes, func(c Class) bool { return c.Work == w })
 }
 
-// TenantNamed returns the index of the tenant of a name, or -1.
-func (f *File) TenantNamed(name string) int {
+// TenantIndex returns the index of the tenant of a name, or -1.
+func (f *File) TenantIndex(name string) int {
 	return slices.IndexFunc(f.Tenants, func(t Tenant) bool { return t.Name == name })
 }
 
-// TenantOf returns the index of the tenant that a SPIFFE ID belongs to, or -1.
-func (f *File) TenantOf(id string) int {
+// TenantIndexForID returns the index of the tenant that a SPIFFE ID belongs to, or -1.
+func (f *File) TenantIndexForID(id string) int {
 	return slices.IndexFunc(f.Tenants, func(t Tenant) bool { return slices.Contains(t.Identity, id) })
 }
 
@@ -109,10 +109,10 @@
 // sheds load nor limits retries.
 func (f *File) Limiter() limits.Settings {
 	a := &f.Admit
-	s := limits.Settings{Routers: f.Routers, MaxWaiting: a.MaxWaiting, WaitPart: a.WaitPart, MinInFlight: a.MinInFlight, StartInFlight: a.StartInFlight,
-		MaxInFlight: a.MaxInFlight, Retries: a.Retries, MaxClients: a.MaxClients, Shed: a.Shed, MinRetryAfter: a.MinRetryAfter, MaxRetryAfter: a.MaxRetryAfter, Seed: f.Seed}
+	s := limits.Settings{Routers: f.Routers, MaxQueued: a.MaxWaiting, MaxWaitFraction: a.WaitPart, MinInFlight: a.MinInFlight, StartInFlight: a.StartInFlight,
+		MaxInFlight: a.MaxInFlight, RetryRatio: a.Retries, MaxClients: a.MaxClients, Shed: a.Shed, MinRetryAfter: a.MinRetryAfter, MaxRetryAfter: a.MaxRetryAfter, Seed: f.Seed}
 	if !a.On {
-		s.MinInFlight, s.StartInFlight, s.MaxInFlight, s.Shed, s.Retries = math.MaxInt32, math.MaxInt32, math.MaxInt32, false, 0
+		s.MinInFlight, s.StartInFlight, s.MaxInFlight, s.Shed, s.RetryRatio = math.MaxInt32, math.MaxInt32, math.MaxInt32, false, 0
 	}
 	for _, c := range f.Classes {
 		s.Classes = append(s.Classes, limits.Class{Aim: c.Aim, AimPer1000: c.AimPer1000, Worth: c.Worth, Priority: c.Priority})
@@ -122,7 +122,7 @@
 		for _, b := range t.Budgets {
 			class := -1
 			if b.Class != "" {
-				class = f.ClassNamed(b.Class)
+				class = f.ClassIndex(b.Class)
 			}
 			tenant.Budgets = append(tenant.Budgets, limits.Budget{Class: class,
 				Requests: limits.Rate{PerSecond: float64(b.Requests), Burst: b.Burst},
@@ -137,6 +137,6 @@
 // deadline.
 func (f *File) Batch() batch.Limits {
 	h := &f.HTTP
-	return batch.Limits{Tokens: float64(h.PartTokens), Items: h.PartItems, Out: h.PartsInFlight, Tries: h.PartAttempts,
-		Margin: f.Limits.RetryAfter}
+	return batch.Limits{MaxTokens: float64(h.PartTokens), MaxTexts: h.PartItems, MaxInFlight: h.PartsInFlight, MaxAttempts: h.PartAttempts,
+		RetryMargin: f.Limits.MaxRetryAfter}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -98,14 +98,14 @@
 
 // Limits bound the work of the router itself.
 type Limits struct {
-	MaxAttempts int           `gann:"attempts"`      // per request
-	RetryShare  float64       `gann:"repeats"`       // retries that an engine may get per recent first attempt; 0: unlimited
-	RetryAfter  time.Duration `gann:"retry-after"`   // longest retry delay that clients are advised
-	Quantum     time.Duration `gann:"quantum"`       // time between two batches of events for the decision module
-	Open        int           `gann:"open"`          // maximum number of open requests
-	Inbox       int           `gann:"inbox"`         // capacity of the queue of events of the driver
-	Remember    time.Duration `gann:"remember-keys"` // time for which the outcome of an idempotency key is kept
-	Keys        int           `gann:"keys"`          // maximum number of idempotency keys
+	MaxAttempts   int           `gann:"attempts"`      // per request
+	RetryShare    float64       `gann:"repeats"`       // retries that an engine may get per recent first attempt; 0: unlimited
+	MaxRetryAfter time.Duration `gann:"retry-after"`   // longest retry delay that clients are advised
+	Quantum       time.Duration `gann:"quantum"`       // time between two batches of events for the decision module
+	MaxOpen       int           `gann:"open"`          // maximum number of open requests
+	InboxSize     int           `gann:"inbox"`         // capacity of the queue of events of the driver
+	KeyRetention  time.Duration `gann:"remember-keys"` // time for which the outcome of an idempotency key is kept
+	MaxKeys       int           `gann:"keys"`          // maximum number of idempotency keys
 }
 
 // Admit configures admission control: the queue before the decision module, the concurrency limit and load shedding.
@@ -126,12 +126,12 @@
 
 // HTTP bounds the HTTP APIs and the parts that batches are divided into.
 type HTTP struct {
-	Body          sexp.Bytes    `gann:"body"`       // maximum size of the body of a request
-	Bodies        sexp.Bytes    `gann:"bodies"`     // maximum size of the bodies of all requests under way
-	Answer        sexp.Bytes    `gann:"answer"`     // maximum size of an answer
-	Read          time.Duration `gann:"read"`       // time limit for the body of a request
-	Idle          time.Duration `gann:"idle"`       // an unused connection is closed after this time
-	Write         time.Duration `gann:"write"`      // a write that takes longer closes the connection
+	MaxBody       sexp.Bytes    `gann:"body"`       // maximum size of the body of a request
+	MaxBodies     sexp.Bytes    `gann:"bodies"`     // maximum size of the bodies of all requests under way
+	MaxAnswer     sexp.Bytes    `gann:"answer"`     // maximum size of an answer
+	ReadTimeout   time.Duration `gann:"read"`       // time limit for the body of a request
+	IdleTimeout   time.Duration `gann:"idle"`       // an unused connection is closed after this time
+	WriteTimeout  time.Duration `gann:"write"`      // a write that takes longer closes the connection
 	PartTokens    sexp.Tokens   `gann:"part"`       // maximum tokens of a part, unless it is a single longer text
 	PartItems     int           `gann:"part-items"` // maximum texts of a part
 	PartsInFlight int           `gann:"parts-out"`  // maximum parts in flight of a batch
@@ -140,80 +140,80 @@
 
 // Keys is the file with the API keys of the tenants. Without a file, clients name their tenant without proof.
 type Keys struct {
-	File  string        `gann:"file"`
-	Every time.Duration `gann:"every"` // time between two checks of the file
+	File         string        `gann:"file"`
+	PollInterval time.Duration `gann:"every"` // time between two checks of the file
 }
 
 // TLS enables TLS on the port for clients. The files are PEM files. Client certificates are verified with the authority.
 type TLS struct {
-	At        sexp.Pos
-	Domain    string `gann:"domain"` // SPIFFE trust domain
-	Cert      string `gann:"cert"`
-	Key       string `gann:"key"`
-	Authority string `gann:"authority"`
-	Clients   bool   `gann:"clients"` // a client without a certificate is rejected
+	At                sexp.Pos
+	Domain            string `gann:"domain"` // SPIFFE trust domain
+	Cert              string `gann:"cert"`
+	Key               string `gann:"key"`
+	Authority         string `gann:"authority"`
+	RequireClientCert bool   `gann:"clients"` // a client without a certificate is rejected
 }
 
 // Sessions bounds the sessions of clients.
 type Sessions struct {
-	Most         int           `gann:"most"`            // maximum number of client connections
-	Responses    int           `gann:"responses"`       // maximum number of concurrent responses in a session
-	Message      sexp.Bytes    `gann:"message"`         // maximum size of a message
-	Conversation sexp.Bytes    `gann:"conversation"`    // maximum size of the conversation that a session keeps
-	Pending      sexp.Bytes    `gann:"pending"`         // bytes that may wait to be sent
-	Idle         time.Duration `gann:"idle"`            // time without a frame until a ping; after as long again the connection is closed
-	Handshake    time.Duration `gann:"handshake"`       // time limit for TLS and the first request of a connection
-	TokenBytes   float64       `gann:"bytes-per-token"` // bytes of text that count as one token
-	Drain        time.Duration `gann:"drain"`           // time limit of a drain
+	MaxSessions      int           `gann:"most"`            // maximum number of client connections
+	MaxResponses     int           `gann:"responses"`       // maximum number of concurrent responses in a session
+	MaxMessage       sexp.Bytes    `gann:"message"`         // maximum size of a message
+	MaxConversation  sexp.Bytes    `gann:"conversation"`    // maximum size of the conversation that a session keeps
+	MaxPending       sexp.Bytes    `gann:"pending"`         // bytes that may wait to be sent
+	IdleTimeout      time.Duration `gann:"idle"`            // time without a frame until a ping; after as long again the connection is closed
+	HandshakeTimeout time.Duration `gann:"handshake"`       // time limit for TLS and the first request of a connection
+	BytesPerToken    float64       `gann:"bytes-per-token"` // bytes of text that count as one token
+	DrainTimeout     time.Duration `gann:"drain"`           // time limit of a drain
 }
 
 // Engines configures the connections to engines and what engines support.
 type Engines struct {
-	Holds       bool          `gann:"holds"`        // engines accept holds of places for answers
-	Cancel      bool          `gann:"cancel"`       // attempts may be cancelled
-	WritersRead bool          `gann:"writers-read"` // a writer without a read state reads the prompt itself
-	Dial        time.Duration `gann:"dial"`         // time limit for opening a connection
-	Idle        time.Duration `gann:"idle"`         // an unused connection is closed after this time; keep it below the engines' own limit
-	IdleConns   int           `gann:"idle-conns"`   // maximum unused connections to an engine
-	Spare       int           `gann:"spare-conns"`  // unused connections opened in advance, so that a stream need not wait for a dial
-	StreamIdle  time.Duration `gann:"stream-idle"`  // a stream without a token for this time is broken
-	Extension   time.Duration `gann:"extension"`    // a place or release not answered within this time counts as refused
+	Holds             bool          `gann:"holds"`        // engines accept holds of places for answers
+	Cancel            bool          `gann:"cancel"`       // attempts may be cancelled
+	WritersRead       bool          `gann:"writers-read"` // a writer without a read state reads the prompt itself
+	DialTimeout       time.Duration `gann:"dial"`         // time limit for opening a connection
+	IdleTimeout       time.Duration `gann:"idle"`         // an unused connection is closed after this time; keep it below the engines' own limit
+	IdleConns         int           `gann:"idle-conns"`   // maximum unused connections to an engine
+	SpareConns        int           `gann:"spare-conns"`  // unused connections opened in advance, so that a stream need not wait for a dial
+	StreamIdleTimeout time.Duration `gann:"stream-idle"`  // a stream without a token for this time is broken
+	ExtensionTimeout  time.Duration `gann:"extension"`    // a place or release not answered within this time counts as refused
 }
 
 // Roster is the source of the server list: either an API to watch or a file.
 type Roster struct {
-	At        sexp.Pos
-	Watch     string        `gann:"watch"` // host:port of a Kubernetes API
-	Namespace string        `gann:"namespace"`
-	Service   string        `gann:"service"` // of the EndpointSlices of the engines
-	File      string        `gann:"file"`    // path of a list that is read instead
-	Every     time.Duration `gann:"every"`   // time between two checks of the file
-	Cache     string        `gann:"cache"`   // file that keeps the last list over a restart
-	Routers   string        `gann:"routers"` // service whose EndpointSlices list the routers; "": their number is File.Routers
-	Silence   time.Duration `gann:"silence"` // a watch without a line for this time is considered lost
+	At            sexp.Pos
+	Watch         string        `gann:"watch"` // host:port of a Kubernetes API
+	Namespace     string        `gann:"namespace"`
+	Service       string        `gann:"service"` // of the EndpointSlices of the engines
+	File          string        `gann:"file"`    // path of a list that is read instead
+	PollInterval  time.Duration `gann:"every"`   // time between two checks of the file
+	Cache         string        `gann:"cache"`   // file that keeps the last list over a restart
+	RouterService string        `gann:"routers"` // service whose EndpointSlices list the routers; "": their number is File.Routers
+	SilenceLimit  time.Duration `gann:"silence"` // a watch without a line for this time is considered lost
 }
 
 // Control configures the control API for operators and the files of the process.
 type Control struct {
-	At        sexp.Pos
-	Run       string        `gann:"run"`    // directory of the pid file, lock and unix socket; "": none of them
-	Listen    string        `gann:"listen"` // host:port for other machines, with mutual TLS
-	Domain    string        `gann:"domain"` // SPIFFE trust domain of the certificates
-	Cert      string        `gann:"cert"`   // PEM files, read again when they change
-	Key       string        `gann:"key"`
-	Authority string        `gann:"authority"`
-	Releases  string        `gann:"releases"` // directory with one subdirectory for each release that a restart may name
-	Start     time.Duration `gann:"start"`    // a router that is not ready within this time has failed
-	Results   int           `gann:"results"`  // results of commands that are kept for repeated commands
-	Events    int           `gann:"events"`   // events that are kept for watchers that connect later
+	At           sexp.Pos
+	RunDir       string        `gann:"run"`    // directory of the pid file, lock and unix socket; "": none of them
+	Listen       string        `gann:"listen"` // host:port for other machines, with mutual TLS
+	Domain       string        `gann:"domain"` // SPIFFE trust domain of the certificates
+	Cert         string        `gann:"cert"`   // PEM files, read again when they change
+	Key          string        `gann:"key"`
+	Authority    string        `gann:"authority"`
+	ReleaseDir   string        `gann:"releases"` // directory with one subdirectory for each release that a restart may name
+	StartTimeout time.Duration `gann:"start"`    // a router that is not ready within this time has failed
+	MaxResults   int           `gann:"results"`  // results of commands that are kept for repeated commands
+	MaxEvents    int           `gann:"events"`   // events that are kept for watchers that connect later
 }
 
 // Socket returns the path of the unix socket; "" for none.
 func (c *Control) Socket() string {
-	if c.Run == "" {
+	if c.RunDir == "" {
 		return ""
 	}
-	return filepath.Join(c.Run, "control.sock")
+	return filepath.Join(c.RunDir, "control.sock")
 }
 
 // Effect, Group and Role are those of the decision module, written by name in the file.
@@ -303,20 +303,20 @@
 	return &File{
 		Routers: 1, Seed: 1,
 		Rules: Rules{ColdFrom: 0.25, WarmAfter: 10 * time.Second, Overload: 3, PinLimit: 500 * time.Millisecond},
-		Limits: Limits{MaxAttempts: 4, RetryAfter: 500 * time.Millisecond, Quantum: 10 * time.Millisecond, Open: 30000,
-			Inbox: 4096, Remember: 10 * time.Minute, Keys: 200000},
-		Sessions: Sessions{Most: 20000, Responses: 16, Message: sexp.Bytes(w.Message), Conversation: 4 << 20,
-			Pending: sexp.Bytes(w.Pending), Idle: w.Idle, Handshake: 5 * time.Second, TokenBytes: 4,
-			Drain: 30 * time.Second},
+		Limits: Limits{MaxAttempts: 4, MaxRetryAfter: 500 * time.Millisecond, Quantum: 10 * time.Millisecond, MaxOpen: 30000,
+			InboxSize: 4096, KeyRetention: 10 * time.Minute, MaxKeys: 200000},
+		Sessions: Sessions{MaxSessions: 20000, MaxResponses: 16, MaxMessage: sexp.Bytes(w.Message), MaxConversation: 4 << 20,
+			MaxPending: sexp.Bytes(w.Pending), IdleTimeout: w.Idle, HandshakeTimeout: 5 * time.Second, BytesPerToken: 4,
+			DrainTimeout: 30 * time.Second},
 		Admit: Admit{On: true, MaxWaiting: 2000, WaitPart: 0.5, MinInFlight: 4, StartInFlight: 64, MaxInFlight: 8192, Retries: 0.2, MaxClients: 100000,
 			Shed: true, MinRetryAfter: 250 * time.Millisecond, MaxRetryAfter: 10 * time.Second},
-		HTTP: HTTP{Body: 16 << 20, Bodies: 1 << 30, Answer: 128 << 20, Read: 30 * time.Second, Idle: 75 * time.Second, Write: 10 * time.Second,
+		HTTP: HTTP{MaxBody: 16 << 20, MaxBodies: 1 << 30, MaxAnswer: 128 << 20, ReadTimeout: 30 * time.Second, IdleTimeout: 75 * time.Second, WriteTimeout: 10 * time.Second,
 			PartTokens: 1000, PartItems: 64, PartsInFlight: 8, PartAttempts: 8},
-		Keys: Keys{Every: time.Second},
-		Engines: Engines{Holds: true, Cancel: true, Dial: e.Dial, Idle: e.Idle, IdleConns: e.IdleConns, Spare: e.Spare,
-			StreamIdle: e.StreamIdle, Extension: e.Extension},
-		Control: Control{Start: 15 * time.Second, Results: 256, Events: 1024},
-		Roster:  Roster{Namespace: "default", Every: time.Second, Silence: time.Minute},
+		Keys: Keys{PollInterval: time.Second},
+		Engines: Engines{Holds: true, Cancel: true, DialTimeout: e.Dial, IdleTimeout: e.Idle, IdleConns: e.IdleConns, SpareConns: e.Spare,
+			StreamIdleTimeout: e.StreamIdle, ExtensionTimeout: e.Extension},
+		Control: Control{StartTimeout: 15 * time.Second, MaxResults: 256, MaxEvents: 1024},
+		Roster:  Roster{Namespace: "default", PollInterval: time.Second, SilenceLimit: time.Minute},
 	}
 }
 
@@ -328,10 +328,10 @@
 	if (f.Roster.Watch == "") == (f.Roster.File == "") {
 		return sexp.Errorf(f.Roster.At, "a roster comes from one of (watch ...) and (file ...)")
 	}
-	if f.Routers < 1 || f.Limits.Open < 1 || f.Limits.Inbox < 1 || f.Sessions.Responses < 1 {
+	if f.Routers < 1 || f.Limits.MaxOpen < 1 || f.Limits.InboxSize < 1 || f.Sessions.MaxResponses < 1 {
 		return sexp.Errorf(f.At, "routers, open, inbox and responses are 1 at the least")
 	}
-	if f.Sessions.TokenBytes <= 0 || f.Limits.Quantum <= 0 {
+	if f.Sessions.BytesPerToken <= 0 || f.Limits.Quantum <= 0 {
 		return sexp.Errorf(f.At, "bytes-per-token and quantum are above 0")
 	}
 	if err := f.checkClasses(); err != nil {
@@ -365,7 +365,7 @@
 // checkControl validates the control API. A control port needs certificates.
 func (f *File) checkControl() error {
 	c := &f.Control
-	if c.Start <= 0 || c.Results < 1 || c.Events < 1 {
+	if c.StartTimeout <= 0 || c.MaxResults < 1 || c.MaxEvents < 1 {
 		return sexp.Errorf(c.At, "start, results and events are above 0")
 	}
 	// The kernel limits the path of a unix socket to 108 bytes.
@@ -378,7 +378,7 @@
 	if _, _, err := net.SplitHostPort(c.Listen); err != nil {
 		return sexp.Errorf(c.At, "(listen ...): %q is not host:port", c.Listen)
 	}
-	if c.Run == "" || c.Domain == "" || c.Cert == "" || c.Key == "" || c.Authority == "" {
+	if c.RunDir == "" || c.Domain == "" || c.Cert == "" || c.Key == "" || c.Authority == "" {
 		return sexp.Errorf(c.At, "a control port needs (run ...), (domain ...), (cert ...), (key ...) and (authority ...)")
 	}
 	return nil
@@ -416,8 +416,8 @@
 func (f *File) Module() gannethook.Settings {
 	s := gannethook.Settings{
 		Routers: f.Routers, ColdFrom: f.Rules.ColdFrom, WarmAfter: toMillis(f.Rules.WarmAfter),
-		OverloadFactor: f.Rules.Overload, PinLimit: toMillis(f.Rules.PinLimit), ConnIdle: toMillis(f.Engines.Idle),
-		MaxAttempts: f.Limits.MaxAttempts, RepeatPart: f.Limits.RetryShare, MaxRetryAfter: toMillis(f.Limits.RetryAfter), Quantum: toMillis(f.Limits.Quantum),
+		OverloadFactor: f.Rules.Overload, PinLimit: toMillis(f.Rules.PinLimit), ConnIdle: toMillis(f.Engines.IdleTimeout),
+		MaxAttempts: f.Limits.MaxAttempts, RepeatPart: f.Limits.RetryShare, MaxRetryAfter: toMillis(f.Limits.MaxRetryAfter), Quantum: toMillis(f.Limits.Quantum),
 		Cancel: f.Engines.Cancel, Holds: f.Engines.Holds, WritersRead: f.Engines.WritersRead,
 	}
 	for _, c := range f.Classes {
@@ -437,14 +437,14 @@
 // EngineLimits returns the limits of the client for engines.
 func (f *File) EngineLimits() engine.Limits {
 	l := engine.DefaultLimits()
-	l.Dial, l.Idle, l.IdleConns, l.Spare = f.Engines.Dial, f.Engines.Idle, f.Engines.IdleConns, f.Engines.Spare
-	l.StreamIdle, l.Extension, l.PlaceIdle = f.Engines.StreamIdle, f.Engines.Extension, f.Rules.PinLimit
+	l.Dial, l.Idle, l.IdleConns, l.Spare = f.Engines.DialTimeout, f.Engines.IdleTimeout, f.Engines.IdleConns, f.Engines.SpareConns
+	l.StreamIdle, l.Extension, l.PlaceIdle = f.Engines.StreamIdleTimeout, f.Engines.ExtensionTimeout, f.Rules.PinLimit
 	return l
 }
 
 // SessionLimits returns the limits of the WebSocket connections of clients.
 func (f *File) SessionLimits() ws.Limits {
 	l := ws.DefaultLimits()
-	l.Message, l.Pending, l.Idle = int(f.Sessions.Message), int(f.Sessions.Pending), f.Sessions.Idle
+	l.Message, l.Pending, l.Idle = int(f.Sessions.MaxMessage), int(f.Sessions.MaxPending), f.Sessions.IdleTimeout
 	return l
 }
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -103,7 +103,7 @@
 }
 
 // faultActive draws whether a fault of clients applies now; it does not outside the fault's time.
-func (c *clientPool) faultActive(kind Kind, rnd *rand.Rand) bool {
+func (c *clientPool) faultActive(kind FaultKind, rnd *rand.Rand) bool {
 	f, ok := c.schedule.find(kind)
 	now := c.history.Now()
 	return ok && now >= f.From && now < f.Until && rnd.Float64() < f.Fraction
--- a/internal/soak/discovery.go
+++ b/internal/soak/discovery.go
@@ -92,7 +92,7 @@
 }
 
 // setFault starts or ends a fault, independently of others that are active.
-func (a *agent) setFault(kind Kind, on bool) {
+func (a *agent) setFault(kind FaultKind, on bool) {
 	switch kind {
 	case AgentMute:
 		a.mute.Store(on)
--- a/internal/soak/heldstate.go
+++ b/internal/soak/heldstate.go
@@ -161,19 +161,19 @@
 // outage is a time during which a worker is unreachable; until is math.MaxInt64 until it ends.
 type outage struct {
 	worker      string
-	kind        Kind
+	kind        FaultKind
 	from, until time.Duration
 }
 
 // workerIsolated records that a fault makes a worker unreachable from now on.
-func (h *History) workerIsolated(worker string, kind Kind) {
+func (h *History) workerIsolated(worker string, kind FaultKind) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.outages = append(h.outages, &outage{worker: worker, kind: kind, from: h.Now(), until: math.MaxInt64})
 }
 
 // workerReconnected records that a fault no longer makes a worker unreachable.
-func (h *History) workerReconnected(worker string, kind Kind) {
+func (h *History) workerReconnected(worker string, kind FaultKind) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, o := range h.outages {
--- a/internal/soak/history.go
+++ b/internal/soak/history.go
@@ -26,15 +26,15 @@
 	silentLinks     map[string]*silentLink // by the address that the worker sees as remote
 	totalTimerDelay time.Duration          // sum of the delays of this process's timers
 	maxTimerDelay   time.Duration          // the longest single delay
-	violations      []Break
+	violations      []Violation
 	releases        int // release calls that workers received
 	lateKeyedRuns   int // keyed requests that ran again after their key window, in an attempt that waited in the socket of a hanging worker
 	rejectedConns   int // connections reset by workers at their connection limit
 	outlivedCloses  int // attempts that continued for more than the pin limit after a close that their worker did not observe
 }
 
-// Break is a violation of an invariant.
-type Break struct {
+// Violation is a violation of an invariant.
+type Violation struct {
 	Invariant string
 	Detail    string
 	At        time.Duration
@@ -145,7 +145,7 @@
 	mayCutStreams := slices.ContainsFunc(schedule.Faults, func(f Fault) bool { return !slices.Contains(streamSafeKinds, f.Kind) })
 	// A router that changes its agent, has a slow agent or failing system calls can't receive at once what its agent has.
 	delayedUpdates := slices.ContainsFunc(schedule.Faults, func(f Fault) bool {
-		return slices.Contains([]Kind{Reload, HalfFile, Signals, AgentSlow, Calls, Files}, f.Kind)
+		return slices.Contains([]FaultKind{Reload, HalfFile, Signals, AgentSlow, Calls, Files}, f.Kind)
 	})
 	settings := NewSettings(schedule.Seed)
 	return &History{settings: settings, mayCutStreams: mayCutStreams, notifiedAtAgent: !delayedUpdates && !settings.Subscribe, start: time.Now(), requests: map[string]*request{}, servers: map[string]*serverIncarnation{}, notServing: map[viewKey]time.Duration{},
@@ -153,7 +153,7 @@
 }
 
 // streamSafeKinds are the kinds of fault that cut no streams.
-var streamSafeKinds = []Kind{Reload, HalfFile, AgentMute, AgentReset, AgentSlow, Drain, Leave, Flood, Idle, Freeze, Clock, Files, Stop}
+var streamSafeKinds = []FaultKind{Reload, HalfFile, AgentMute, AgentReset, AgentSlow, Drain, Leave, Flood, Idle, Freeze, Clock, Files, Stop}
 
 // Now returns the time since the start of the run.
 func (h *History) Now() time.Duration { return time.Since(h.start) }
@@ -166,7 +166,7 @@
 }
 
 func (h *History) recordViolationLocked(invariant, detail string) {
-	h.violations = append(h.violations, Break{invariant, detail, h.Now()})
+	h.violations = append(h.violations, Violation{invariant, detail, h.Now()})
 }
 
 // timerCheckInterval is the interval at which the delay of this process's timers is measured.
--- a/internal/soak/oracle.go
+++ b/internal/soak/oracle.go
@@ -13,8 +13,8 @@
 var Invariants = []string{"lost", "late", "duplicate", "refusal", "drain", "slow-start", "pinned", "gone", "told-time", "crash", "start",
 	"violation", "unknown", "bad-answer"}
 
-// Untimed lists the invariants that the timer delays of a busy machine can't violate.
-var Untimed = []string{"duplicate", "refusal", "violation", "unknown", "bad-answer", "crash"}
+// UntimedInvariants lists the invariants that the timer delays of a busy machine can't violate.
+var UntimedInvariants = []string{"duplicate", "refusal", "violation", "unknown", "bad-answer", "crash"}
 
 // Tolerances that the platform specification allows.
 const (
@@ -27,7 +27,7 @@
 )
 
 // Check checks the invariants of a run that has ended, and returns all violations, also those recorded during the run.
-func (h *History) Check() []Break {
+func (h *History) Check() []Violation {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, id := range sortedKeys(h.requests) {
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -44,7 +44,7 @@
 }
 
 // setFault starts or ends a fault, independently of others that are active.
-func (p *proxy) setFault(kind Kind, on bool) {
+func (p *proxy) setFault(kind FaultKind, on bool) {
 	switch kind {
 	case Silent:
 		p.silent.Store(on)
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -16,14 +16,14 @@
 
 // Config sets how a run is played.
 type Config struct {
-	Program string // executable of the routers, started with the argument "platform"
-	Dir     string // for configurations and logs; Run does not remove it
-	Routers int
-	Workers int
-	Clients int // for each router
-	Length  time.Duration
-	Only    []Kind // kinds of fault to draw from; empty: all
-	Break   string // guard that the routers disable (faults.Break...); "": none
+	Program       string // executable of the routers, started with the argument "platform"
+	Dir           string // for configurations and logs; Run does not remove it
+	Routers       int
+	Workers       int
+	Clients       int // for each router
+	Length        time.Duration
+	Only          []FaultKind // kinds of fault to draw from; empty: all
+	DisabledGuard string      // guard that the routers disable (faults.Break...); "": none
 	// Strict also checks what is excused as known failures (KNOWN-RED.txt): state held after an answer was lost on one silent
 	// connection, and keyed requests run again by an attempt that waited in the socket of a hanging worker.
 	Strict bool
@@ -31,18 +31,18 @@
 
 // Result is the result of a run.
 type Result struct {
-	Plan     Schedule
-	Terms    Settings
-	Requests int
-	Served   int           // requests with a complete stream
-	Refused  int           // requests answered with 503
-	Releases int           // release calls that workers received
-	LateRuns int           // keyed requests that ran again after their key window, in an attempt that waited in the socket of a hanging worker
-	Turned   int           // connections reset by workers at their connection limit
-	WentOn   int           // attempts that continued for more than the pin limit after a close that their worker did not observe
-	Starved  bool          // the machine was too busy to check times
-	Latest   time.Duration // longest delay of this process's timers
-	Breaks   []Break
+	Schedule       Schedule
+	Settings       Settings
+	Requests       int
+	Served         int           // requests with a complete stream
+	Refused        int           // requests answered with 503
+	Releases       int           // release calls that workers received
+	LateKeyedRuns  int           // keyed requests that ran again after their key window, in an attempt that waited in the socket of a hanging worker
+	RejectedConns  int           // connections reset by workers at their connection limit
+	OutlivedCloses int           // attempts that continued for more than the pin limit after a close that their worker did not observe
+	Starved        bool          // the machine was too busy to check times
+	MaxTimerDelay  time.Duration // longest delay of this process's timers
+	Violations     []Violation
 }
 
 // Run plays the schedule of one seed and checks the invariants.
@@ -78,7 +78,7 @@
 		}
 		listen := ln.Addr().String()
 		ln.Close()
-		r := &process{platform: p, router: i, listen: listen, program: cfg.Program, env: faultEnv(schedule, i, cfg.Break)}
+		r := &process{platform: p, router: i, listen: listen, program: cfg.Program, env: faultEnv(schedule, i, cfg.DisabledGuard)}
 		p.routers = append(p.routers, r)
 	}
 	for _, r := range p.routers {
@@ -381,7 +381,7 @@
 }
 
 // isolateWorkers makes workers unreachable for all routers.
-func (p *platform) isolateWorkers(workers []*worker, kind Kind) {
+func (p *platform) isolateWorkers(workers []*worker, kind FaultKind) {
 	for _, w := range workers {
 		p.history.workerIsolated(w.uid, kind)
 	}
@@ -391,7 +391,7 @@
 }
 
 // reconnectWorkers ends that. Connections are reset, so that no held-back data is forwarded.
-func (p *platform) reconnectWorkers(workers []*worker, kind Kind) {
+func (p *platform) reconnectWorkers(workers []*worker, kind FaultKind) {
 	for _, px := range p.proxiesTo(workers) {
 		px.resetAll()
 		px.setFault(kind, false)
@@ -456,7 +456,7 @@
 	violations := h.Check()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	res := Result{Plan: schedule, Terms: h.settings, Requests: len(h.requests), Releases: h.releases, LateRuns: h.lateKeyedRuns, Turned: h.rejectedConns, WentOn: h.outlivedCloses, Breaks: violations, Latest: h.maxTimerDelay, Starved: h.maxTimerDelay > starvedTimerDelay}
+	res := Result{Schedule: schedule, Settings: h.settings, Requests: len(h.requests), Releases: h.releases, LateKeyedRuns: h.lateKeyedRuns, RejectedConns: h.rejectedConns, OutlivedCloses: h.outlivedCloses, Violations: violations, MaxTimerDelay: h.maxTimerDelay, Starved: h.maxTimerDelay > starvedTimerDelay}
 	for _, q := range h.requests {
 		switch {
 		case q.outcome == streamCompleted:
@@ -468,5 +468,7 @@
 	return res
 }
 
-// DirOf returns the folder of a seed's run.
-func DirOf(base string, seed uint64) string { return filepath.Join(base, fmt.Sprintf("seed-%d", seed)) }
+// SeedDir returns the folder of a seed's run.
+func SeedDir(base string, seed uint64) string {
+	return filepath.Join(base, fmt.Sprintf("seed-%d", seed))
+}
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -16,61 +16,61 @@
 	"time"
 )
 
-// Kind is a kind of fault. Its value is the name that the --only flag and the report use.
-type Kind string
+// FaultKind is a kind of fault. Its value is the name that the --only flag and the report use.
+type FaultKind string
 
 // The kinds of fault, grouped by what they affect.
 const (
 	// Routers.
-	Stop     Kind = "stop"      // SIGTERM, SIGKILL after the grace period, and a restart
-	Kill     Kind = "kill"      // SIGKILL and a restart
-	Reload   Kind = "reload"    // new configurations, one after another, each with another discovery address
-	HalfFile Kind = "half-file" // the same, but the file is half written when the signal arrives
-	Freeze   Kind = "freeze"    // SIGSTOP for up to 0.15 s, repeatedly
-	Signals  Kind = "signals"   // many SIGHUPs, followed by a SIGTERM and a restart
+	Stop     FaultKind = "stop"      // SIGTERM, SIGKILL after the grace period, and a restart
+	Kill     FaultKind = "kill"      // SIGKILL and a restart
+	Reload   FaultKind = "reload"    // new configurations, one after another, each with another discovery address
+	HalfFile FaultKind = "half-file" // the same, but the file is half written when the signal arrives
+	Freeze   FaultKind = "freeze"    // SIGSTOP for up to 0.15 s, repeatedly
+	Signals  FaultKind = "signals"   // many SIGHUPs, followed by a SIGTERM and a restart
 
 	// Discovery.
-	AgentMute  Kind = "agent-mute"  // no answers
-	AgentReset Kind = "agent-reset" // open watches are reset, repeatedly
-	AgentSlow  Kind = "agent-slow"  // answers are delayed and arrive in pieces
+	AgentMute  FaultKind = "agent-mute"  // no answers
+	AgentReset FaultKind = "agent-reset" // open watches are reset, repeatedly
+	AgentSlow  FaultKind = "agent-slow"  // answers are delayed and arrive in pieces
 
 	// Workers.
-	Drain     Kind = "drain"     // drained, later restarted
-	Cold      Kind = "cold"      // restarted, so that their slow start begins
-	Hang      Kind = "hang"      // stalled: they start, answer and observe nothing until they resume
-	Jam       Kind = "jam"       // queues are blocked: accepted attempts wait
-	Silent    Kind = "silent"    // unreachable: open and new connections carry no data
-	Blackout  Kind = "blackout"  // four in five workers of one role, or of both, are unreachable, repeatedly
-	Mute      Kind = "mute"      // single connections go silent with a message, or after one that has arrived, while their workers run
-	Fresh     Kind = "fresh"     // routers restart and lose all prefill workers after their first requests; other routers reach the workers
-	Partition Kind = "partition" // some routers can't reach some workers, which other routers reach
-	Refuse    Kind = "refuse"    // connections are refused
-	Resets    Kind = "resets"    // open connections are reset during requests, repeatedly
-	Trickle   Kind = "trickle"   // data arrives in small, delayed pieces
-	Spoil     Kind = "spoil"     // answers are malformed
+	Drain     FaultKind = "drain"     // drained, later restarted
+	Cold      FaultKind = "cold"      // restarted, so that their slow start begins
+	Hang      FaultKind = "hang"      // stalled: they start, answer and observe nothing until they resume
+	Jam       FaultKind = "jam"       // queues are blocked: accepted attempts wait
+	Silent    FaultKind = "silent"    // unreachable: open and new connections carry no data
+	Blackout  FaultKind = "blackout"  // four in five workers of one role, or of both, are unreachable, repeatedly
+	Mute      FaultKind = "mute"      // single connections go silent with a message, or after one that has arrived, while their workers run
+	Fresh     FaultKind = "fresh"     // routers restart and lose all prefill workers after their first requests; other routers reach the workers
+	Partition FaultKind = "partition" // some routers can't reach some workers, which other routers reach
+	Refuse    FaultKind = "refuse"    // connections are refused
+	Resets    FaultKind = "resets"    // open connections are reset during requests, repeatedly
+	Trickle   FaultKind = "trickle"   // data arrives in small, delayed pieces
+	Spoil     FaultKind = "spoil"     // answers are malformed
 
 	// Clients.
-	Leave Kind = "leave" // clients disconnect at any time
-	Flood Kind = "flood" // bursts, incomplete requests and malformed input; refused requests are retried at once
-	Idle  Kind = "idle"  // many idle connections
-	Slow  Kind = "slow"  // clients read their streams slowly
+	Leave FaultKind = "leave" // clients disconnect at any time
+	Flood FaultKind = "flood" // bursts, incomplete requests and malformed input; refused requests are retried at once
+	Idle  FaultKind = "idle"  // many idle connections
+	Slow  FaultKind = "slow"  // clients read their streams slowly
 
 	// System calls and the clock; only in a build with the tag faults.
-	Calls Kind = "calls" // system calls fail, or read and write in part
-	Clock Kind = "clock" // the wall clock is off by seconds or an hour
-	Files Kind = "files" // reading the configuration fails now and then
+	Calls FaultKind = "calls" // system calls fail, or read and write in part
+	Clock FaultKind = "clock" // the wall clock is off by seconds or an hour
+	Files FaultKind = "files" // reading the configuration fails now and then
 )
 
 // Kinds lists all kinds of fault. The order matters: a seed draws from it.
-var Kinds = []Kind{Stop, Kill, Reload, HalfFile, Freeze, Signals, AgentMute, AgentReset, AgentSlow, Drain, Cold, Hang, Jam, Silent, Blackout, Mute, Fresh, Partition, Refuse, Resets,
+var Kinds = []FaultKind{Stop, Kill, Reload, HalfFile, Freeze, Signals, AgentMute, AgentReset, AgentSlow, Drain, Cold, Hang, Jam, Silent, Blackout, Mute, Fresh, Partition, Refuse, Resets,
 	Trickle, Spoil, Leave, Flood, Idle, Slow, Calls, Clock, Files}
 
 // systemKinds affect every router, for the whole run.
-var systemKinds = []Kind{Calls, Clock, Files}
+var systemKinds = []FaultKind{Calls, Clock, Files}
 
 // Fault is one fault of a schedule. Times count from the start of the run.
 type Fault struct {
-	Kind        Kind
+	Kind        FaultKind
 	From, Until time.Duration
 	Fraction    float64 // of the routers, workers, clients or calls that it affects
 	Seed        uint64  // of the fault's own random draws
@@ -99,7 +99,7 @@
 
 // NewSchedule draws a schedule: a core of two or three overlapping faults, and one or two more at any time. only, if not
 // empty, lists the kinds to draw from.
-func NewSchedule(seed uint64, length time.Duration, only []Kind) Schedule {
+func NewSchedule(seed uint64, length time.Duration, only []FaultKind) Schedule {
 	rnd := rand.New(rand.NewPCG(seed, 2))
 	kinds := Kinds
 	if len(only) > 0 {
@@ -130,7 +130,7 @@
 }
 
 // find returns the fault of a kind.
-func (s *Schedule) find(kind Kind) (Fault, bool) {
+func (s *Schedule) find(kind FaultKind) (Fault, bool) {
 	i := slices.IndexFunc(s.Faults, func(f Fault) bool { return f.Kind == kind })
 	if i < 0 {
 		return Fault{}, false
@@ -144,7 +144,7 @@
 	for i, a := range s.Faults {
 		for _, b := range s.Faults[i+1:] {
 			if a.overlaps(b) {
-				pairs = append(pairs, PairOf(a.Kind, b.Kind))
+				pairs = append(pairs, PairName(a.Kind, b.Kind))
 			}
 		}
 	}
@@ -152,8 +152,8 @@
 	return slices.Compact(pairs)
 }
 
-// PairOf returns the name of a pair of kinds, whatever their order.
-func PairOf(a, b Kind) string {
+// PairName returns the name of a pair of kinds, whatever their order.
+func PairName(a, b FaultKind) string {
 	if b < a {
 		a, b = b, a
 	}
--- a/internal/soak/worker.go
+++ b/internal/soak/worker.go
@@ -102,7 +102,7 @@
 }
 
 // setFault starts or ends a fault, independently of others that are active.
-func (w *worker) setFault(kind Kind, on bool) {
+func (w *worker) setFault(kind FaultKind, on bool) {
 	switch kind {
 	case Hang:
 		w.hanging.Store(on)
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -16,24 +16,24 @@
 
 // Config sizes a stand-in engine.
 type Config struct {
-	Addr         string // host:port; port 0 takes a free port at the first start
-	Writes       bool   // serves writes; otherwise reads
-	Mixed        bool   // serves both reads and writes
-	Slots        int
-	Queue        int
-	Memory       float64       // tokens
-	ReadRate     float64       // prompt tokens per second in one slot
-	FetchRate    float64       // tokens per second when a state is transferred
-	TokenGap     time.Duration // between two tokens of an answer
-	Early        float64       // share of a state that is transferred during the read if a place is held
-	ColdFrom     float64       // share of full speed right after a cold start
-	WarmAfter    time.Duration // length of the slow start
-	Overload     float64       // during slow start the engine crashes at this multiple of its speed, sustained for Fall
-	Fall         time.Duration // 0: it never crashes
-	Keep         time.Duration // lifetime of a state or place that no write takes
-	Extended     bool          // offers the engine-protocol extension: places and releases
-	IgnoreCancel bool          // continues with requests that the router cancelled
-	Seed         uint64
+	Addr           string // host:port; port 0 takes a free port at the first start
+	Writes         bool   // serves writes; otherwise reads
+	Mixed          bool   // serves both reads and writes
+	Slots          int
+	Queue          int
+	Memory         float64       // tokens
+	ReadRate       float64       // prompt tokens per second in one slot
+	FetchRate      float64       // tokens per second when a state is transferred
+	TokenGap       time.Duration // between two tokens of an answer
+	EarlyShare     float64       // share of a state that is transferred during the read if a place is held
+	ColdFrom       float64       // share of full speed right after a cold start
+	WarmAfter      time.Duration // length of the slow start
+	OverloadFactor float64       // during slow start the engine crashes at this multiple of its speed, sustained for Fall
+	OverloadWindow time.Duration // 0: it never crashes
+	StateLifetime  time.Duration // lifetime of a state or place that no write takes
+	Extended       bool          // offers the engine-protocol extension: places and releases
+	IgnoreCancel   bool          // continues with requests that the router cancelled
+	Seed           uint64
 }
 
 // Faults are injected faults; the zero value injects none.
@@ -288,21 +288,21 @@
 // recordWork counts work that arrived, completed or not. An engine in slow start crashes if it gets too much of it.
 func (l *lifetime) recordWork(amount float64) {
 	cfg := &l.e.cfg
-	if cfg.Fall == 0 || l.rampFactor() >= 1 {
+	if cfg.OverloadWindow == 0 || l.rampFactor() >= 1 {
 		return
 	}
 	l.mu.Lock()
 	now, sum, largest := time.Now(), 0.0, 0.0
 	l.recentWork = append(l.recentWork, workSample{now, amount})
-	for len(l.recentWork) > 0 && now.Sub(l.recentWork[0].at) > cfg.Fall {
+	for len(l.recentWork) > 0 && now.Sub(l.recentWork[0].at) > cfg.OverloadWindow {
 		l.recentWork = l.recentWork[1:]
 	}
 	for _, p := range l.recentWork {
 		sum, largest = sum+p.amount, max(largest, p.amount)
 	}
-	possible := l.warmRate() * l.rampFactor() * cfg.Fall.Seconds()
+	possible := l.warmRate() * l.rampFactor() * cfg.OverloadWindow.Seconds()
 	l.mu.Unlock()
-	if sum > cfg.Overload*possible+2*largest { // tolerates two of the largest requests that arrive together by chance
+	if sum > cfg.OverloadFactor*possible+2*largest { // tolerates two of the largest requests that arrive together by chance
 		go l.stop(record.Fell)
 	}
 }
--- a/internal/standin/roster.go
+++ b/internal/standin/roster.go
@@ -15,8 +15,8 @@
 	"gannethook/internal/record"
 )
 
-// Listed is one server as the EndpointSlice API lists it.
-type Listed struct {
+// Listing is one server as the EndpointSlice API lists it.
+type Listing struct {
 	Addr    string
 	Kind    string
 	Zone    string
@@ -35,8 +35,8 @@
 	mu        sync.Mutex
 	version   int
 	compacted int // history up to this version is dropped
-	engines   map[string]Listed
-	removed   map[string]Listed // servers that were listed once
+	engines   map[string]Listing
+	removed   map[string]Listing // servers that were listed once
 	changes   []change
 	changed   chan struct{}          // closed at the next change
 	watches   map[chan struct{}]bool // watches in progress; closing the channel ends one
@@ -49,12 +49,12 @@
 	at      time.Time
 	kind    string
 	slice   []byte
-	entry   Listed
+	entry   Listing
 }
 
 // NewRoster returns a roster that is not serving yet.
 func NewRoster(service string, log *record.Log) *Roster {
-	return &Roster{Service: service, log: log, version: 1, engines: map[string]Listed{}, removed: map[string]Listed{}, changed: make(chan struct{}),
+	return &Roster{Service: service, log: log, version: 1, engines: map[string]Listing{}, removed: map[string]Listing{}, changed: make(chan struct{}),
 		watches: map[chan struct{}]bool{}}
 }
 
@@ -100,8 +100,8 @@
 	clear(r.watches)
 }
 
-// Forget compacts the history: a watch from an older version gets 410 Gone.
-func (r *Roster) Forget() {
+// Compact compacts the history: a watch from an older version gets 410 Gone.
+func (r *Roster) Compact() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.version++
@@ -110,7 +110,7 @@
 }
 
 // Set lists a server, or changes its entry.
-func (r *Roster) Set(e Listed) {
+func (r *Roster) Set(e Listing) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	kind := "MODIFIED"
@@ -132,14 +132,14 @@
 }
 
 // Get returns the entry of a server.
-func (r *Roster) Get(addr string) (Listed, bool) {
+func (r *Roster) Get(addr string) (Listing, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e, ok := r.engines[addr]
 	return e, ok
 }
 
-func (r *Roster) serviceOf(e Listed) string {
+func (r *Roster) serviceOf(e Listing) string {
 	if e.Service != "" {
 		return e.Service
 	}
@@ -154,7 +154,7 @@
 
 // slice returns a server's EndpointSlice. Ports belong to a slice, not to its endpoints, so servers that share a host
 // get a slice each.
-func (r *Roster) slice(e Listed) map[string]any {
+func (r *Roster) slice(e Listing) map[string]any {
 	started := map[string]string{}
 	host, port := splitAddr(e.Addr)
 	ready := e.State == "ready"
@@ -191,14 +191,14 @@
 	r.watch(w, req, router, from)
 }
 
-func (r *Roster) recordNotified(router string, e Listed) {
+func (r *Roster) recordNotified(router string, e Listing) {
 	r.log.Add(record.Event{Who: "roster", Kind: record.Told, Router: router, Key: e.Addr, Note: e.State})
 }
 
 func (r *Roster) list(w http.ResponseWriter, router, service string) {
 	r.mu.Lock()
 	items := []any{}
-	var listed []Listed
+	var listed []Listing
 	for _, addr := range slices.Sorted(maps.Keys(r.engines)) {
 		e := r.engines[addr]
 		if service != "" && r.serviceOf(e) != service {
--- a/internal/standin/serve.go
+++ b/internal/standin/serve.go
@@ -254,7 +254,7 @@
 	}
 	j.logEvent(record.Held, "state")
 	close(st.ready)
-	time.AfterFunc(l.e.cfg.Keep, func() { l.dropState(j.key, "too old") })
+	time.AfterFunc(l.e.cfg.StateLifetime, func() { l.dropState(j.key, "too old") })
 	host, port := splitAddr(l.e.addr)
 	j.w.Header().Set("endpoint-load-metrics", l.loadReport())
 	j.w.Header().Set("Content-Type", "application/json")
@@ -415,7 +415,7 @@
 			time.AfterFunc(time.Duration(params.Idle)*time.Millisecond, func() { l.removePlace(params.Key, "lapsed") })
 		}
 	})
-	time.AfterFunc(l.e.cfg.Keep, func() { l.removePlace(params.Key, "too old") })
+	time.AfterFunc(l.e.cfg.StateLifetime, func() { l.removePlace(params.Key, "too old") })
 	w.WriteHeader(201)
 }
 
@@ -423,7 +423,7 @@
 func (l *lifetime) fillPlace(ctx context.Context, p *place, reader, key string) {
 	defer close(p.ready)
 	tokens, err := l.fetchState(ctx, reader, key)
-	if err != nil || !l.doWork(ctx, l.transferTime(tokens*(1-l.e.cfg.Early))) {
+	if err != nil || !l.doWork(ctx, l.transferTime(tokens*(1-l.e.cfg.EarlyShare))) {
 		return
 	}
 	l.mu.Lock()
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -21,8 +21,8 @@
 
 func config(writes bool) Config {
 	return Config{Addr: "127.0.0.1:0", Writes: writes, Slots: 4, Queue: 2, Memory: 10000, ReadRate: 1e5, FetchRate: 1e6,
-		TokenGap: time.Millisecond, Early: 0.7, ColdFrom: 0.25, WarmAfter: time.Minute, Overload: 3, Fall: time.Second,
-		Keep: time.Second, Extended: true, Seed: 1}
+		TokenGap: time.Millisecond, EarlyShare: 0.7, ColdFrom: 0.25, WarmAfter: time.Minute, OverloadFactor: 3, OverloadWindow: time.Second,
+		StateLifetime: time.Second, Extended: true, Seed: 1}
 }
 
 func start(t *testing.T, cfg Config, cold bool) (*Engine, *record.Log) {
@@ -220,12 +220,12 @@
 	r := NewRoster("engines", nil)
 	cut := make(chan struct{})
 	r.watches[cut] = true
-	r.Set(Listed{Addr: "127.0.0.1:1", Kind: "prompt", State: "ready"})
+	r.Set(Listing{Addr: "127.0.0.1:1", Kind: "prompt", State: "ready"})
 	if c, _ := r.nextChange(1, "", cut); c == nil {
 		t.Fatal("an open watch gets no change")
 	}
-	r.Forget()
-	r.Set(Listed{Addr: "127.0.0.1:1", Kind: "prompt", State: "gone"})
+	r.Compact()
+	r.Set(Listing{Addr: "127.0.0.1:1", Kind: "prompt", State: "gone"})
 	if c, ch := r.nextChange(2, "", cut); c != nil || ch != cut {
 		t.Errorf("a cut watch got %v", c)
 	}
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -220,8 +220,8 @@
 		Budget: gannethook.Millis(r.number("budgetMs")), Prompt: r.numberOr("promptLen", 0),
 		PrefixLen: r.numberOr("prefixLen", 0), MaxOut: r.numberOr("maxOut", 0),
 	}
-	if class < len(inst.Pace) && inst.Pace[class] > 0 {
-		ev.Hint = r.numberOr("weightHintMs", 0) / inst.Pace[class]
+	if class < len(inst.TokenTargets) && inst.TokenTargets[class] > 0 {
+		ev.Hint = r.numberOr("weightHintMs", 0) / inst.TokenTargets[class]
 	}
 	return ev
 }
@@ -269,7 +269,7 @@
 // report decodes the memory share of a load report, if the message has one. Other columns are only checked to be numbers.
 func (inst *instance) report(r *reader) (share float64, ok bool) {
 	row := r.fields["report"]
-	if row == "" || row == "-" || inst.Memory < 0 {
+	if row == "" || row == "-" || inst.MemoryField < 0 {
 		return 0, false
 	}
 	for i, part := range strings.Split(row, ",") {
@@ -281,7 +281,7 @@
 			r.fail("report", "a row of numbers")
 			return 0, false
 		}
-		if i == inst.Memory {
+		if i == inst.MemoryField {
 			share, ok = v, true
 		}
 	}
--- a/internal/wire/host_test.go
+++ b/internal/wire/host_test.go
@@ -78,7 +78,7 @@
 		{"102", "many", 0, true}, {"102", "NaN", 0, true}} {
 		r := &reader{message: message{fields: map[string]string{"requestId": "7", "leg": "0", "worker": "a", "outcome": c.outcome,
 			"doneFlag": "0", "info": c.info}}}
-		ev := closed(nil, &instance{Profile: &profile.Profile{Memory: -1}}, r).(gannethook.Ended)
+		ev := closed(nil, &instance{Profile: &profile.Profile{MemoryField: -1}}, r).(gannethook.Ended)
 		if (r.err != nil) != c.bad || !c.bad && ev.Kept != c.kept {
 			t.Errorf("%+v: kept %v, %v", c, ev.Kept, r.err)
 		}
--- a/internal/ws/conn.go
+++ b/internal/ws/conn.go
@@ -69,7 +69,7 @@
 	if errors.As(err, &ce) {
 		c.finishClose(ce)
 	}
-	c.Cut()
+	c.Abort()
 	return 0, nil, err
 }
 
@@ -231,7 +231,7 @@
 func (c *Conn) Close(code int, reason string) {
 	c.sendClose(code, reason)
 	// If the peer does not answer within Linger, the connection is closed.
-	time.AfterFunc(max(c.limits.Linger, time.Millisecond), c.Cut)
+	time.AfterFunc(max(c.limits.Linger, time.Millisecond), c.Abort)
 }
 
 func (c *Conn) sendClose(code int, reason string) {
@@ -242,8 +242,8 @@
 	c.enqueue(opClose, append(p, reason...))
 }
 
-// Cut closes the connection at once, without a closing handshake.
-func (c *Conn) Cut() {
+// Abort closes the connection at once, without a closing handshake.
+func (c *Conn) Abort() {
 	c.mu.Lock()
 	if c.err == nil {
 		c.err = net.ErrClosed
--- a/internal/ws/ws_test.go
+++ b/internal/ws/ws_test.go
@@ -491,6 +491,6 @@
 	for b.Loop() {
 		c.Send(msg)
 	}
-	c.Cut()
+	c.Abort()
 	waitFlushed(c)
 }
