--- a/cmd/gannethook/soak.go
+++ b/cmd/gannethook/soak.go
@@ -222,7 +222,7 @@
 	out io.Writer
 
 	mu            sync.Mutex
-	pairs         map[string]*pairCount // by soak.PairOf
+	pairs         map[string]*pairCount // by soak.PairName
 	seeds, failed int
 	requests      int
 	releases      int // calls that release held state
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -94,7 +94,7 @@
 	return t
 }
 
-// Charge charges a batch to its tenant's budgets; its parts are then submitted as Paid. If it is refused, the answer
+// Charge charges a batch to its tenant's budgets; its parts are then submitted as Charged. If it is refused, the answer
 // gives the reason.
 func (c *Controller) Charge(job Job) (ok bool, a driver.Answer) {
 	c.mu.Lock()
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -132,7 +132,7 @@
 	}
 }
 
-// Requests that would be queued too long behind a slow driver are refused in time.
+// Requests that would be queued too long for a slow driver are refused in time.
 func TestQueueTimeout(t *testing.T) {
 	d := &fakeDriver{serviceTime: 3 * time.Second}
 	m := outcomes(t, submitAll(t, d, 1, 100, 6, nil))
--- a/internal/apikeys/keys.go
+++ b/internal/apikeys/keys.go
@@ -179,7 +179,7 @@
 	return f, nil
 }
 
-// Table returns the keys as of the last successful Look.
+// Table returns the keys as of the last successful Reload.
 func (f *File) Table() *Table { return f.table.Load() }
 
 // Reload reads the file again if it has changed, and lists the keys that are no longer valid. It must not be called
--- a/internal/batch/batch.go
+++ b/internal/batch/batch.go
@@ -86,7 +86,7 @@
 	Cancel struct{ Part int }
 	// Wake requests a call of Machine.Wake at the given time.
 	Wake struct{ At time.Duration }
-	// Final is the one answer of the batch; only Drop actions follow it.
+	// Final is the one answer of the batch; only Cancel actions follow it.
 	Final struct{ End }
 )
 
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -299,7 +299,7 @@
 	}
 }
 
-// A conversation is bounded by the size of its texts and items; deleting an item makes room.
+// A conversation is bounded by the size of its texts and items; deleting an item frees capacity.
 func TestConversationBound(t *testing.T) {
 	tb := newTestbed(t, func(cfg *settings.File) { cfg.Sessions.MaxConversation = 1000 })
 	for _, text := range []string{"", strings.Repeat("x", 200)} {
--- a/internal/daemon/effects.go
+++ b/internal/daemon/effects.go
@@ -28,7 +28,7 @@
 func (e *daemonEffects) accept() { e.front.Resume() }
 
 func (e *daemonEffects) stopAccepting() {
-	if e.state != lifecycle.Stopping { // then stateChanged has called Turn; only it writes the state, on this goroutine
+	if e.state != lifecycle.Stopping { // then stateChanged has called Drain; only it writes the state, on this goroutine
 		e.front.Drain(false)
 	}
 	e.lifecycle.notifyOpenChanged()
@@ -152,7 +152,7 @@
 	}
 	e.background.Go(func() {
 		if err == nil {
-			// The successor fails by itself after Control.Start; the 2 s leave it time to report that.
+			// The successor fails by itself after Control.StartTimeout; the 2 s leave it time to report that.
 			_, err = successor.WaitReady(e.daemon().Settings().Control.StartTimeout + 2*time.Second)
 		}
 		e.lifecycle.post(func() {
--- a/internal/driver/driver_test.go
+++ b/internal/driver/driver_test.go
@@ -431,7 +431,7 @@
 	})
 }
 
-// The final answer comes within the client's time limit, whatever is in flight.
+// The final answer comes within the client's time limit, regardless of what is in flight.
 func TestDeadline(t *testing.T) {
 	for name, slowDown := range map[string]func(*fakeEngines){
 		"a reader hangs":     func(f *fakeEngines) { f.readTime = time.Hour },
@@ -790,7 +790,7 @@
 	})
 }
 
-// A release may overtake the close of a connection. What a cancelled or broken read leaves behind is released all the same,
+// A release may overtake the close of a connection. What a cancelled or broken read leaves held is released all the same,
 // within the pin limit, also where its request was refused because of it.
 func TestReleaseAfterLateClose(t *testing.T) {
 	for _, broken := range []bool{false, true} {
--- a/internal/driver/types.go
+++ b/internal/driver/types.go
@@ -61,7 +61,7 @@
 	Body                     []byte                  // request body in the servers' format
 	CheckAnswer              func(body []byte) error // validates the answer to Body
 	QueuedFor                time.Duration           // part of Timeout that was spent before Submit
-	ClientGone               func() bool             // reports at once whether the client has disconnected; nil: only Abandon reports it
+	ClientGone               func() bool             // reports at once whether the client has disconnected; nil: only Cancel reports it
 }
 
 // Outcome is how a request ended.
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -139,7 +139,7 @@
 		return false
 	}
 	s.connStates[nc] = &connState{acceptedAt: time.Now()}
-	s.wg.Add(1) // under the lock, since End sets ended before it waits
+	s.wg.Add(1) // under the lock, since Shutdown sets ended before it waits
 	return true
 }
 
@@ -191,7 +191,7 @@
 	s.mu.Unlock()
 }
 
-// OpenConnections returns the number of connections that have not ended; after Turn only of those that were accepted before it.
+// OpenConnections returns the number of connections that have not ended; after Drain only of those that were accepted before it.
 // Once the listeners are closed it includes the accept loops that are still running.
 func (s *Server) OpenConnections() int {
 	s.mu.Lock()
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -221,7 +221,7 @@
 	s.conn.Close()
 }
 
-// Predecessor is the successor's connection to its predecessor. A nil Link has no listeners and no files.
+// Predecessor is the successor's connection to its predecessor. A nil Predecessor has no listeners and no files.
 type Predecessor struct {
 	State
 	files  map[string]*os.File
--- a/internal/heldstate/entry.go
+++ b/internal/heldstate/entry.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// noticeGrace returns the time that a server may take to notice a close.
+// noticeGrace returns the time that a server may take to observe a close.
 func (e *entry) noticeGrace() time.Duration { return e.terms.noticeGrace() }
 
 // inFlightIndex returns the index of the holding of a kind at a server whose call is in flight; -1: there is none.
@@ -95,7 +95,7 @@
 	return concurrent
 }
 
-// isUnconfirmed reports whether a server has not answered since it had a close to notice, or a release to answer.
+// isUnconfirmed reports whether a server has not answered since it had a close to observe, or a release to answer.
 func (e *entry) isUnconfirmed(server string) bool {
 	return slices.ContainsFunc(e.holdings, func(h holding) bool { return h.unconfirmed() && h.server == server })
 }
@@ -166,7 +166,7 @@
 	return due
 }
 
-// releasableFrom returns the time from which a release reaches all that has to be released, if each server notices a close
+// releasableFrom returns the time from which a release reaches all that has to be released, if each server observes a close
 // within the grace; zero: there is nothing yet to release.
 func (e *entry) releasableFrom() (at time.Time) {
 	if !e.releaseRequested {
--- a/internal/heldstate/holding.go
+++ b/internal/heldstate/holding.go
@@ -23,13 +23,13 @@
 	timeout        time.Duration // of an attempt that may run after a lost close: the timeout that its server was told; 0: it cannot
 	deadline       time.Time     // the end of the timeout, if its server starts it at once
 	startedBy      time.Time     // by when its server has started it, if it has arrived; zero: not known
-	closedAt       time.Time     // of a close that may be unnoticed; of an unanswered release, the grace before its sending; zero: neither
-	closeNoticedAt time.Time     // when its server has noticed the close, unless that was lost; zero: unconfirmed
+	closedAt       time.Time     // of a close that may be unobserved; of an unanswered release, the grace before its sending; zero: neither
+	closeNoticedAt time.Time     // when its server has observed the close, unless that was lost; zero: unconfirmed
 	endsBy         time.Time     // end of its timeout, also where the close was lost; zero: unconfirmed
 	goneBy         time.Time     // its end, also where its server runs it beyond its timeout; zero: unconfirmed
 }
 
-// markReleasable records that a release sent from a time on reaches whatever is held.
+// markReleasable records that a release sent from a time on reaches everything that is held.
 func (h *holding) markReleasable(at time.Time) {
 	h.inFlight, h.releasableFrom = false, at
 	h.timeout, h.deadline, h.startedBy, h.closedAt, h.closeNoticedAt = 0, time.Time{}, time.Time{}, time.Time{}, time.Time{}
@@ -47,17 +47,17 @@
 	return !h.closedAt.IsZero() && (h.endsBy.IsZero() || h.endsBy.After(at))
 }
 
-// unconfirmed reports whether its server has answered nothing since it had a close to notice, or a release to answer.
+// unconfirmed reports whether its server has answered nothing since it had a close to observe, or a release to answer.
 func (h *holding) unconfirmed() bool { return !h.closedAt.IsZero() && h.endsBy.IsZero() }
 
-// halfOpen reports whether its server runs but may not have noticed the close: its connection alone may have fallen silent.
+// halfOpen reports whether its server runs but may not have observed the close: its connection alone may have fallen silent.
 func (h *holding) halfOpen() bool { return !h.endsBy.IsZero() }
 
-// confirmRunning records that its server runs, by an answer at a time, and when it has noticed the close unless that was lost.
+// confirmRunning records that its server runs, by an answer at a time, and when it has observed the close unless that was lost.
 // An answer on one connection shows nothing about another. So an attempt may run on to the end of the timeout that its server
 // was told; and if the server does not end it then, for as long as a connection may stay silent.
 func (h *holding) confirmRunning(answeredAt, closeNoticedAt time.Time, grace time.Duration) {
-	if h.releaseUnconfirmed() { // there is no close to notice
+	if h.releaseUnconfirmed() { // there is no close to observe
 		h.markReleasable(h.releasableFrom)
 		return
 	}
@@ -86,7 +86,7 @@
 func (h *holding) mayBeHeld() bool { return !h.inFlight || h.kind == place }
 
 // releasedByStream reports whether it ends with the first event of an answer. What may still come does not: from a call in
-// flight, from a server that may not have noticed a close, or from one whose answer has just confirmed it.
+// flight, from a server that may not have observed a close, or from one whose answer has just confirmed it.
 func (h *holding) releasedByStream(now time.Time) bool {
 	if h.kind == queuedWrite {
 		return h.closedAt.IsZero() // it has left its queue, or ended
--- a/internal/heldstate/ledger.go
+++ b/internal/heldstate/ledger.go
@@ -6,14 +6,14 @@
 // attempt is in flight from its arrival, but what the router has sent may never arrive, on a connection that has fallen silent. So
 // the ledger keeps one time for each request, limitClearUntil: the last moment for which an answer shows that the limit was not
 // running, or was restarted. Only answers advance it: of an attempt, of a place request whose server knew that the read was in
-// flight, of a release. While anything may be held, a release is sent whenever 0.9 of the limit has passed since that time, whatever
-// the router has sent meanwhile.
+// flight, of a release. While anything may be held, a release is sent whenever 0.9 of the limit has passed since that time,
+// regardless of what the router has sent meanwhile.
 //
 // A release drops the state of a read that is in flight at the same time. So none is sent while the read is protected, that is while
 // all that is held waits for it, or nothing is held but what it may have left, as long as the read's server keeps answering on any
 // connection: the read's own answer would arrive too. A first read is protected, and so is a read once a writer that knew of it has
 // granted a place, or once a release was acknowledged while it was in flight. A read whose server does not answer may have ended well
-// behind a network partition. Where servers do not preserve what an attempt waits for, no release is sent during an attempt at all.
+// beyond a network partition. Where servers do not preserve what an attempt waits for, no release is sent during an attempt at all.
 //
 // An entry is removed only on evidence: the first event of its answer, with which servers drop all that is held; a release that was
 // acknowledged while no attempt could preserve what it holds; or the removal of the servers that might hold something. Everything
@@ -57,17 +57,17 @@
 
 // Times are in real time. A part is a fraction of the pin limit.
 const (
-	// CloseNoticeGrace is the time that a running server may take to notice that a connection was closed. A call on another
+	// CloseNoticeGrace is the time that a running server may take to observe that a connection was closed. A call on another
 	// connection may overtake the close.
 	CloseNoticeGrace = 25 * time.Millisecond
 
 	defaultPinLimit = 500 * time.Millisecond // where the settings name no pin limit
 	releasePart     = 0.9                    // of the pin limit: from limitClearUntil to the next release
 	livenessPart    = 0.75                   // of the pin limit: from limitClearUntil to a liveness probe of a protected read's server
-	lastReleasePart = 0.4                    // of the pin limit: after a close, before which no release is the last, as the close may be noticed late
+	lastReleasePart = 0.4                    // of the pin limit: after a close, before which no release is the last, as the close may be observed late
 	timeoutSlack    = 150 * time.Millisecond // by which a server may end an attempt after its timeout: the router may be delayed before it writes
 	halfOpenPause   = 100 * time.Millisecond // beyond the pin limit, between releases of half-open attempts alone; servers tolerate 300 ms
-	maxConnSilence  = 5 * time.Second        // for which a server may not notice a close, whatever the timeout: by then the connection is reset or works again
+	maxConnSilence  = 5 * time.Second        // for which a server may not observe a close, regardless of the timeout: by then the connection is reset or works again
 	maxTimeout      = 30 * time.Second       // longest that an attempt runs after a lost close; taken where its server was told no timeout
 	reportPart      = 0.5                    // of the pin limit: for which an entry is pending before it is reported
 
@@ -113,7 +113,7 @@
 	return defaultPinLimit
 }
 
-// noticeGrace returns the time that a server may take to notice a close; a short pin limit leaves less of it.
+// noticeGrace returns the time that a server may take to observe a close; a short pin limit leaves less of it.
 func (t Terms) noticeGrace() time.Duration { return min(CloseNoticeGrace, t.pinLimit()/4) }
 
 // AttemptEnd is how an attempt ended.
@@ -124,7 +124,7 @@
 	NotSent        AttemptEnd = iota // it was not written whole: the server cannot have started it
 	Rejected                         // the server answered that it did nothing
 	Completed                        // the server's answer came whole
-	ClosedByRouter                   // the router closed the connection before the end of the answer: the server may not have noticed
+	ClosedByRouter                   // the router closed the connection before the end of the answer: the server may not have observed it
 	ClosedByServer                   // the server's end closed before the end of the answer: the attempt does not run on, but may have ended well
 )
 
@@ -339,7 +339,7 @@
 	h.markReleasable(now)
 }
 
-// markUnconfirmed records that a holding's server may not have noticed yet that its connection was closed at a time.
+// markUnconfirmed records that a holding's server may not have observed yet that its connection was closed at a time.
 func (l *Ledger) markUnconfirmed(e *entry, i int, closedAt time.Time) {
 	h := &e.holdings[i]
 	already := e.isUnconfirmed(h.server)
@@ -355,7 +355,7 @@
 }
 
 // StreamStarted records the first event of the answer, with which servers drop all that is held, except what servers that did
-// not notice a close may still come to hold.
+// not observe a close may still come to hold.
 func (l *Ledger) StreamStarted(key string, now time.Time) {
 	e := l.entries[key]
 	if e == nil {
--- a/internal/heldstate/ledger_test.go
+++ b/internal/heldstate/ledger_test.go
@@ -159,7 +159,7 @@
 }
 
 // While something may be held, a release is sent whenever 0.9 of the pin limit has passed since the last evidence that it was
-// not running, whatever has been sent meanwhile: that may not have arrived.
+// not running, regardless of what has been sent meanwhile: that may not have arrived.
 func TestReleaseDuringAttemptsThatMayNotHaveArrived(t *testing.T) {
 	read := func(c *harness, terms Terms, server string) { c.l.AttemptStarted("k", terms, server, true, c.now) }
 	for name, play := range map[string]func(c *harness, terms Terms){
@@ -369,9 +369,9 @@
 	t.Error("nothing was released within 0.8 s")
 }
 
-// A read's connection has fallen silent and is closed; its server does not notice, and answers on others. The read runs on for
+// A read's connection has fallen silent and is closed; its server does not observe it, and answers on others. The read runs on for
 // a second and leaves its state then: a release has to follow in time. Guards against taking the server's answers as evidence
-// that it had noticed the close (see TestAttemptRunsOnAfterALostClose).
+// that it had observed the close (see TestAttemptRunsOnAfterALostClose).
 func TestReadRunsOnAfterALostClose(t *testing.T) {
 	c := newHarness(t)
 	c.l.AttemptStarted("k", shared, "reader", true, c.now)
@@ -413,7 +413,7 @@
 	}
 }
 
-// A release waits until a close is noticed, and is repeated in time, since it may have overtaken the close.
+// A release waits until a close is observed, and is repeated in time, since it may have overtaken the close.
 func TestCloseNoticedLate(t *testing.T) {
 	for _, pin := range []time.Duration{40 * ms, 250 * ms, 500 * ms, 0} {
 		c := newHarness(t)
@@ -455,7 +455,7 @@
 }
 
 // What a server that hangs may still wait for stays pending until it runs again: one probe to it is in flight, and a release
-// follows once it has had time to notice the close.
+// follows once it has had time to observe the close.
 func TestHungServer(t *testing.T) {
 	c := newHarness(t)
 	unconfirmedWriter(c)
@@ -515,7 +515,7 @@
 	}
 }
 
-// With two unconfirmed servers, a release follows once either answers, whatever the other does.
+// With two unconfirmed servers, a release follows once either answers, regardless of the other.
 func TestTwoUnconfirmedServers(t *testing.T) {
 	c := newHarness(t)
 	c.l.AttemptStarted("k", shared, "hung", true, c.now)
@@ -741,12 +741,12 @@
 }
 
 // history is a drawn history of requests against a prefill server that runs and a decode server that may hang, and that
-// preserves what a write in its queue waits for until it notices that the write was closed.
+// preserves what a write in its queue waits for until it observes that the write was closed.
 type history struct {
 	*harness
 	rnd         *rand.Rand
 	steps       map[time.Time][]func()
-	hungUntil   time.Time            // until then the decode server notices and answers nothing
+	hungUntil   time.Time            // until then the decode server observes and answers nothing
 	queuedUntil map[string]time.Time // by key of a write in its queue: when the close arrives
 	heldMs      map[string]int       // by key of a state: the milliseconds in which nothing waited for it
 }
@@ -765,7 +765,7 @@
 	if ok && (h.now.Before(until) || h.now.Before(h.hungUntil)) {
 		return true
 	}
-	delete(h.queuedUntil, key) // it has noticed the close
+	delete(h.queuedUntil, key) // it has observed the close
 	return false
 }
 
@@ -802,7 +802,7 @@
 	h.l.ReleaseEnded(call, ReleaseResult{Acknowledged: true, Server: server, SentAt: sentAt}, h.now)
 }
 
-// Nothing stays held, whenever writes are closed and whenever their server hangs and notices.
+// Nothing stays held, whenever writes are closed and whenever their server hangs and observes them.
 func TestNothingStaysHeld(t *testing.T) {
 	for seed := range uint64(300) {
 		h := &history{harness: newHarness(t), rnd: rand.New(rand.NewPCG(seed, 1)), steps: map[time.Time][]func(){}, queuedUntil: map[string]time.Time{},
--- a/internal/heldstate/lostclose_test.go
+++ b/internal/heldstate/lostclose_test.go
@@ -29,10 +29,10 @@
 }
 
 // An attempt's connection alone falls silent, and the router closes it. Its server answers on other connections but does not
-// notice the close, and the attempt runs on: a write in its queue has releases preserve the state meanwhile, and a read leaves
+// observe the close, and the attempt runs on: a write in its queue has releases preserve the state meanwhile, and a read leaves
 // its state at the end.
 //
-// Guards against taking an answer on any connection of a server as evidence that it had noticed the close of another: no
+// Guards against taking an answer on any connection of a server as evidence that it had observed the close of another: no
 // release followed the one at 0.4 of the pin limit after the close, and the state stayed for good. That happened to 15 to 19
 // of some 800 requests of a black-box run in which single connections fell silent for 2 to 15 s, to the router on loopback of
 // TestStateBehindALostClose, and in 17 of 300 drawn histories with lost closes.
--- a/internal/heldstate/probe.go
+++ b/internal/heldstate/probe.go
@@ -20,7 +20,7 @@
 type exchange struct{ sentAt, answeredAt time.Time }
 
 // confirmsRunSince reports whether the exchange shows that the server has run for the grace since a connection was closed, so
-// that it has noticed the close unless that was lost.
+// that it has observed the close unless that was lost.
 func (x exchange) confirmsRunSince(closedAt time.Time, grace time.Duration) bool {
 	return !x.sentAt.Before(closedAt.Add(grace))
 }
--- a/internal/heldstate/reference_test.go
+++ b/internal/heldstate/reference_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// A small reference model of the platform: what servers hold, by what has arrived, started, was granted and noticed there. The
+// A small reference model of the platform: what servers hold, by what has arrived, started, was granted and observed there. The
 // ledger is told only what a router sees: what it sent, what was answered, what it closed. The two views diverge by servers
 // that fall silent, servers that hang, and single connections that fall silent.
 
@@ -17,7 +17,7 @@
 type connection struct {
 	requestLost bool // what is written to it does not arrive
 	answerLost  bool // what its server answers does not come back
-	closeLost   bool // its server does not notice the close
+	closeLost   bool // its server does not observe the close
 }
 
 // refAttempt is an attempt as the platform sees it.
@@ -40,7 +40,7 @@
 	name        string
 	reads       bool
 	silentUntil time.Time // nothing passes to it or from it before
-	hungUntil   time.Time // it starts, answers and notices nothing before
+	hungUntil   time.Time // it starts, answers and observes nothing before
 }
 
 // refRequest is what the platform holds for one request.
@@ -162,7 +162,7 @@
 	p.end(a)
 }
 
-// close has the router close an attempt's connection, which its server notices unless the connection has fallen silent.
+// close has the router close an attempt's connection, which its server observes unless the connection has fallen silent.
 func (p *reference) close(a *refAttempt, conn connection, done bool) {
 	a.closedByRouter = true
 	if done { // its answer was lost before
--- a/internal/heldstate/release.go
+++ b/internal/heldstate/release.go
@@ -136,7 +136,7 @@
 }
 
 // markReleaseUnconfirmed records that a server that may hold something did not answer a release: the one that acknowledged it
-// may not have reached this server. There is no close to notice, so what it holds is released again once it has answered any
+// may not have reached this server. There is no close to observe, so what it holds is released again once it has answered any
 // call that was sent later.
 func (l *Ledger) markReleaseUnconfirmed(e *entry, server string, sentAt time.Time) {
 	for i := range e.holdings {
@@ -160,7 +160,7 @@
 	e.ackedReleases++
 }
 
-// ServerAnswered records that a server answered a call that was sent at a time. The server has run since, and notices within
+// ServerAnswered records that a server answered a call that was sent at a time. The server has run since, and observes within
 // the grace what was closed before, unless that close was lost.
 func (l *Ledger) ServerAnswered(server string, sentAt, answeredAt, now time.Time) {
 	if len(l.answeredCallSentAt) >= maxAnsweredServers {
@@ -208,7 +208,7 @@
 
 // confirmServer records that a server has run since a close, or since a release that it did not answer; confirmedAt gives for
 // each holding when that is known, zero if it is not. What waited there ends within the grace, or leaves its state; a close
-// may be noticed later than it should, so that the last release follows no sooner than 0.4 of the pin limit after the close.
+// may be observed later than it should, so that the last release follows no sooner than 0.4 of the pin limit after the close.
 func (l *Ledger) confirmServer(e *entry, server string, now time.Time, confirmedAt func(*holding) time.Time) {
 	confirmed := false
 	for i := range e.holdings {
--- a/internal/heldstate/report.go
+++ b/internal/heldstate/report.go
@@ -32,7 +32,7 @@
 	PendingFor   time.Duration
 	Releases     int      // acknowledged ones
 	Holders      []string // servers that may hold something
-	Unconfirmed  []string // servers that may not have noticed a close
+	Unconfirmed  []string // servers that may not have observed a close
 }
 
 // Abandoned returns the entries that were abandoned since the last call.
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -384,11 +384,11 @@
 // Add counts bytes that are in memory already, without a limit.
 func (b *Budget) Add(n int64) { b.used.Add(n) }
 
-// Release returns n bytes that ReadAll, Take or Add counted.
+// Release returns n bytes that ReadAll, Reserve or Add counted.
 func (b *Budget) Release(n int64) { b.used.Add(-n) }
 
 // ReadAll reads a body of up to maxBytes. Memory grows with the bytes received, not with the announced length. The
-// bytes count in the budget, up to maxTotal for all bodies, until the caller gives held back, also after an error. The
+// bytes count in the budget, up to maxTotal for all bodies, until the caller releases held, also after an error. The
 // error is ErrBodyTooLarge, ErrBudgetExceeded or one of the connection.
 func (b *Body) ReadAll(maxBytes, maxTotal int64, budget *Budget) (text []byte, held int64, err error) {
 	if b.Length() > maxBytes {
--- a/internal/limits/limiter.go
+++ b/internal/limits/limiter.go
@@ -348,7 +348,7 @@
 	return min(after, max(l.settings.MaxRetryAfter, l.settings.MinRetryAfter))
 }
 
-// hasCapacity reports whether another request may be dispatched. One request always may, whatever its size.
+// hasCapacity reports whether another request may be dispatched. One request always may, regardless of its size.
 func (l *Limiter) hasCapacity() bool {
 	return l.inFlight == 0 || l.inFlightSize < l.concurrency.current
 }
--- a/internal/limits/limiter_test.go
+++ b/internal/limits/limiter_test.go
@@ -400,7 +400,7 @@
 	return admitted / (quota * seconds), requested / (quota * seconds)
 }
 
-// fifoServer models the capacity behind the limiter: it serves requests first come, first served, at a fixed rate.
+// fifoServer models the capacity that the limiter protects: it serves requests first come, first served, at a fixed rate.
 type fifoServer struct {
 	perSecond float64
 	busyUntil time.Duration
--- a/internal/platform/discovery/watch.go
+++ b/internal/platform/discovery/watch.go
@@ -195,7 +195,7 @@
 }
 
 // get makes one call, which the agent is to answer within wait. If the persistent
-// connection was closed meanwhile the call fails; the next one connects anew.
+// connection was closed meanwhile the call fails; the next one opens a new connection.
 func (c *connection) get(ctx context.Context, target string, wait time.Duration) (*List, error) {
 	if c.nc == nil {
 		d := net.Dialer{Timeout: dialTimeout, KeepAlive: -1}
--- a/internal/platform/incidentlog.go
+++ b/internal/platform/incidentlog.go
@@ -26,7 +26,7 @@
 // for longer than it should be. All methods but logDropped are called on the driver's goroutine.
 type incidentLog struct {
 	log        *zap.Logger
-	logAll     bool // log every request, whatever its outcome
+	logAll     bool // log every request, regardless of its outcome
 	tokens     float64
 	refilledAt time.Time
 	dropped    atomic.Int64 // lines suppressed by the rate limit
--- a/internal/platform/workers/answerlog.go
+++ b/internal/platform/workers/answerlog.go
@@ -15,7 +15,7 @@
 type answer struct{ sent, answered time.Time }
 
 // answerLog records some of a worker's answers, oldest first. An answer is evidence that the worker was running between
-// its two times, and so by then had begun whatever was written to it before the answered call was sent.
+// its two times, and so by then had started every request that was written to it before the answered call was sent.
 type answerLog []answer
 
 // add records an answer unless it was sent less than minAnswerGap after the last recorded one.
@@ -29,7 +29,7 @@
 	*l = append(*l, a)
 }
 
-// begunBy returns the time by which the worker has begun a request written at the given time, if it arrived at all; zero: unknown.
+// begunBy returns the time by which the worker has started a request written at the given time, if it arrived at all; zero: unknown.
 func (l answerLog) begunBy(written time.Time) time.Time {
 	i, _ := slices.BinarySearchFunc(l, written, func(a answer, at time.Time) int {
 		if a.sent.After(at) {
--- a/internal/platform/workers/workers.go
+++ b/internal/platform/workers/workers.go
@@ -36,7 +36,7 @@
 // worker is the state kept for a listed worker, from its listing until it moves, restarts or is removed.
 type worker struct {
 	addr             string
-	startTime        float64   // Worker.Boot: a change means that the worker restarted
+	startTime        float64   // Worker.StartTime: a change means that the worker restarted
 	draining         bool      // takes no new work, only releases
 	lastAnswer       time.Time // when its last response head arrived
 	lastSent         time.Time // when the most recently sent call that it answered was sent,
--- a/internal/realtime/events.go
+++ b/internal/realtime/events.go
@@ -134,7 +134,7 @@
 	MetaPromptSize  = "prompt_tokens"
 	MetaIdempotency = "idempotency_key"
 	MetaRetry       = "retry" // "true": repeats a request whose outcome the client doesn't know
-	MetaAttempt     = "try"   // number of the attempt, from 1; above 1 it is a retry, whatever the outcome of the first
+	MetaAttempt     = "try"   // number of the attempt, from 1; above 1 it is a retry, regardless of the outcome of the first
 	MetaTimeout     = "give_up_ms"
 )
 
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -19,7 +19,7 @@
 	Token = "token" // first token of a try
 	Final = "final" // final answer: Note is served, refused, failed or cancelled; N is the retry-after in ms
 	After = "after" // data arrived after the final answer of a try
-	Lost  = "lost"  // no final answer: Note tells whether the connection ended or the client timed out or disconnected
+	Lost  = "lost"  // no final answer: Note reports whether the connection ended or the client timed out or disconnected
 	// Recorded by engines and the roster, and by the run of a scenario.
 	Arrive      = "arrive"  // an attempt arrived: Key, Req; Note is read, write or whole (one-stage work)
 	Swallow     = "swallow" // an attempt arrived at a frozen engine; fields as for Arrive
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -3,7 +3,7 @@
 // it is rolled back. It does no I/O and reads no clock: the caller passes router
 // statuses, command results and the time, and carries out the returned effects.
 //
-// Plan computes a schedule before a rollout, Planner runs one, and Rehearsal runs
+// Plan computes a schedule before a rollout, Planner runs one, and Simulation runs
 // a Planner against simulated routers.
 package rollout
 
--- a/internal/rollout/rehearse.go
+++ b/internal/rollout/rehearse.go
@@ -24,7 +24,7 @@
 	CrashToolAt    time.Duration // the tool crashes then and continues from its journal; 0: never
 }
 
-// SimulationResult is the result of a rehearsal.
+// SimulationResult is the result of a simulation.
 type SimulationResult struct {
 	Ending      Ending
 	Duration    time.Duration
@@ -70,7 +70,7 @@
 	return x
 }
 
-// simulator is the state of a rehearsal in progress.
+// simulator is the state of a simulation in progress.
 type simulator struct {
 	Simulation
 	now           time.Duration
@@ -98,7 +98,7 @@
 	return list
 }
 
-// Run runs the rehearsal to its end, at most 24 hours of simulated time.
+// Run runs the simulation to its end, at most 24 hours of simulated time.
 func (r Simulation) Run() *SimulationResult {
 	if r.PollInterval <= 0 {
 		r.PollInterval = time.Second
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -97,7 +97,7 @@
 	}
 }
 
-// playRollout rehearses a rollout of n routers to release new.
+// playRollout simulates a rollout of n routers to release new.
 func playRollout(n int, change func(*Simulation)) *SimulationResult {
 	all := fleet(n, 7)
 	r := Simulation{All: all, Todo: all, Limits: lim, Target: "new", Seed: 3, Spread: 0.2, RecoveryTime: 40 * sec}
@@ -107,7 +107,7 @@
 	return r.Run()
 }
 
-// countOnRelease returns the number of routers on a release at the end of a rehearsal.
+// countOnRelease returns the number of routers on a release at the end of a simulation.
 func countOnRelease(p *SimulationResult, release string) (n int) {
 	for _, r := range p.Releases {
 		if r == release {
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -152,7 +152,7 @@
 	return slices.Compact(pairs)
 }
 
-// PairName returns the name of a pair of kinds, whatever their order.
+// PairName returns the name of a pair of kinds, in either order.
 func PairName(a, b FaultKind) string {
 	if b < a {
 		a, b = b, a
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -28,7 +28,7 @@
 	EarlyShare     float64       // share of a state that is transferred during the read if a place is held
 	ColdFrom       float64       // share of full speed right after a cold start
 	WarmAfter      time.Duration // length of the slow start
-	OverloadFactor float64       // during slow start the engine crashes at this multiple of its speed, sustained for Fall
+	OverloadFactor float64       // during slow start the engine crashes at this multiple of its speed, sustained for OverloadWindow
 	OverloadWindow time.Duration // 0: it never crashes
 	StateLifetime  time.Duration // lifetime of a state or place that no write takes
 	Extended       bool          // offers the engine-protocol extension: places and releases
--- a/internal/standin/roster.go
+++ b/internal/standin/roster.go
@@ -273,7 +273,7 @@
 }
 
 // nextChange returns the first change after a version, or a channel to wait on. A watch that was cut gets no later
-// change: it would skip the history that Forget dropped.
+// change: it would skip the history that Compact dropped.
 func (r *Roster) nextChange(from int, service string, cut chan struct{}) (*change, chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/standin/serve.go
+++ b/internal/standin/serve.go
@@ -419,7 +419,7 @@
 	w.WriteHeader(201)
 }
 
-// fillPlace fetches a state into a place; the share Early was transferred during the read.
+// fillPlace fetches a state into a place; the share EarlyShare was transferred during the read.
 func (l *lifetime) fillPlace(ctx context.Context, p *place, reader, key string) {
 	defer close(p.ready)
 	tokens, err := l.fetchState(ctx, reader, key)
--- a/router.go
+++ b/router.go
@@ -237,7 +237,7 @@
 			r.routeWaiting()
 		case refSubscribe:
 			r.emit(Subscribe{})
-		case refDeadline: // whatever became of the attempts, the final answer goes out before the deadline
+		case refDeadline: // the final answer goes out before the deadline, whether or not attempts ended
 			r.finish(req)
 		case refReadCheck:
 			r.checkRead(req)
@@ -603,7 +603,7 @@
 			}
 		}
 	case Full:
-		// No headroom, whatever the books say: the queue is full of others' or abandoned work, or the server
+		// No headroom, despite the bookings: the queue is full of others' or abandoned work, or the server
 		// rejects this class or tenant alone. So it counts for this flow; the others find out for themselves.
 		if !ev.NoState {
 			att.server.rejectionPenalties[r.flowIndex(req)] = decayingValue{1, r.now}
@@ -642,10 +642,10 @@
 	}
 	req.excluded, req.isRepeat = append(req.excluded, att.server), true
 	// A writer that failed or fell silent may have fetched the state. Guards against a last attempt at a
-	// state that is no longer there: if a miss would leave no other read, the prompt is read anew.
+	// state that is no longer there: if a miss would leave no other read, the prompt is read again.
 	fetched := !att.readOnly && ev.Outcome != Full && !ev.Outcome.unconnected() && !r.hasAttemptsLeft(req, 3)
 	// Writers that were not reached leave the state at its reader, where the pin limit goes on. Drawback:
-	// where a third writer would have been reached, the prompt is read anew or the request refused.
+	// where a third writer would have been reached, the prompt is read again or the request refused.
 	pinExpired := ev.Outcome.unconnected() && r.now-req.lastOutcomeAt > req.settings.PinLimit
 	if att.readOnly || ev.NoState || fetched || pinExpired {
 		// A held place may have the state although its reader has not; it must not stay pinned.
@@ -1104,7 +1104,7 @@
 	return val.decayed(now, decayTime) / float64(decayTime) * 1000
 }
 
-// rememberRead records a session's reader and its prefix; past maxTrackedKeys, all records start anew.
+// rememberRead records a session's reader and its prefix; past maxTrackedKeys, all records are cleared first.
 func (r *Router) rememberRead(req *request, srv *server) {
 	if max(len(r.lastTurns), len(r.prefixCounts), len(r.cachedPrefixes)) >= maxTrackedKeys {
 		clear(r.lastTurns)
--- a/scale_test.go
+++ b/scale_test.go
@@ -498,7 +498,7 @@
 	}
 }
 
-// TestInvalidCachedTokenCounts: whatever count of cached tokens a reader reports, booked prices and speeds stay finite,
+// TestInvalidCachedTokenCounts: for any count of cached tokens that a reader reports, booked prices and speeds stay finite,
 // and prices are not below 0.
 func TestInvalidCachedTokenCounts(t *testing.T) {
 	for _, cached := range []float64{-1, -1e300, 7001, 1e300, math.NaN(), math.Inf(1), math.Inf(-1)} {
--- a/scenario_test.go
+++ b/scenario_test.go
@@ -176,7 +176,7 @@
 }
 
 // TestStateOutlivesFailedDials: writers that are not reached leave the state at its reader, where its time limit goes
-// on. After it the state is released and the prompt read anew; if no attempts are left for that, the request is refused
+// on. After it the state is released and the prompt read again; if no attempts are left for that, the request is refused
 // at once.
 func TestStateOutlivesFailedDials(t *testing.T) {
 	for _, maxAttempts := range []int{8, 4} {
@@ -202,7 +202,7 @@
 }
 
 // TestErrorAfterStateFetch: a writer that returns an error may have fetched the state. With attempts left for one read
-// and one write only, the prompt is read anew; a send to the next writer could be the last attempt, and find no state.
+// and one write only, the prompt is read again; a send to the next writer could be the last attempt, and find no state.
 func TestErrorAfterStateFetch(t *testing.T) {
 	for _, tc := range []struct {
 		maxAttempts int
--- a/slowstart_test.go
+++ b/slowstart_test.go
@@ -251,7 +251,7 @@
 // are repeated.
 var slowStartSeeds = map[string]uint64{"steady": 1, "burst": 2, "repeats": 6}
 
-// Slow start holds for the sum of all routers, whatever their number, the split of the traffic and the load: no window
+// Slow start holds for the sum of all routers, for any number of them, split of the traffic and load: no window
 // of the settings' length brings a server in slow start more calls than N + 2 sqrt(N) + 2 (N + 3 sqrt(N) + 3 if N is
 // under 30), where N is what the settings allow then. All calls count: prompts, holds, states, and every repeat. And
 // the servers are used: together they get at least half of their share by ramp.
