--- a/internal/driver/call.go
+++ b/internal/driver/call.go
@@ -201,7 +201,7 @@
 	if c.effect() != guard.Safe && attemptEnd(r) == heldstate.ClosedByRouter {
 		// A refusal or a further attempt uses another connection and may overtake the close: for the server the attempt is
 		// in flight until the close arrives.
-		c.d.pause(heldstate.CloseNoticeGrace)
+		c.d.pause(heldstate.CloseGrace)
 	}
 	c.d.post(func() {
 		a.connection = call.Connection
--- a/internal/driver/driver_test.go
+++ b/internal/driver/driver_test.go
@@ -721,10 +721,10 @@
 		defer stop()
 		d.Update(gannethook.Membership{Servers: []gannethook.Server{{ID: "s0", State: gannethook.Ready}}})
 		s, a := submitAndWait(t, d, 1)
-		if delay := s.answeredAt.Sub(f.closedAt); a.Outcome != Refused || delay < heldstate.CloseNoticeGrace {
+		if delay := s.answeredAt.Sub(f.closedAt); a.Outcome != Refused || delay < heldstate.CloseGrace {
 			t.Errorf("%v, %v after the close", a.Outcome, delay)
 		}
-		if len(repeats) != 1 || repeats[0].Earlier != "s0" || repeats[0].After != heldstate.CloseNoticeGrace {
+		if len(repeats) != 1 || repeats[0].Earlier != "s0" || repeats[0].After != heldstate.CloseGrace {
 			t.Errorf("reported: %+v", repeats)
 		}
 	})
--- a/internal/heldstate/compact.go
+++ b/internal/heldstate/compact.go
@@ -51,7 +51,7 @@
 	u := l.unconfirmed[server]
 	for len(u.compact) > 0 && len(l.pending) < maxPending {
 		c := u.compact[0]
-		if !u.restorableBy.confirmsRunSince(l.epoch.Add(c.closedAt), c.terms().noticeGrace()) {
+		if !u.restorableBy.confirmsRunSince(l.epoch.Add(c.closedAt), c.terms().closeGrace()) {
 			u.restorableBy = exchange{}
 			return
 		}
@@ -76,7 +76,7 @@
 	h := holding{server: server, kind: c.kind, timeout: c.timeout}
 	closedAt := l.epoch.Add(c.closedAt)
 	if c.releaseUnconfirmed {
-		h.releasableFrom = closedAt.Add(e.noticeGrace())
+		h.releasableFrom = closedAt.Add(e.closeGrace())
 	}
 	e.requestEnded = true
 	e.requestRelease(closedAt)
--- a/internal/heldstate/entry.go
+++ b/internal/heldstate/entry.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// noticeGrace returns the time that a server may take to observe a close.
-func (e *entry) noticeGrace() time.Duration { return e.terms.noticeGrace() }
+// closeGrace returns the time that a server may take to observe a close.
+func (e *entry) closeGrace() time.Duration { return e.terms.closeGrace() }
 
 // inFlightIndex returns the index of the holding of a kind at a server whose call is in flight; -1: there is none.
 func (e *entry) inFlightIndex(server string, kind kind) int {
@@ -104,7 +104,7 @@
 // closed.
 func (e *entry) readMayStillRun(at time.Time) bool {
 	return slices.ContainsFunc(e.holdings, func(h holding) bool {
-		return h.kind == readState && h.mayStillRun(at) && h.deadline.Add(e.noticeGrace()).After(at)
+		return h.kind == readState && h.mayStillRun(at) && h.deadline.Add(e.closeGrace()).After(at)
 	})
 }
 
@@ -178,10 +178,10 @@
 	for _, h := range e.holdings {
 		switch {
 		case h.unconfirmed():
-			at = later(at, h.closedAt.Add(e.noticeGrace()))
-		case h.halfOpen() && !h.closeNoticedAt.After(e.streamStartedAt): // what it held ended with the stream
+			at = later(at, h.closedAt.Add(e.closeGrace()))
+		case h.halfOpen() && !h.closeObservedAt.After(e.streamStartedAt): // what it held ended with the stream
 		case h.halfOpen():
-			at = later(at, h.closeNoticedAt)
+			at = later(at, h.closeObservedAt)
 		case !h.inFlight:
 			at = later(at, h.releasableFrom)
 		}
@@ -204,7 +204,7 @@
 // onlyHalfOpen reports whether nothing may be held but what half-open attempts leave: an acknowledged release has reached the
 // rest.
 func (e *entry) onlyHalfOpen() bool {
-	return e.allElseReleased(func(h holding) time.Time { return h.closeNoticedAt })
+	return e.allElseReleased(func(h holding) time.Time { return h.closeObservedAt })
 }
 
 // onlyOverdue reports whether nothing may be held but what half-open attempts leave that run beyond their timeouts.
@@ -239,7 +239,7 @@
 		}
 		h.timeout, anyEnded = 0, true
 		if h.halfOpen() {
-			h.endsBy, h.goneBy = h.closeNoticedAt, h.closeNoticedAt
+			h.endsBy, h.goneBy = h.closeObservedAt, h.closeObservedAt
 		}
 	}
 	return anyEnded
--- a/internal/heldstate/holding.go
+++ b/internal/heldstate/holding.go
@@ -20,19 +20,19 @@
 	releasableFrom time.Time // a release that is sent from then on reaches it
 	protected      bool      // of a read in flight: all that is held waits for it, or nothing is held but what it may have left
 
-	timeout        time.Duration // of an attempt that may run after a lost close: the timeout that its server was told; 0: it cannot
-	deadline       time.Time     // the end of the timeout, if its server starts it at once
-	startedBy      time.Time     // by when its server has started it, if it has arrived; zero: not known
-	closedAt       time.Time     // of a close that may be unobserved; of an unanswered release, the grace before its sending; zero: neither
-	closeNoticedAt time.Time     // when its server has observed the close, unless that was lost; zero: unconfirmed
-	endsBy         time.Time     // end of its timeout, also where the close was lost; zero: unconfirmed
-	goneBy         time.Time     // its end, also where its server runs it beyond its timeout; zero: unconfirmed
+	timeout         time.Duration // of an attempt that may run after a lost close: the timeout that its server was told; 0: it cannot
+	deadline        time.Time     // the end of the timeout, if its server starts it at once
+	startedBy       time.Time     // by when its server has started it, if it has arrived; zero: not known
+	closedAt        time.Time     // of a close that may be unobserved; of an unanswered release, the grace before its sending; zero: neither
+	closeObservedAt time.Time     // when its server has observed the close, unless that was lost; zero: unconfirmed
+	endsBy          time.Time     // end of its timeout, also where the close was lost; zero: unconfirmed
+	goneBy          time.Time     // its end, also where its server runs it beyond its timeout; zero: unconfirmed
 }
 
 // markReleasable records that a release sent from a time on reaches everything that is held.
 func (h *holding) markReleasable(at time.Time) {
 	h.inFlight, h.releasableFrom = false, at
-	h.timeout, h.deadline, h.startedBy, h.closedAt, h.closeNoticedAt = 0, time.Time{}, time.Time{}, time.Time{}, time.Time{}
+	h.timeout, h.deadline, h.startedBy, h.closedAt, h.closeObservedAt = 0, time.Time{}, time.Time{}, time.Time{}, time.Time{}
 	h.endsBy, h.goneBy = time.Time{}, time.Time{}
 }
 
@@ -61,7 +61,7 @@
 		h.markReleasable(h.releasableFrom)
 		return
 	}
-	h.closeNoticedAt = closeNoticedAt
+	h.closeObservedAt = closeNoticedAt
 	h.endsBy = later(closeNoticedAt, h.timeoutEnd(answeredAt).Add(grace))
 	h.goneBy = h.endsBy
 	if h.timeout > 0 {
--- a/internal/heldstate/ledger.go
+++ b/internal/heldstate/ledger.go
@@ -57,9 +57,9 @@
 
 // Times are in real time. A part is a fraction of the pin limit.
 const (
-	// CloseNoticeGrace is the time that a running server may take to observe that a connection was closed. A call on another
+	// CloseGrace is the time that a running server may take to observe that a connection was closed. A call on another
 	// connection may overtake the close.
-	CloseNoticeGrace = 25 * time.Millisecond
+	CloseGrace = 25 * time.Millisecond
 
 	defaultPinLimit = 500 * time.Millisecond // where the settings name no pin limit
 	releasePart     = 0.9                    // of the pin limit: from limitClearUntil to the next release
@@ -113,8 +113,8 @@
 	return defaultPinLimit
 }
 
-// noticeGrace returns the time that a server may take to observe a close; a short pin limit leaves less of it.
-func (t Terms) noticeGrace() time.Duration { return min(CloseNoticeGrace, t.pinLimit()/4) }
+// closeGrace returns the time that a server may take to observe a close; a short pin limit leaves less of it.
+func (t Terms) closeGrace() time.Duration { return min(CloseGrace, t.pinLimit()/4) }
 
 // AttemptEnd is how an attempt ended.
 type AttemptEnd uint8
@@ -343,10 +343,10 @@
 func (l *Ledger) markUnconfirmed(e *entry, i int, closedAt time.Time) {
 	h := &e.holdings[i]
 	already := e.isUnconfirmed(h.server)
-	h.inFlight, h.closedAt, h.closeNoticedAt, h.endsBy, h.goneBy = false, closedAt, time.Time{}, time.Time{}, time.Time{}
+	h.inFlight, h.closedAt, h.closeObservedAt, h.endsBy, h.goneBy = false, closedAt, time.Time{}, time.Time{}, time.Time{}
 	u := l.unconfirmed[h.server]
 	if u == nil {
-		u = &unconfirmedServer{nextProbeAt: closedAt.Add(e.noticeGrace())}
+		u = &unconfirmedServer{nextProbeAt: closedAt.Add(e.closeGrace())}
 		l.unconfirmed[h.server] = u
 	}
 	if !already {
@@ -392,7 +392,7 @@
 		}
 		for _, h := range e.holdings {
 			if !h.closedAt.IsZero() {
-				calls[i].NotBefore = later(calls[i].NotBefore, h.closedAt.Add(e.noticeGrace()))
+				calls[i].NotBefore = later(calls[i].NotBefore, h.closedAt.Add(e.closeGrace()))
 			}
 		}
 	}
--- a/internal/heldstate/ledger_test.go
+++ b/internal/heldstate/ledger_test.go
@@ -414,7 +414,7 @@
 }
 
 // A release waits until a close is observed, and is repeated in time, since it may have overtaken the close.
-func TestCloseNoticedLate(t *testing.T) {
+func TestCloseObservedLate(t *testing.T) {
 	for _, pin := range []time.Duration{40 * ms, 250 * ms, 500 * ms, 0} {
 		c := newHarness(t)
 		terms := shared
@@ -780,7 +780,7 @@
 		h.l.ScheduleRelease(key, h.now)
 	})
 	h.after(h.upTo(2*time.Second), func() {
-		h.queuedUntil[key] = later(h.now, h.hungUntil).Add(h.upTo(CloseNoticeGrace))
+		h.queuedUntil[key] = later(h.now, h.hungUntil).Add(h.upTo(CloseGrace))
 		h.l.WriteEnded(key, "writer", ClosedByRouter, h.now)
 		h.l.RequestEnded(key, h.now)
 	})
--- a/internal/heldstate/probe.go
+++ b/internal/heldstate/probe.go
@@ -29,7 +29,7 @@
 // zero: it did not.
 func (x exchange) confirmedAt(e *entry) func(*holding) time.Time {
 	return func(h *holding) time.Time {
-		if !x.confirmsRunSince(h.closedAt, e.noticeGrace()) {
+		if !x.confirmsRunSince(h.closedAt, e.closeGrace()) {
 			return time.Time{}
 		}
 		return x.answeredAt
@@ -139,7 +139,7 @@
 	u.probing = false
 	if acked {
 		u.retryDelay = 0
-		u.nextProbeAt = now.Add(CloseNoticeGrace)
+		u.nextProbeAt = now.Add(CloseGrace)
 	} else {
 		u.retryDelay = min(max(2*u.retryDelay, firstProbeDelay), maxProbeDelay)
 		u.nextProbeAt = now.Add(u.retryDelay)
--- a/internal/heldstate/release.go
+++ b/internal/heldstate/release.go
@@ -141,7 +141,7 @@
 func (l *Ledger) markReleaseUnconfirmed(e *entry, server string, sentAt time.Time) {
 	for i := range e.holdings {
 		if h := &e.holdings[i]; h.server == server && !h.inFlight && h.closedAt.IsZero() {
-			l.markUnconfirmed(e, i, sentAt.Add(-e.noticeGrace()))
+			l.markUnconfirmed(e, i, sentAt.Add(-e.closeGrace()))
 		}
 	}
 }
@@ -192,7 +192,7 @@
 			for i := range u.compact {
 				u.compact[i].timeout = 0
 			}
-			u.restorableBy = exchange{now.Add(CloseNoticeGrace), now}
+			u.restorableBy = exchange{now.Add(CloseGrace), now}
 		}
 	}
 	for _, e := range slices.Clone(l.pending) {
@@ -217,7 +217,7 @@
 			continue
 		}
 		if at := confirmedAt(h); !at.IsZero() {
-			h.confirmRunning(at, later(at.Add(e.noticeGrace()), h.closedAt.Add(e.pinPart(lastReleasePart))), e.noticeGrace())
+			h.confirmRunning(at, later(at.Add(e.closeGrace()), h.closedAt.Add(e.pinPart(lastReleasePart))), e.closeGrace())
 			confirmed = true
 		}
 	}
